--- a/packages/node-links/src/duty_promises.test.ts
+++ b/packages/node-links/src/lease_grants.test.ts
@@ -1,7 +1,7 @@
 import {ManualClock} from '@mimosatack/clock';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {DutyPromises} from './duty_promises.js';
+import {DutyPromises} from './lease_grants.js';
 import {type Welcome} from './messages.js';
 
 const test = suite('what a node has promised');
--- a/packages/node-links/src/node_links.ts
+++ b/packages/node-links/src/node_links.ts
@@ -10,15 +10,15 @@
 import {type FromHolder, type ToHolder} from '@mimosatack/schedule-service';
 import {startPeriodic} from '@mimosatack/tasks';
 import {HolderContacts} from './holder_contacts.js';
-import {readLastOrders} from './holder_farewell.js';
+import {readLastOrders} from './last_orders.js';
 import {
   chooseWitnesses,
   findAskingDelayMs,
   isHeardByAny,
 } from './holder_inquiry.js';
-import {HolderNews} from './holder_news.js';
+import {HolderNews} from './last_welcome.js';
 import {chooseSuccessor, findDutyRank} from './duty_order.js';
-import {DutyPromises, START_QUIET_MS} from './duty_promises.js';
+import {DutyPromises, START_QUIET_MS} from './lease_grants.js';
 import {
   type HelloStatus,
   type LastOrdersMessage,
