--- a/packages/node-links/src/confirmation_fixture.ts
+++ b/packages/node-links/src/confirmation_fixture.ts
@@ -1,12 +1,11 @@
-/** A node that knows a version of the configuration, on a host of its own. */
+/** A test node with a configuration version and a clock of its own. */
 import {ManualClock, SuspensionAwareClock} from '@mimosatack/clock';
 import {ToldConfirmation} from './told_confirmation.js';
 
-/** Keeps what it is told, and tells it. */
 export class TestNode {
   readonly host = new ManualClock();
   readonly clock = new SuspensionAwareClock(this.host);
-  readonly told = new ToldConfirmation(this);
+  readonly confirmation = new ToldConfirmation(this);
   asOfMs = -Infinity;
   version = 3;
   readonly ownReadMs = 1_000;
@@ -25,12 +24,12 @@
   }
 
   describe() {
-    const {awakeBeatMs, confirmedAgeMs} = this.told.describe();
+    const {awakeBeatMs, confirmedAgeMs} = this.confirmation.describe();
     return {configurationVersion: this.version, awakeBeatMs, confirmedAgeMs};
   }
 
   hello(holder: string) {
-    const confirmedBeatMs = this.told.findBeatMs(holder);
+    const confirmedBeatMs = this.confirmation.findBeatMs(holder);
     return {configurationVersion: this.version, confirmedBeatMs};
   }
 }
--- a/packages/node-links/src/duty_order.ts
+++ b/packages/node-links/src/duty_order.ts
@@ -1,39 +1,39 @@
-/** Which node takes a duty before which. */
+/** The order in which nodes claim a duty. */
 import {type KnownNode} from './known_node.js';
-import {type Seen} from './node_roster.js';
+import {type RosterEntry} from './node_roster.js';
 
-type Standing = Pick<KnownNode, 'nodeName' | 'cores'>;
+type ClaimCandidate = Pick<KnownNode, 'nodeName' | 'cores'>;
 
 /**
- * Guards against a duty on a node that is too small for it: scheduling for all
- * takes several times the processor that a node's own requests take, and on a
- * small node everybody's requests would wait for it. The roomiest nodes come
- * first, and names decide between equals.
+ * Returns how many nodes claim the duty before `self`. Nodes with the most
+ * cores come first, then names decide: scheduling takes several times the CPU
+ * of a node's own requests and would delay them on a small node.
  */
 export function findDutyRank(
-  self: Standing,
-  nodes: readonly Standing[],
+  self: ClaimCandidate,
+  nodes: readonly ClaimCandidate[],
 ): number {
-  return nodes.filter(node => isBefore(node, self)).length;
+  return nodes.filter(node => precedes(node, self)).length;
 }
 
-function isBefore(node: Standing, self: Standing): boolean {
+function precedes(node: ClaimCandidate, self: ClaimCandidate): boolean {
   if (node.cores !== self.cores) return node.cores > self.cores;
   return node.nodeName < self.nodeName;
 }
 
 /**
- * Who takes a duty over from a node that stops: of the roomiest nodes the one
- * that was started last, since nodes are restarted in turn and it has had its.
+ * Chooses the node that takes over the duty from a node that stops: of the
+ * nodes with the most cores, the one started last. In a rolling restart that
+ * node has already been restarted, so the duty need not move again.
  */
 export function chooseSuccessor(
-  serving: readonly Seen[],
-  nodes: readonly Standing[],
-): Seen | null {
+  serving: readonly RosterEntry[],
+  nodes: readonly ClaimCandidate[],
+): RosterEntry | null {
   const coresOf = new Map(nodes.map(({nodeName, cores}) => [nodeName, cores]));
-  const roomOf = ({nodeName}: Seen) => coresOf.get(nodeName) ?? 0;
+  const countCores = ({nodeName}: RosterEntry) => coresOf.get(nodeName) ?? 0;
   const [best] = [...serving].sort(
-    (a, b) => roomOf(b) - roomOf(a) || a.uptimeMs - b.uptimeMs,
+    (a, b) => countCores(b) - countCores(a) || a.uptimeMs - b.uptimeMs,
   );
   return best ?? null;
 }
--- a/packages/node-links/src/holder_contacts.ts
+++ b/packages/node-links/src/holder_contacts.ts
@@ -1,70 +1,75 @@
-/** What heartbeats tell of the holder of a duty. */
+/** Tracks whether the duty holder can be reached. */
 import {type Clock} from '@mimosatack/clock';
 import {type TypedError} from '@mimosatack/errors';
 import {type DutyHolder, type HolderContact} from '@mimosatack/hold-duty';
 
-/** A holder that was not heard of for this long is silent. */
-const ALIVE_MS = 800;
-/** What others said is believed for this long. */
-const OTHERS_MS = 1_500;
+/** A holder counts as silent after this time without a heartbeat reply. */
+const SILENT_AFTER_MS = 800;
+/** How long a report that another node hears the holder stays valid. */
+const PEER_REPORT_TTL_MS = 1_500;
 
-/** Keeps the last contacts with one holder; a new holder starts afresh. */
+/** Contact state of the current holder; reset when the holder changes. */
 export class HolderContacts {
   private incarnation = '';
   private heardAtMs = -Infinity;
   private isGone = false;
   private hasEnded = false;
-  private othersHeardAtMs = -Infinity;
+  private heardByOthersAtMs = -Infinity;
 
   constructor(private readonly clock: Clock) {}
 
   find(holder: DutyHolder): HolderContact {
-    this.turnTo(holder);
+    this.switchTo(holder);
     if (this.hasEnded) return 'ended';
     if (this.isGone) return 'gone';
-    return this.sinceContactMs(holder) < ALIVE_MS ? 'alive' : 'silent';
+    return this.sinceContactMs(holder) < SILENT_AFTER_MS ? 'alive' : 'silent';
   }
 
   sinceContactMs(holder: DutyHolder): number {
-    this.turnTo(holder);
+    this.switchTo(holder);
     return this.clock.monotonicMs() - this.heardAtMs;
   }
 
   get isHeardByOthers(): boolean {
-    return this.clock.monotonicMs() - this.othersHeardAtMs < OTHERS_MS;
+    return (
+      this.clock.monotonicMs() - this.heardByOthersAtMs < PEER_REPORT_TTL_MS
+    );
   }
 
   noteHeard(holder: DutyHolder): void {
-    this.turnTo(holder);
+    this.switchTo(holder);
     this.heardAtMs = this.clock.monotonicMs();
     this.isGone = false;
   }
 
-  /** Another process answers at its address, or it has said so itself. */
+  /**
+   * Records that the holder's process has exited: it announced its exit, or
+   * another process answers at its address.
+   */
   noteEnded(holder: DutyHolder): void {
-    this.turnTo(holder);
+    this.switchTo(holder);
     this.hasEnded = true;
   }
 
-  /** Its host answers, but nothing listens there. */
+  /** Records a failed request; a refused connection means no process listens. */
   noteFailure(holder: DutyHolder, error: TypedError): void {
-    this.turnTo(holder);
+    this.switchTo(holder);
     if (isRefused(error)) this.isGone = true;
   }
 
-  noteOthers(holder: DutyHolder, isHeard: boolean): void {
-    this.turnTo(holder);
-    if (isHeard) this.othersHeardAtMs = this.clock.monotonicMs();
+  notePeerReports(holder: DutyHolder, isHeard: boolean): void {
+    this.switchTo(holder);
+    if (isHeard) this.heardByOthersAtMs = this.clock.monotonicMs();
   }
 
-  /** A new holder counts as alive until it had time to answer. */
-  private turnTo({incarnation}: DutyHolder): void {
+  /** Resets the state for a new holder, which counts as alive at first. */
+  private switchTo({incarnation}: DutyHolder): void {
     if (incarnation === this.incarnation) return;
     this.incarnation = incarnation;
     this.heardAtMs = this.clock.monotonicMs();
     this.isGone = false;
     this.hasEnded = false;
-    this.othersHeardAtMs = -Infinity;
+    this.heardByOthersAtMs = -Infinity;
   }
 }
 
--- a/packages/node-links/src/holder_inquiry.ts
+++ b/packages/node-links/src/holder_inquiry.ts
@@ -1,29 +1,27 @@
-/** Asks other nodes whether they hear the holder of the duty. */
+/** Asks other nodes whether they are in contact with a silent duty holder. */
 import {type DutyHolder} from '@mimosatack/hold-duty';
 import {type KnownNode} from './known_node.js';
 import {type NodeMessage} from './messages.js';
 
-/** Sends a message to an address and resolves with the reply. */
 export type SendRequest = (
   address: string,
   message: NodeMessage,
 ) => Promise<NodeMessage>;
 
 /**
- * How many nodes are asked. Where a third of the nodes is cut off from a holder
- * that lives, none of eight hears it once in 7,000 times; the store's condition
- * then keeps the needless claim from doing harm.
+ * If a third of the nodes is partitioned from a live holder, all eight nodes
+ * asked are in that third with a probability of 1 in 7,000. The conditional
+ * append to the store keeps the resulting claim safe.
  */
-const MAX_WITNESSES = 8;
+const MAX_ASKED_NODES = 8;
 
 /**
- * The nodes to ask, spread over all of them by name, since nodes of one failure
- * domain have names next to each other and are cut off together.
- *
- * Guards against a storm: when the holder of 195 nodes is lost and each asks all
- * others, 38,000 connections are opened within a second.
+ * Chooses a bounded number of nodes, so that the loss of the holder does not
+ * make every node connect to every other one. The choice is spread over the
+ * sorted names: nodes of one failure domain have adjacent names and may be
+ * partitioned together.
  */
-export function chooseWitnesses(
+export function chooseNodesToAsk(
   self: KnownNode,
   holder: DutyHolder,
   nodes: readonly KnownNode[],
@@ -34,16 +32,16 @@
         nodeName !== self.nodeName && nodeName !== holder.nodeName,
     )
     .sort((a, b) => (a.nodeName < b.nodeName ? -1 : 1));
-  const count = Math.min(MAX_WITNESSES, others.length);
-  // Each node begins at its own place, so that all are asked about as often.
-  const first = others.filter(({nodeName}) => nodeName < self.nodeName).length;
+  const count = Math.min(MAX_ASKED_NODES, others.length);
+  // Each node starts at its own position, which spreads the load evenly.
+  const start = others.filter(({nodeName}) => nodeName < self.nodeName).length;
   return Array.from({length: count}, (_, index) => {
-    const at = first + Math.floor((index * others.length) / count);
-    return others[at % others.length];
+    const position = start + Math.floor((index * others.length) / count);
+    return others[position % others.length];
   }).flatMap(node => (node ? [node] : []));
 }
 
-/** Whether any of the nodes hears the holder; who does not answer does not. */
+/** Whether any of the nodes hears the holder; no answer counts as no. */
 export async function isHeardByAny(
   addresses: readonly string[],
   holder: DutyHolder,
@@ -64,19 +62,17 @@
     const reply = await request(address, {type: 'ask-heard', token});
     return reply.type === 'heard' && reply.isHeard;
   } catch {
-    // A node that can't be asked tells nothing of the holder.
     return false;
   }
 }
 
 /**
- * A node asks whether others hear a silent holder this much later for each node
- * that claims before it: well before its own claim is due, 150 ms for each, and
- * mostly not at all, since one of the first has claimed by then.
+ * Shorter than the claim delay of 150 ms per rank, so that a node asks before
+ * its claim is due. Most nodes need not ask, since one of lower rank has claimed.
  */
-const ASKING_STEP_MS = 100;
+const ASK_DELAY_PER_RANK_MS = 100;
 
-/** How long a holder is silent before a node of this rank asks others. */
-export function findAskingDelayMs(rank: number): number {
-  return rank * ASKING_STEP_MS;
+/** How long the holder must be silent before a node of this rank asks. */
+export function findAskDelayMs(rank: number): number {
+  return rank * ASK_DELAY_PER_RANK_MS;
 }
--- a/packages/node-links/src/last_orders.ts
+++ b/packages/node-links/src/last_orders.ts
@@ -1,10 +1,10 @@
-/** What a holder that orders no more tells the others, and how they take it. */
+/** Decodes the `last-orders` message of a holder that stops scheduling. */
 import {type Clock} from '@mimosatack/clock';
 import {type LastOrders} from '@mimosatack/hold-duty';
 import {type LastOrdersMessage} from './messages.js';
 
-/** The times are told as spans, since the clocks of two nodes differ. */
-export function readLastOrders(
+/** Converts the ages in the message to times of this node's clock. */
+export function toLastOrders(
   {incarnation, orders}: LastOrdersMessage,
   clock: Clock,
 ): LastOrders {
--- a/packages/node-links/src/last_welcome.ts
+++ b/packages/node-links/src/last_welcome.ts
@@ -1,27 +1,27 @@
-/** What the holder of the duty has said last. */
+/** Keeps the last reply to a heartbeat. */
 import {type DutyHolder} from '@mimosatack/hold-duty';
 import {type Welcome} from './messages.js';
 
-/** Keeps the last answer to a heartbeat, of whichever holder. */
-export class HolderNews {
-  private last: Welcome | null = null;
+/** The last `welcome` received, from any holder. */
+export class LastWelcome {
+  private welcome: Welcome | null = null;
 
-  take(welcome: Welcome): void {
-    this.last = welcome;
+  record(welcome: Welcome): void {
+    this.welcome = welcome;
   }
 
-  /** Null when another process has spoken last, or nobody has. */
-  findWelcomeOf({incarnation}: DutyHolder): Welcome | null {
-    return this.last?.incarnation === incarnation ? this.last : null;
+  /** Returns the last welcome if the holder's process sent it, else null. */
+  findFrom({incarnation}: DutyHolder): Welcome | null {
+    return this.welcome?.incarnation === incarnation ? this.welcome : null;
   }
 
-  /** How old its knowledge of the servers was then. */
+  /** Age of the sender's server records at that time; Infinity if unknown. */
   get serversAgeMs(): number {
-    return this.last?.serversAgeMs ?? Infinity;
+    return this.welcome?.serversAgeMs ?? Infinity;
   }
 
-  /** Whether it passes the registered nodes on. */
-  hasNodesOf(holder: DutyHolder): boolean {
-    return (this.findWelcomeOf(holder)?.nodesEndOffset ?? 0) > 0;
+  /** Whether the holder forwards the records of registered nodes. */
+  relaysNodes(holder: DutyHolder): boolean {
+    return (this.findFrom(holder)?.nodesEndOffset ?? 0) > 0;
   }
 }
--- a/packages/node-links/src/lease_grants.ts
+++ b/packages/node-links/src/lease_grants.ts
@@ -1,65 +1,61 @@
-/** What this process has promised to the holder of a duty. */
+/** Lease grants that this process has issued to the duty holder. */
 import {type Clock} from '@mimosatack/clock';
 import {type DutyHolder} from '@mimosatack/hold-duty';
 import {type Welcome} from './messages.js';
-import {type DutyPromise} from './node_roster.js';
+import {type LeaseGrant} from './node_roster.js';
 
 /**
- * How long a node promises not to claim the duty: several heartbeats, and less
- * than the silence after which it would claim anyway.
+ * Duration of a grant: several heartbeat intervals, and shorter than the
+ * silence after which a node claims the duty.
  */
-const PROMISE_MS = 1_500;
+const GRANT_MS = 1_500;
 /**
- * A process that starts claims nothing for this long, whatever it hears, and
- * one that stops promises that of the next one of its node. A restart takes one
- * to two seconds, and the new process promises by itself half a second later.
+ * A process does not claim the duty for this long after it starts. A stopping
+ * process issues a grant of the same duration for the next process of its node,
+ * which covers a restart of two seconds and the first heartbeats after it.
  */
-export const START_QUIET_MS = 4_000;
+export const STARTUP_HOLD_OFF_MS = 4_000;
 /**
- * The holder remembers for 10 s that this node's promise counts; it is believed
- * for less, as both clocks and a heartbeat on its way differ by some ms.
+ * Shorter than the 10 s for which the holder keeps a silent node in its roster
+ * (`ENTRY_TTL_MS`), to allow for clock drift and message delay.
  */
-const COUNTED_MS = 8_000;
+const GRANTOR_MS = 8_000;
 
 /**
- * Promises not to claim the duty. They let the holder prove its lease while the
- * store can't be reached: as long as all others promise, nobody can have taken
- * the duty over.
+ * Issues grants by which this node agrees not to claim the duty for a while.
+ * Grants from all other nodes let the holder renew its lease without the store.
  */
-export class DutyPromises {
+export class LeaseGrants {
   private endMs = -Infinity;
-  private countedBy = '';
-  private countedAtMs = -Infinity;
+  private grantorOf = '';
+  private acknowledgedAtMs = -Infinity;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Until when this process must not claim. */
+  /** Time until which this process must not claim the duty. */
   get endsAtMs(): number {
     return this.endMs;
   }
 
-  /** Binding from the moment at which it is sent. */
-  make(
-    {token}: DutyHolder,
-    {beatMs}: Welcome,
-    forMs = PROMISE_MS,
-  ): DutyPromise {
+  /** Issues a grant, which binds this process from now on. */
+  issue({token}: DutyHolder, {beatMs}: Welcome, forMs = GRANT_MS): LeaseGrant {
     this.endMs = Math.max(this.endMs, this.clock.monotonicMs() + forMs);
     return {token, beatMs, forMs};
   }
 
-  /** A heartbeat with a promise was answered. */
-  noteAnswered({incarnation}: DutyHolder, sentAtMs: number): void {
-    this.countedBy = incarnation;
-    this.countedAtMs = sentAtMs;
+  /** Records that the holder answered a heartbeat that carried a grant. */
+  noteReply({incarnation}: DutyHolder, sentAtMs: number): void {
+    this.grantorOf = incarnation;
+    this.acknowledgedAtMs = sentAtMs;
   }
 
   /**
-   * Whether the holder's process relies on promises only with this process's
-   * own among them.
+   * Whether the holder process needs a grant from this node to renew its lease
+   * by grants, since it recently answered a heartbeat that carried one.
    */
-  isCountedBy(incarnation: string): boolean {
-    const isRecent = this.clock.monotonicMs() - this.countedAtMs < COUNTED_MS;
-    return this.countedBy === incarnation && isRecent;
+  isGrantorOf(incarnation: string): boolean {
+    const isRecent =
+      this.clock.monotonicMs() - this.acknowledgedAtMs < GRANTOR_MS;
+    return this.grantorOf === incarnation && isRecent;
   }
 }
--- a/packages/node-links/src/make_transport.ts
+++ b/packages/node-links/src/make_transport.ts
@@ -1,4 +1,4 @@
-/** The connections between nodes, with the limits of their messages. */
+/** Configures the transport between nodes and its limits. */
 import {PeerTransport} from '@mimosatack/peer-transport';
 import {type NodeMessage, messageSchema} from './messages.js';
 import {type NodeLinksOptions} from './node_links_options.js';
@@ -7,7 +7,7 @@
 const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 const REQUEST_TIMEOUT_MS = 500;
 
-/** Listens and connects once it is started. */
+/** Creates a transport that listens and connects after `start()`. */
 export function makeTransport(
   options: NodeLinksOptions,
   onMessage: (from: string, message: NodeMessage) => NodeMessage | undefined,
--- a/packages/node-links/src/messages.ts
+++ b/packages/node-links/src/messages.ts
@@ -1,4 +1,4 @@
-/** All messages between nodes. */
+/** Schemas of the messages between nodes. */
 import {
   crashReplySchema,
   crashReportSchema,
@@ -11,27 +11,27 @@
 const statusSchema = z.object({
   nodeName: z.string(),
   incarnation: z.string(),
-  /** Whether callers may be sent to it. */
+  /** Whether the node accepts requests from callers. */
   isServing: z.boolean(),
   uptimeMs: z.number(),
   configurationVersion: z.number(),
   serversEndOffset: z.number(),
-  /** Nodes of the release before do not tell it. */
+  /** Absent in messages of the previous release. */
   nodesEndOffset: z.number().default(0),
-  /** The list of serving nodes that it has from the holder; null for none. */
+  /** Version of the serving list that the node holds; null if it has none. */
   servingListId: z.string().nullable().default(null),
-  /** Of servers that ended under requests; null from the release before. */
+  /** Servers that crashed under requests; null from the previous release. */
   crashes: crashReportSchema.nullable().default(null),
-  /** What it spent of teams' quotas; null from the release before. */
+  /** Usage of team quotas; null from the previous release. */
   quotas: quotaReportSchema.nullable().default(null),
   /**
-   * As of when it knows that its configuration is the newest, on the holder's
-   * own clock, by the last welcome; null when it can't tell.
+   * When the sender's configuration was last known to be current, on the
+   * holder's clock (see `awakeBeatMs`); null if unknown.
    */
   confirmedBeatMs: z.number().nullable().default(null),
   /**
-   * Not to claim the duty from the holder of this token for `forMs`, counted
-   * from the holder's own time `beatMs`, which its last welcome told.
+   * Lease grant: the sender does not claim the duty from the holder of `token`
+   * for `forMs` after `beatMs`, which the holder's last `welcome` carried.
    */
   promise: z
     .object({token: z.number(), beatMs: z.number(), forMs: z.number()})
@@ -64,53 +64,54 @@
 });
 
 export const messageSchema = z.discriminatedUnion('type', [
-  /** Sent again and again to the holder; the reply is `welcome`. */
+  /** Periodic heartbeat to the duty holder, which replies with `welcome`. */
   z.object({type: z.literal('hello'), status: statusSchema}),
   z.object({
     type: z.literal('welcome'),
     incarnation: z.string(),
-    /** When it was sent, on the sender's monotonic clock. */
+    /** Send time on the sender's monotonic clock. */
     beatMs: z.number(),
     holder: holderSchema.nullable(),
-    /** Changes with each change of the list, and with the holder. */
+    /** Version of the serving list; unique across holders. */
     servingListId: z.string().nullable().default(null),
     /**
-     * Nodes that callers may be sent to, as the holder knows; null for the list
-     * that the other one has.
+     * Names of the nodes that accept requests from callers; null if the
+     * receiver already has the version `servingListId`.
      */
     servingNodes: z.array(z.string()).nullable(),
-    /** How long ago the store told it of the servers; null for never. */
+    /** Time since the sender read the servers from the store; null for never. */
     serversAgeMs: z.number().nullable(),
     configurationVersion: z.number(),
     serversEndOffset: z.number(),
     nodesEndOffset: z.number().default(0),
     crashes: crashReplySchema.nullable().default(null),
     quotas: quotaReplySchema.nullable().default(null),
-    /** When it was sent, on a clock of the sender that counts suspension. */
+    /** Send time on the sender's clock that includes host suspension. */
     awakeBeatMs: z.number().nullable().default(null),
-    /** How long ago its configuration was known to be the newest. */
+    /** Time since the sender's configuration was known to be current. */
     confirmedAgeMs: z.number().nullable().default(null),
   }),
   /**
-   * From the holder to a node that it does not hear: one that has just started
-   * may know nobody, and can not read the store. It answers by a `hello`.
+   * Sent by the holder to a silent node, which answers with `hello`. A node that
+   * starts while the store is unavailable learns of the cluster from it.
    */
   z.object({
     type: z.literal('introduction'),
     holder: holderSchema,
     nodes: z.array(nodeSchema),
   }),
-  /** From a holder that orders no more: which engines it has ordered lately. */
+  /** Sent by a holder that stops scheduling: its recent orders per engine. */
   z.object({
     type: z.literal('last-orders'),
     incarnation: z.string(),
     orders: z.array(z.object({engineId: z.string(), ageMs: z.number()})),
-    /** Whether its process ends; otherwise it has given the duty away. */
+    /** True if the process exits, false if it only handed over the duty. */
     isEnding: z.boolean(),
   }),
+  /** Asks whether the receiver is in contact with the holder of `token`. */
   z.object({type: z.literal('ask-heard'), token: z.number()}),
   z.object({type: z.literal('heard'), isHeard: z.boolean()}),
-  /** Asks for records from an offset on; the reply is `records`. */
+  /** Requests records from `fromOffset`; the reply is `records`. */
   z.object({
     type: z.literal('ask-records'),
     topic: z.enum(['configuration', 'servers', 'nodes']),
@@ -121,7 +122,6 @@
   z.object({type: z.literal('from-holder'), body: fromHolderSchema}),
 ]);
 
-/** What nodes say to each other. */
 export type NodeMessage = z.infer<typeof messageSchema>;
 export type HelloStatus = z.infer<typeof statusSchema>;
 export type LastOrdersMessage = Extract<NodeMessage, {type: 'last-orders'}>;
--- a/packages/node-links/src/node_links.ts
+++ b/packages/node-links/src/node_links.ts
@@ -1,7 +1,6 @@
 /**
- * The task that owns the connections between nodes. Every node speaks to the
- * node that schedules and hears of all others through it, so that what a node
- * has to say does not grow with their number.
+ * The connections between nodes. Every node exchanges heartbeats with the duty
+ * holder only, so that the traffic of a node does not grow with the cluster.
  */
 import {type CrashReport} from '@mimosatack/contain-requests';
 import {toTypedError} from '@mimosatack/errors';
@@ -10,15 +9,15 @@
 import {type FromHolder, type ToHolder} from '@mimosatack/schedule-service';
 import {startPeriodic} from '@mimosatack/tasks';
 import {HolderContacts} from './holder_contacts.js';
-import {readLastOrders} from './last_orders.js';
+import {toLastOrders} from './last_orders.js';
 import {
-  chooseWitnesses,
-  findAskingDelayMs,
+  chooseNodesToAsk,
+  findAskDelayMs,
   isHeardByAny,
 } from './holder_inquiry.js';
-import {HolderNews} from './last_welcome.js';
+import {LastWelcome} from './last_welcome.js';
 import {chooseSuccessor, findDutyRank} from './duty_order.js';
-import {DutyPromises, START_QUIET_MS} from './lease_grants.js';
+import {LeaseGrants, STARTUP_HOLD_OFF_MS} from './lease_grants.js';
 import {
   type HelloStatus,
   type LastOrdersMessage,
@@ -27,49 +26,49 @@
   type Welcome,
 } from './messages.js';
 import {makeTransport} from './make_transport.js';
-import {type DutyPromise, NodeRoster} from './node_roster.js';
+import {type LeaseGrant, NodeRoster} from './node_roster.js';
 import {type NodeLinksOptions, type Successor} from './node_links_options.js';
 import {RecordCatchUp} from './record_catch_up.js';
-import {KnownServingList, ServingList} from './serving_list.js';
+import {ReceivedServingList, ServingList} from './serving_list.js';
 import {SilentNodes} from './silent_nodes.js';
 import {ToldConfirmation} from './told_confirmation.js';
 
-/** Heartbeats; several fit into the time after which a holder counts as silent. */
-const HELLO_INTERVAL_MS = 250;
-/** A node that has read the servers lately lacks nothing for long. */
-const READ_LATELY_MS = 1_000;
-/** As many as one answer of the directory names. */
-const MAX_TOLD_NODES = 64;
+/** Several heartbeats fit into the time after which a holder counts as silent. */
+const HEARTBEAT_INTERVAL_MS = 250;
+/** A node that read the servers this recently does not fetch them from peers. */
+const FRESH_READ_MS = 1_000;
+/** As many nodes as one answer of the directory lists. */
+const MAX_INTRODUCED_NODES = 64;
 
-/** Heartbeats to the holder, and messages to and from it. */
+/** Sends heartbeats to the duty holder and routes messages between nodes. */
 export class NodeLinks {
   private readonly transport: PeerTransport<NodeMessage>;
   private readonly contacts: HolderContacts;
   private readonly roster: NodeRoster;
   private readonly catchUp: RecordCatchUp;
-  private readonly promises: DutyPromises;
+  private readonly grants: LeaseGrants;
   private readonly silentNodes: SilentNodes;
-  private readonly told: ToldConfirmation;
+  private readonly confirmations: ToldConfirmation;
   private readonly servingList: ServingList;
-  private readonly knownServing = new KnownServingList();
-  private readonly quietEndsAtMs: number;
-  private readonly news = new HolderNews();
+  private readonly receivedServingList = new ReceivedServingList();
+  private readonly holdOffEndsAtMs: number;
+  private readonly lastWelcome = new LastWelcome();
   private wasAlive = false;
 
   constructor(private readonly options: NodeLinksOptions) {
     const {clock, self} = options;
     this.contacts = new HolderContacts(clock);
     this.roster = new NodeRoster(clock);
-    this.promises = new DutyPromises(clock);
+    this.grants = new LeaseGrants(clock);
     this.silentNodes = new SilentNodes(clock);
-    this.told = new ToldConfirmation(options.confirmation);
+    this.confirmations = new ToldConfirmation(options.confirmation);
     this.servingList = new ServingList(clock, self.incarnation, () =>
       this.listServing(),
     );
-    this.quietEndsAtMs = clock.monotonicMs() + START_QUIET_MS;
+    this.holdOffEndsAtMs = clock.monotonicMs() + STARTUP_HOLD_OFF_MS;
     this.catchUp = new RecordCatchUp({
       ...options,
-      readsServers: () => options.serversAgeMs() < READ_LATELY_MS,
+      readsServers: () => options.serversAgeMs() < FRESH_READ_MS,
       ownReadMs: () => options.confirmation.ownReadMs,
       request: (address, message, timeoutMs) =>
         this.transport.request(address, message, timeoutMs),
@@ -81,35 +80,35 @@
 
   async start(): Promise<void> {
     await this.transport.start();
-    startPeriodic(this.options.clock, HELLO_INTERVAL_MS, () => this.tick());
+    startPeriodic(this.options.clock, HEARTBEAT_INTERVAL_MS, () => this.tick());
   }
 
-  /** What the heartbeats tell of a holder. */
+  /** Contact state of a holder, derived from heartbeats. */
   contactWith(holder: DutyHolder): HolderContact {
     return this.contacts.find(holder);
   }
 
-  /** Whether another node has said that it hears the holder. */
+  /** Whether another node recently reported contact with the holder. */
   get isHolderHeardByOthers(): boolean {
     return this.contacts.isHeardByOthers;
   }
 
-  /** Until when this node has promised not to claim the duty. */
+  /** Time until which this node's grants keep it from claiming the duty. */
   get promisedUntilMs(): number {
-    return this.promises.endsAtMs;
+    return this.grants.endsAtMs;
   }
 
-  /** Until when this process claims nothing, since it has just started. */
+  /** Time until which this process does not claim the duty after its start. */
   get quietUntilMs(): number {
-    return this.quietEndsAtMs;
+    return this.holdOffEndsAtMs;
   }
 
-  /** Whether a holder's process counts on the promise of this one. */
+  /** Whether a holder process needs a grant from this node for its lease. */
   isCountedBy(incarnation: string): boolean {
-    return this.promises.isCountedBy(incarnation);
+    return this.grants.isGrantorOf(incarnation);
   }
 
-  /** Until when all other nodes that are known have promised that to this one. */
+  /** Time until which all other known nodes have granted this node the lease. */
   grantedUntilMs(token: number, sinceMs: number): number {
     const {self, listNodes} = this.options;
     const registered = listNodes().map(({nodeName}) => nodeName);
@@ -118,19 +117,22 @@
     return this.roster.findGrantEndMs([...names], token, sinceMs);
   }
 
-  /** How old the holder's knowledge of the servers was when it last spoke. */
+  /** Age of the holder's server records; Infinity without another holder. */
   get holderServersAgeMs(): number {
     const holder = this.options.holder();
     if (!holder || this.isSelf(holder)) return Infinity;
     const sinceMs = this.contacts.sinceContactMs(holder);
-    return sinceMs + this.news.serversAgeMs;
+    return sinceMs + this.lastWelcome.serversAgeMs;
   }
 
-  /** Whether another node, which is heard, passes the registered nodes on. */
+  /** Whether a live holder forwards the registered nodes to this node. */
   get isToldOfNodes(): boolean {
     const holder = this.options.holder();
     if (!holder || this.isSelf(holder)) return false;
-    return this.news.hasNodesOf(holder) && this.contactWith(holder) === 'alive';
+    return (
+      this.lastWelcome.relaysNodes(holder) &&
+      this.contactWith(holder) === 'alive'
+    );
   }
 
   sendToHolder(message: ToHolder): boolean {
@@ -150,20 +152,20 @@
     else this.transport.send(address, {type: 'from-holder', body: message});
   }
 
-  /** Passes records on to all nodes that have spoken lately. */
+  /** Sends records to all nodes with a recent heartbeat. */
   broadcastRecords(message: RecordsMessage): void {
     this.roster
       .listAddresses()
       .forEach(address => this.transport.send(address, message));
   }
 
-  /** How many of the registered nodes take a duty before this one. */
+  /** Number of registered nodes that claim the duty before this one. */
   findRank(): number {
     const {self, listNodes} = this.options;
     return findDutyRank(self, listNodes());
   }
 
-  /** Who takes a duty over from this node when it stops. */
+  /** Chooses the node that takes over the duty when this node stops. */
   findSuccessor(): Successor | null {
     const {incarnation: own} = this.options.self;
     const others = this.roster
@@ -178,16 +180,16 @@
     if (this.isSelf(holder)) {
       this.contacts.noteHeard(holder);
       this.options.onServingNodes(this.servingList.names);
-      this.lookAfterSilent(holder);
+      this.handleSilentNodes(holder);
     } else {
-      this.silentNodes.forget();
-      await this.greet(holder);
+      this.silentNodes.clear();
+      await this.sendHello(holder);
     }
-    this.noteContact(holder);
+    this.reportContactChange(holder);
     if (this.contactWith(holder) === 'silent') await this.askOthers(holder);
   }
 
-  private noteContact(holder: DutyHolder): void {
+  private reportContactChange(holder: DutyHolder): void {
     const isAlive = this.contactWith(holder) === 'alive';
     if (isAlive === this.wasAlive) return;
     this.wasAlive = isAlive;
@@ -195,36 +197,35 @@
   }
 
   /**
-   * Guards against nodes that know nobody: one that is restarted while the store
-   * is away learns of the holder from it, and from that on all it needs to
-   * serve. One that stays silent is taken off the list, or the holder would wait
-   * for its promise whenever the store is away.
+   * Introduces the holder to nodes that may have restarted while the store is
+   * unavailable. Nodes that stay silent are reported as lost; otherwise the
+   * holder could not renew its lease by grants without them.
    */
-  private lookAfterSilent(holder: DutyHolder): void {
+  private handleSilentNodes(holder: DutyHolder): void {
     const {self, listNodes, onNodeLost} = this.options;
     const nodes = listNodes();
     const others = nodes.filter(({nodeName}) => nodeName !== self.nodeName);
-    const {greet, strike} = this.silentNodes.look(others, nodeName =>
+    const {introduce, remove} = this.silentNodes.update(others, nodeName =>
       this.roster.heardAtMs(nodeName),
     );
-    greet.forEach(({peerAddress}) =>
+    introduce.forEach(({peerAddress}) =>
       this.transport.send(peerAddress, {
         ...{type: 'introduction', holder},
-        nodes: nodes.slice(0, MAX_TOLD_NODES),
+        nodes: nodes.slice(0, MAX_INTRODUCED_NODES),
       }),
     );
-    strike.forEach(node => onNodeLost(node));
+    remove.forEach(node => onNodeLost(node));
   }
 
   /**
-   * Promises for the next process of this node too, so that the holder can go on
-   * proving its lease while this node is restarted.
+   * Sends a last grant that also covers the next process of this node, so that
+   * the holder can renew its lease while this node restarts.
    */
   sayGoodbye(): void {
     const holder = this.options.holder();
     if (!holder || this.isSelf(holder)) return;
     const {nodeName, incarnation} = this.options.self;
-    const promise = this.makePromise(holder, START_QUIET_MS);
+    const promise = this.issueGrant(holder, STARTUP_HOLD_OFF_MS);
     if (!promise) return;
     this.transport.send(holder.address, {
       type: 'hello',
@@ -236,7 +237,7 @@
     });
   }
 
-  /** Tells others that this node orders no more, and whom it ordered lately. */
+  /** Tells other nodes which orders this node sent before it stopped scheduling. */
   tellLastOrders(
     message: LastOrdersMessage,
     addresses: readonly string[] = this.roster.listAddresses(),
@@ -244,66 +245,70 @@
     addresses.forEach(address => this.transport.send(address, message));
   }
 
-  private takeLastOrders(message: LastOrdersMessage): void {
+  private handleLastOrders(message: LastOrdersMessage): void {
     const {clock, holder: findHolder, onLastOrders} = this.options;
-    onLastOrders(readLastOrders(message, clock));
+    onLastOrders(toLastOrders(message, clock));
     const holder = findHolder();
     const isHolder = holder?.incarnation === message.incarnation;
     if (holder && isHolder && message.isEnding) this.contacts.noteEnded(holder);
   }
 
-  private async greet(holder: DutyHolder): Promise<void> {
+  private async sendHello(holder: DutyHolder): Promise<void> {
     const {self, readStatus} = this.options;
     const {nodeName, incarnation} = self;
-    const promise = this.makePromise(holder);
+    const promise = this.issueGrant(holder);
     const crashes = this.options.crashes.makeReport(holder.incarnation);
     const quotas = this.options.quotas.makeReport();
-    const confirmedBeatMs = this.told.findBeatMs(holder.incarnation);
+    const confirmedBeatMs = this.confirmations.findBeatMs(holder.incarnation);
     const sentAtMs = this.options.clock.monotonicMs();
-    const sentAwakeMs = this.options.confirmation.nowMs;
+    const sentAtSuspensionAwareMs = this.options.confirmation.nowMs;
     try {
       const reply = await this.transport.request(holder.address, {
         type: 'hello',
         status: {
           ...{nodeName, incarnation, promise, ...readStatus()},
-          ...{servingListId: this.knownServing.id, crashes},
+          ...{servingListId: this.receivedServingList.id, crashes},
           ...{quotas, confirmedBeatMs},
         },
       });
       if (reply.type !== 'welcome') return;
-      this.takeWelcome(holder, reply);
-      this.takeCrashes(crashes, reply);
-      const isOwn = reply.incarnation === holder.incarnation;
-      if (isOwn) {
-        this.told.takeWelcome(holder.incarnation, reply, sentAwakeMs);
+      this.handleWelcome(holder, reply);
+      this.handleCrashReply(crashes, reply);
+      const isFromHolder = reply.incarnation === holder.incarnation;
+      if (isFromHolder) {
+        this.confirmations.takeWelcome(
+          holder.incarnation,
+          reply,
+          sentAtSuspensionAwareMs,
+        );
         if (reply.quotas) this.options.quotas.takeReply(reply.quotas);
       }
-      if (promise && isOwn) this.promises.noteAnswered(holder, sentAtMs);
+      if (promise && isFromHolder) this.grants.noteReply(holder, sentAtMs);
     } catch (thrown) {
       this.contacts.noteFailure(holder, toTypedError(thrown));
     }
   }
 
-  /** Binding from the moment at which it is sent; none to one that is silent. */
-  private makePromise(holder: DutyHolder, forMs?: number): DutyPromise | null {
+  /** Issues a grant for the next heartbeat; null while the holder is silent. */
+  private issueGrant(holder: DutyHolder, forMs?: number): LeaseGrant | null {
     if (this.contactWith(holder) !== 'alive') return null;
-    const welcome = this.news.findWelcomeOf(holder);
-    return welcome && this.promises.make(holder, welcome, forMs);
+    const welcome = this.lastWelcome.findFrom(holder);
+    return welcome && this.grants.issue(holder, welcome, forMs);
   }
 
-  private takeWelcome(holder: DutyHolder, welcome: Welcome): void {
+  private handleWelcome(holder: DutyHolder, welcome: Welcome): void {
     if (welcome.holder) this.options.onHolder(welcome.holder);
     if (welcome.incarnation !== holder.incarnation) {
       this.contacts.noteEnded(holder);
       return;
     }
-    this.news.take(welcome);
+    this.lastWelcome.record(welcome);
     this.contacts.noteHeard(holder);
-    this.options.onServingNodes(this.knownServing.take(welcome));
-    this.catchUp.look(holder.address, welcome);
+    this.options.onServingNodes(this.receivedServingList.apply(welcome));
+    this.catchUp.compare(holder.address, welcome);
   }
 
-  private takeCrashes(
+  private handleCrashReply(
     report: CrashReport | null,
     {incarnation, crashes}: Welcome,
   ): void {
@@ -314,14 +319,14 @@
   private async askOthers(holder: DutyHolder): Promise<void> {
     const {self, listNodes} = this.options;
     const silentForMs = this.contacts.sinceContactMs(holder);
-    if (silentForMs < findAskingDelayMs(this.findRank())) return;
-    const addresses = chooseWitnesses(self, holder, listNodes()).map(
+    if (silentForMs < findAskDelayMs(this.findRank())) return;
+    const addresses = chooseNodesToAsk(self, holder, listNodes()).map(
       ({peerAddress}) => peerAddress,
     );
     const isHeard = await isHeardByAny(addresses, holder, (address, message) =>
       this.transport.request(address, message),
     );
-    this.contacts.noteOthers(holder, isHeard);
+    this.contacts.notePeerReports(holder, isHeard);
   }
 
   private receive(from: string, message: NodeMessage): NodeMessage | undefined {
@@ -329,18 +334,18 @@
     switch (message.type) {
       case 'hello':
         this.roster.note(from, message.status);
-        this.catchUp.look(from, message.status);
-        this.told.takeHello(message.status);
+        this.catchUp.compare(from, message.status);
+        this.confirmations.takeHello(message.status);
         return this.makeWelcome(message.status);
       case 'introduction':
         options.onNodes(message.nodes);
         options.onHolder(message.holder);
         return undefined;
       case 'last-orders':
-        this.takeLastOrders(message);
+        this.handleLastOrders(message);
         return undefined;
       case 'ask-heard':
-        return {type: 'heard', isHeard: this.hears(message.token)};
+        return {type: 'heard', isHeard: this.isHearing(message.token)};
       case 'ask-records':
         return options.readRecords(message.topic, message.fromOffset);
       case 'records':
@@ -368,16 +373,16 @@
       incarnation: options.self.incarnation,
       beatMs: options.clock.monotonicMs(),
       holder: options.holder(),
-      ...this.servingList.tell(servingListId),
+      ...this.servingList.describeFor(servingListId),
       crashes: options.crashes.answer(crashes),
       quotas: options.quotas.answer(incarnation, quotas),
-      ...this.told.describe(),
+      ...this.confirmations.describe(),
       serversAgeMs: Number.isFinite(ageMs) ? ageMs : null,
       ...{configurationVersion, serversEndOffset, nodesEndOffset},
     };
   }
 
-  private hears(token: number): boolean {
+  private isHearing(token: number): boolean {
     const holder = this.options.holder();
     return holder?.token === token && this.contactWith(holder) === 'alive';
   }
--- a/packages/node-links/src/node_links_options.ts
+++ b/packages/node-links/src/node_links_options.ts
@@ -1,4 +1,4 @@
-/** What the links between nodes are built from. */
+/** Dependencies and callbacks of `NodeLinks`. */
 import {type Clock} from '@mimosatack/clock';
 import {type CrashExchange} from '@mimosatack/contain-requests';
 import {type TypedError} from '@mimosatack/errors';
@@ -18,56 +18,56 @@
   address: string;
 }
 
-/** What nodes tell each other of teams' quotas. */
+/** Exchanges the usage of team quotas with other nodes over heartbeats. */
 export interface QuotaExchange {
   makeReport(): QuotaReport | null;
   takeReply(reply: QuotaReply): void;
   answer(node: NodeIncarnation, report: QuotaReport | null): QuotaReply | null;
 }
 
-/** As of when this node knows that its configuration is the newest. */
+/** The last time at which this node's configuration was known to be current. */
 export interface ConfigurationConfirmation {
-  /** A clock that counts suspension. */
+  /** Current time of a monotonic clock that includes host suspension. */
   readonly nowMs: number;
-  /** On the clock of `nowMs`; minus infinity for never. */
+  /** Time of the last confirmation, on the clock of `nowMs`; -Infinity if none. */
   readonly asOfMs: number;
-  /** By then a node that the store answers has read a change by itself. */
+  /** Time within which a node with access to the store reads a change itself. */
   readonly ownReadMs: number;
-  /** Another node knows that a version was the newest. */
+  /** Records that another node confirmed `version` as current at `asOfMs`. */
   noteConfirmed(version: number, asOfMs: number): void;
 }
 
-/** What the links are built from. */
 export interface NodeLinksOptions {
   clock: Clock;
   random: RandomSource;
   self: KnownNode;
   listenAddress: SocketAddress;
   clusterSecret: string;
+  /** The current duty holder, if known. */
   holder: () => DutyHolder | null;
-  /** All registered nodes. */
+  /** Lists all registered nodes. */
   listNodes: () => readonly KnownNode[];
   readStatus: () => NodeStatus;
-  /** Passes on which servers ended under which requests. */
+  /** Exchanges reports of servers that crashed while serving a request. */
   crashes: CrashExchange;
   quotas: QuotaExchange;
   confirmation: ConfigurationConfirmation;
-  /** How long ago this node read the servers from the store. */
+  /** Time since this node last read the servers from the store. */
   serversAgeMs: () => number;
   readRecords: (topic: SharedTopic, fromOffset: number) => RecordsMessage;
   onRecords: (message: RecordsMessage, from: string) => void;
   onHolder: (holder: DutyHolder) => void;
-  /** Other nodes, as the holder knows them. */
+  /** Called with the nodes that the duty holder has introduced. */
   onNodes: (nodes: readonly KnownNode[]) => void;
-  /** A registered node is not heard for so long that it has to be lost. */
+  /** Called when a registered node has been silent for too long. */
   onNodeLost: (node: KnownNode) => void;
-  /** A holder orders no more. */
-  onLastOrders: (told: LastOrders) => void;
-  /** A message for the scheduler of this node. */
+  /** Called with the last orders of a holder that has stopped scheduling. */
+  onLastOrders: (lastOrders: LastOrders) => void;
+  /** Called with a message for this node's scheduler. */
   onToHolder: (from: string, message: ToHolder) => void;
   onFromHolder: (message: FromHolder) => void;
   onServingNodes: (nodeNames: readonly string[]) => void;
-  /** The holder is heard again, or no longer. */
+  /** Called when contact with the duty holder is established or lost. */
   onContact: (isAlive: boolean) => void;
   onFault: (error: TypedError) => void;
 }
--- a/packages/node-links/src/node_roster.test.ts
+++ b/packages/node-links/src/node_roster.test.ts
@@ -1,20 +1,25 @@
 import {ManualClock} from '@mimosatack/clock';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {type DutyPromise, NodeRoster} from './node_roster.js';
+import {type LeaseGrant, NodeRoster} from './node_roster.js';
 
-const test = suite('promises of the nodes');
+const test = suite('lease grants of other nodes');
 
-const PROMISE: DutyPromise = {token: 7, beatMs: 1_000, forMs: 1_500};
+const GRANT: LeaseGrant = {token: 7, beatMs: 1_000, forMs: 1_500};
 
 function makeRoster(
-  promises: ReadonlyArray<DutyPromise | null>,
+  grants: ReadonlyArray<LeaseGrant | null>,
   clock = new ManualClock(),
 ): NodeRoster {
   const roster = new NodeRoster(clock);
-  promises.forEach((promise, at) =>
-    roster.note(`10.0.0.${at}:1`, {
-      ...{nodeName: `entry-${at}`, incarnation: `${at}`, uptimeMs: 0, promise},
+  grants.forEach((promise, index) =>
+    roster.note(`10.0.0.${index}:1`, {
+      ...{
+        nodeName: `entry-${index}`,
+        incarnation: `${index}`,
+        uptimeMs: 0,
+        promise,
+      },
       isServing: true,
     }),
   );
@@ -23,27 +28,24 @@
 
 const BOTH = ['entry-0', 'entry-1'];
 
-test('the one that ends first decides', () => {
-  const later = {...PROMISE, beatMs: 1_200};
-  const roster = makeRoster([PROMISE, later]);
+test('the grant that expires first decides', () => {
+  const later = {...GRANT, beatMs: 1_200};
+  const roster = makeRoster([GRANT, later]);
   assert.is(roster.findGrantEndMs(BOTH, 7, 0), 2_500);
 });
 
-test('one that is missing, or to another holder, proves nothing', () => {
-  assert.is(makeRoster([PROMISE]).findGrantEndMs(BOTH, 7, 0), -Infinity);
-  assert.is(makeRoster([PROMISE, null]).findGrantEndMs(BOTH, 7, 0), -Infinity);
-  const other = {...PROMISE, token: 6};
-  assert.is(makeRoster([PROMISE, other]).findGrantEndMs(BOTH, 7, 0), -Infinity);
+test('a missing grant, or one to another holder, prevents renewal', () => {
+  assert.is(makeRoster([GRANT]).findGrantEndMs(BOTH, 7, 0), -Infinity);
+  assert.is(makeRoster([GRANT, null]).findGrantEndMs(BOTH, 7, 0), -Infinity);
+  const other = {...GRANT, token: 6};
+  assert.is(makeRoster([GRANT, other]).findGrantEndMs(BOTH, 7, 0), -Infinity);
   assert.is(makeRoster([]).findGrantEndMs([], 7, 0), -Infinity);
 });
 
-/*
- * A node stops in order and promises for its next process too, which says hello
- * before it can promise. The holder must be able to order meanwhile: users wait
- * for models whenever a node is restarted while the store is away.
- */
-test('a heartbeat without a promise takes none back', () => {
-  const roster = makeRoster([PROMISE]);
+// Guards against a holder that loses its lease while another node restarts and
+// the store is unavailable: the first heartbeat of a process carries no grant.
+test('a heartbeat without a grant revokes none', () => {
+  const roster = makeRoster([GRANT]);
   roster.note('10.0.0.0:1', {
     ...{nodeName: 'entry-0', incarnation: 'next', uptimeMs: 0, promise: null},
     isServing: false,
@@ -51,12 +53,10 @@
   assert.is(roster.findGrantEndMs(['entry-0'], 7, 0), 2_500);
 });
 
-/*
- * The holder's host was suspended and a heartbeat lay unread meanwhile. It is
- * taken a moment after the thaw, and its sender has long been free to claim.
- */
-test('one that answers what was told before a suspension proves nothing', () => {
-  const roster = makeRoster([PROMISE, PROMISE]);
+// Guards against a grant that was read after a suspension of the holder, when
+// its sender was already free to claim.
+test('a grant for a timestamp from before a suspension is ignored', () => {
+  const roster = makeRoster([GRANT, GRANT]);
   assert.is(roster.findGrantEndMs(BOTH, 7, 1_000), -Infinity);
   assert.is(roster.findGrantEndMs(BOTH, 7, 999), 2_500);
 });
--- a/packages/node-links/src/node_roster.ts
+++ b/packages/node-links/src/node_roster.ts
@@ -1,65 +1,67 @@
-/** The nodes that have sent heartbeats lately. */
+/** The nodes that have sent heartbeats recently, with their lease grants. */
 import {type Clock} from '@mimosatack/clock';
 
-/** What the roster keeps of a heartbeat. */
+/** The fields of a heartbeat that the roster stores. */
 export interface NodeHeartbeat {
   nodeName: string;
   incarnation: string;
   isServing: boolean;
   uptimeMs: number;
-  promise: DutyPromise | null;
+  promise: LeaseGrant | null;
 }
 
 /**
- * Not to claim a duty from the holder of a token. It counts from a time that
- * the holder told, so that one which was long on its way, or lay unread while
- * the holder was suspended, proves nothing.
+ * An agreement not to claim the duty from the holder of `token`. It runs from a
+ * timestamp that the holder issued, so that a grant that arrives late, or is
+ * read after a suspension of the holder, does not extend the lease.
  */
-export interface DutyPromise {
+export interface LeaseGrant {
   token: number;
   /** On the holder's monotonic clock. */
   beatMs: number;
   forMs: number;
 }
 
-/** A node and its last heartbeat. */
-export interface Seen extends NodeHeartbeat {
+/** The last heartbeat of a node. */
+export interface RosterEntry extends NodeHeartbeat {
   address: string;
-  atMs: number;
+  heardAtMs: number;
 }
 
-/** A node that sent no heartbeat for this long is not offered to callers. */
-const SERVING_MS = 900;
-/** After this time it is forgotten. */
-const FORGET_MS = 10_000;
+/** Callers are not sent to a node that was silent for this long. */
+const SERVING_TIMEOUT_MS = 900;
+/** A node that was silent for this long is removed from the roster. */
+const ENTRY_TTL_MS = 10_000;
 
-/** Heartbeats by the name of the node. */
+/** The last heartbeat of each node, by node name. */
 export class NodeRoster {
-  private readonly seen = new Map<string, Seen>();
+  private readonly entries = new Map<string, RosterEntry>();
 
   constructor(private readonly clock: Clock) {}
 
   note(address: string, status: NodeHeartbeat): void {
     const {nodeName, incarnation, isServing, uptimeMs} = status;
-    // A promise binds a node, also its next process, until it ends.
-    const promise = status.promise ?? this.seen.get(nodeName)?.promise ?? null;
-    this.seen.set(nodeName, {
+    // A grant binds the node until it expires, across restarts of its process.
+    const promise =
+      status.promise ?? this.entries.get(nodeName)?.promise ?? null;
+    this.entries.set(nodeName, {
       ...{address, nodeName, incarnation, isServing, uptimeMs, promise},
-      atMs: this.clock.monotonicMs(),
+      heardAtMs: this.clock.monotonicMs(),
     });
   }
 
-  /** The nodes that callers may be sent to. */
-  listServing(): Seen[] {
-    const sinceMs = this.clock.monotonicMs() - SERVING_MS;
-    return [...this.seen.values()].filter(
-      ({isServing, atMs}) => isServing && atMs >= sinceMs,
+  /** Lists the nodes that accept requests from callers. */
+  listServing(): RosterEntry[] {
+    const sinceMs = this.clock.monotonicMs() - SERVING_TIMEOUT_MS;
+    return [...this.entries.values()].filter(
+      ({isServing, heardAtMs}) => isServing && heardAtMs >= sinceMs,
     );
   }
 
   /**
-   * Until when all these nodes have promised the holder of the token not to
-   * claim; minus infinity when one has not, or when there are none.
+   * Returns when the first of these nodes' grants to the holder of `token`
+   * expires, in ms on the holder's clock; -Infinity if a node has issued none
+   * after `sinceMs`, or if `nodeNames` is empty.
    */
   findGrantEndMs(
     nodeNames: readonly string[],
@@ -68,7 +70,7 @@
   ): number {
     if (nodeNames.length === 0) return -Infinity;
     const ends = nodeNames.map(nodeName => {
-      const promise = this.seen.get(nodeName)?.promise;
+      const promise = this.entries.get(nodeName)?.promise;
       if (promise?.token !== token) return -Infinity;
       const {beatMs, forMs} = promise;
       return beatMs > sinceMs ? beatMs + forMs : -Infinity;
@@ -77,24 +79,24 @@
   }
 
   listAddresses(): string[] {
-    this.forgetOld();
-    return [...this.seen.values()].map(({address}) => address);
+    this.removeExpired();
+    return [...this.entries.values()].map(({address}) => address);
   }
 
-  /** Nodes whose promises count, whether they are registered or not. */
+  /** Lists the nodes whose grants the lease needs, registered or not. */
   listNames(): string[] {
-    this.forgetOld();
-    return [...this.seen.keys()];
+    this.removeExpired();
+    return [...this.entries.keys()];
   }
 
   heardAtMs(nodeName: string): number {
-    return this.seen.get(nodeName)?.atMs ?? -Infinity;
+    return this.entries.get(nodeName)?.heardAtMs ?? -Infinity;
   }
 
-  private forgetOld(): void {
-    const sinceMs = this.clock.monotonicMs() - FORGET_MS;
-    [...this.seen]
-      .filter(([, {atMs}]) => atMs < sinceMs)
-      .forEach(([nodeName]) => this.seen.delete(nodeName));
+  private removeExpired(): void {
+    const sinceMs = this.clock.monotonicMs() - ENTRY_TTL_MS;
+    [...this.entries]
+      .filter(([, {heardAtMs}]) => heardAtMs < sinceMs)
+      .forEach(([nodeName]) => this.entries.delete(nodeName));
   }
 }
--- a/packages/node-links/src/record_catch_up.test.ts
+++ b/packages/node-links/src/record_catch_up.test.ts
@@ -5,7 +5,7 @@
 import {type NodeMessage, type RecordsMessage} from './messages.js';
 import {RecordCatchUp} from './record_catch_up.js';
 
-const test = suite('catching up with other nodes');
+const test = suite('fetching missing records from other nodes');
 
 const HEARTBEAT_MS = 250;
 
@@ -15,23 +15,23 @@
     ...{isServing: true, uptimeMs: 0, configurationVersion: ownVersion},
     ...{serversEndOffset: 5, nodesEndOffset: 5},
   };
-  const asked: NodeMessage[] = [];
-  const taken: RecordsMessage[] = [];
+  const requests: NodeMessage[] = [];
+  const received: RecordsMessage[] = [];
   let answer: (message: NodeMessage) => void = () => undefined;
   const catchUp = new RecordCatchUp({
     clock,
     request: (_address, message) => {
-      asked.push(message);
+      requests.push(message);
       return new Promise(resolve => (answer = resolve));
     },
     readStatus: () => own,
     readsServers: () => false,
     ownReadMs: () => 1_000,
-    onRecords: message => taken.push(message),
+    onRecords: message => received.push(message),
   });
-  const look = (configurationVersion: number) =>
-    catchUp.look('n1', {...own, configurationVersion});
-  return {clock, own, asked, taken, look, answer: () => answer};
+  const compare = (configurationVersion: number) =>
+    catchUp.compare('n1', {...own, configurationVersion});
+  return {clock, own, requests, received, compare, answer: () => answer};
 }
 
 function makeRecords(): NodeMessage {
@@ -39,36 +39,36 @@
   return {type: 'records', topic, fromOffset: 0, endOffset: 1, records: []};
 }
 
-// Guards against links that are filled by one configuration, fetched again and again.
-test('a large configuration is fetched once at a time', async () => {
-  const {clock, asked, taken, look, answer} = startCatchUp(3);
+// Guards against links saturated by concurrent fetches of one configuration.
+test('only one fetch of a configuration is in flight', async () => {
+  const {clock, requests, received, compare, answer} = startCatchUp(3);
   Array.from({length: 12}, () => {
-    look(4);
+    compare(4);
     clock.advance(HEARTBEAT_MS);
   });
-  assert.is(asked.length, 1);
+  assert.is(requests.length, 1);
   answer()(makeRecords());
   await settle();
-  assert.is(taken.length, 1);
-  look(4);
-  assert.is(asked.length, 2);
+  assert.is(received.length, 1);
+  compare(4);
+  assert.is(requests.length, 2);
 });
 
-test('a node that reads the change by itself fetches nothing', () => {
-  const {clock, own, asked, look} = startCatchUp(3);
-  look(4);
+test('a node that reads the change from the store fetches nothing', () => {
+  const {clock, own, requests, compare} = startCatchUp(3);
+  compare(4);
   clock.advance(HEARTBEAT_MS);
   own.configurationVersion = 4;
-  look(4);
+  compare(4);
   clock.advance(HEARTBEAT_MS);
-  look(4);
-  assert.equal(asked, []);
+  compare(4);
+  assert.equal(requests, []);
 });
 
 test('a node without a configuration fetches one at once', () => {
-  const {asked, look} = startCatchUp(-1);
-  look(4);
-  assert.is(asked.length, 1);
+  const {requests, compare} = startCatchUp(-1);
+  compare(4);
+  assert.is(requests.length, 1);
 });
 
 test.run();
--- a/packages/node-links/src/record_catch_up.ts
+++ b/packages/node-links/src/record_catch_up.ts
@@ -1,4 +1,4 @@
-/** Fetches from other nodes the records that this one lacks. */
+/** Fetches missing records from other nodes. */
 import {type Clock} from '@mimosatack/clock';
 import {
   type NodeMessage,
@@ -7,7 +7,6 @@
 } from './messages.js';
 import {type NodeStatus} from './node_status.js';
 
-/** What the task is built from. */
 export interface RecordCatchUpOptions {
   clock: Clock;
   request: (
@@ -16,68 +15,65 @@
     timeoutMs: number,
   ) => Promise<NodeMessage>;
   readStatus: () => NodeStatus;
-  /** By then a node that the store answers has read a change by itself. */
+  /** Time within which a node with access to the store reads a change itself. */
   ownReadMs: () => number;
-  /** Whether this node reads the servers from the store itself. */
+  /** Whether this node currently reads the servers from the store. */
   readsServers: () => boolean;
   onRecords: (message: RecordsMessage, from: string) => void;
 }
 
-/** The largest configuration takes as long on a slow link. */
+/** Allows for the largest configuration on a slow link. */
 const FETCH_TIMEOUT_MS = 3_000;
 
 /**
- * Guards against a node that falls behind while the store turns it away:
- * whoever it speaks with has what it lacks.
- *
- * One fetch of a topic goes on at a time. A large configuration fetched anew with
- * each heartbeat, while the last fetch is on its way, fills the links of both nodes
- * and never arrives.
+ * Keeps a node current that cannot read the store. Only one fetch per topic is in
+ * flight: fetching a large configuration again with each heartbeat would saturate
+ * the links of both nodes.
  */
 export class RecordCatchUp {
-  private readonly fetching = new Set<SharedTopic>();
+  private readonly topicsInFlight = new Set<SharedTopic>();
   private behindSinceMs: number | null = null;
 
   constructor(private readonly options: RecordCatchUpOptions) {}
 
-  /** Compares what a node says that it has with what this one has. */
-  look(
+  /** Compares a node's versions with this node's and fetches what is missing. */
+  compare(
     address: string,
-    theirs: Omit<NodeStatus, 'isServing' | 'uptimeMs'>,
+    remote: Omit<NodeStatus, 'isServing' | 'uptimeMs'>,
   ): void {
     const own = this.options.readStatus();
-    if (this.lacksConfiguration(theirs, own)) {
+    if (this.lacksConfiguration(remote, own)) {
       void this.fetch(address, 'configuration');
     }
-    const isBehind = theirs.serversEndOffset > own.serversEndOffset;
+    const isBehind = remote.serversEndOffset > own.serversEndOffset;
     if (isBehind && !this.options.readsServers()) {
       void this.fetch(address, 'servers');
     }
-    if (theirs.nodesEndOffset > own.nodesEndOffset) {
+    if (remote.nodesEndOffset > own.nodesEndOffset) {
       void this.fetch(address, 'nodes');
     }
   }
 
   private lacksConfiguration(
-    theirs: Pick<NodeStatus, 'configurationVersion'>,
+    remote: Pick<NodeStatus, 'configurationVersion'>,
     own: NodeStatus,
   ): boolean {
     const nowMs = this.options.clock.monotonicMs();
-    if (theirs.configurationVersion <= own.configurationVersion) {
+    if (remote.configurationVersion <= own.configurationVersion) {
       this.behindSinceMs = null;
       return false;
     }
     this.behindSinceMs ??= nowMs;
-    // One that knows nothing yet has nothing to serve by.
-    const isNew = own.configurationVersion < 0;
-    return isNew || nowMs - this.behindSinceMs >= this.options.ownReadMs();
+    // A node without any configuration can't serve and fetches at once.
+    const hasNone = own.configurationVersion < 0;
+    return hasNone || nowMs - this.behindSinceMs >= this.options.ownReadMs();
   }
 
   private async fetch(address: string, topic: SharedTopic): Promise<void> {
     const {request, readStatus, onRecords} = this.options;
-    if (this.fetching.has(topic)) return;
-    this.fetching.add(topic);
-    const fromOffset = findOwnEnd(topic, readStatus());
+    if (this.topicsInFlight.has(topic)) return;
+    this.topicsInFlight.add(topic);
+    const fromOffset = findFetchOffset(topic, readStatus());
     try {
       const reply = await request(
         address,
@@ -86,15 +82,15 @@
       );
       if (reply.type === 'records') onRecords(reply, address);
     } catch {
-      // The next heartbeat finds the same gap and asks again.
+      // Retried on the next heartbeat.
     } finally {
-      this.fetching.delete(topic);
+      this.topicsInFlight.delete(topic);
     }
   }
 }
 
-/** The configuration is one record, so that all of it is fetched. */
-function findOwnEnd(topic: SharedTopic, own: NodeStatus): number {
+/** The configuration is a single record and is always fetched as a whole. */
+function findFetchOffset(topic: SharedTopic, own: NodeStatus): number {
   if (topic === 'configuration') return 0;
   return topic === 'servers' ? own.serversEndOffset : own.nodesEndOffset;
 }
--- a/packages/node-links/src/serving_list.ts
+++ b/packages/node-links/src/serving_list.ts
@@ -1,79 +1,78 @@
-/** The list of nodes that callers may be sent to, as the holder tells it. */
+/** The versioned list of nodes that accept requests from callers. */
 import {type Clock} from '@mimosatack/clock';
 
-/** A list and the name of its version. */
-export interface ToldServingList {
+/** The list and its version, as sent in a `welcome`. */
+export interface ServingListUpdate {
   servingListId: string;
-  /** Null for a node that has this version. */
+  /** Null if the receiver already has this version. */
   servingNodes: string[] | null;
 }
 
-/** The list is made anew at most this often, however many heartbeats ask. */
-const REMAKE_MS = 100;
+/** The list is rebuilt at most this often, regardless of the heartbeat rate. */
+const MIN_REFRESH_INTERVAL_MS = 100;
 
 /**
- * Guards against talk that grows with the square of the nodes: told with each
- * answer to a heartbeat, the list of 195 nodes is 3 KB four times a second for
- * each of them. It changes when nodes come and go, and is told then.
+ * The list that the duty holder serves. It is sent only to nodes that lack the
+ * current version: sent with every heartbeat reply, its traffic would grow with
+ * the square of the number of nodes.
  */
 export class ServingList {
   private nodeNames: string[] = [];
   private version = 0;
-  private madeAtMs = -Infinity;
+  private refreshedAtMs = -Infinity;
 
   /**
-   * @param incarnation of this process, so that another holder's version is
-   *     never taken for one of this.
-   * @param list the nodes that serve now.
+   * @param incarnation of this process; makes versions unique across holders.
+   * @param listServing returns the names of the nodes that serve now.
    */
   constructor(
     private readonly clock: Clock,
     private readonly incarnation: string,
-    private readonly list: () => string[],
+    private readonly listServing: () => string[],
   ) {}
 
-  /** The nodes that serve, as of a moment ago. */
+  /** Names of the serving nodes, as of the last refresh. */
   get names(): readonly string[] {
-    this.remake();
+    this.refresh();
     return this.nodeNames;
   }
 
-  /** What to tell a node that has the version `knownId`. */
-  tell(knownId: string | null): ToldServingList {
-    this.remake();
+  /** Returns the update for a node that has the version `knownId`. */
+  describeFor(knownId: string | null): ServingListUpdate {
+    this.refresh();
     const servingListId = `${this.incarnation}.${this.version}`;
     const isKnown = knownId === servingListId;
     return {servingListId, servingNodes: isKnown ? null : this.nodeNames};
   }
 
-  private remake(): void {
+  private refresh(): void {
     const nowMs = this.clock.monotonicMs();
-    if (nowMs - this.madeAtMs < REMAKE_MS) return;
-    this.madeAtMs = nowMs;
-    const nodeNames = this.list().sort();
+    if (nowMs - this.refreshedAtMs < MIN_REFRESH_INTERVAL_MS) return;
+    this.refreshedAtMs = nowMs;
+    const nodeNames = this.listServing().sort();
     if (nodeNames.join() === this.nodeNames.join()) return;
     this.nodeNames = nodeNames;
     this.version += 1;
   }
 }
 
-/** What a node keeps of the lists that holders have told it. */
-export class KnownServingList {
+/** The last list that this node received from a holder. */
+export class ReceivedServingList {
   private servingListId: string | null = null;
   private nodeNames: readonly string[] = [];
 
-  /** The version to name in a heartbeat; null before the first list. */
+  /** Version of the list; null before the first one. */
   get id(): string | null {
     return this.servingListId;
   }
 
-  /** Takes what a holder told; returns the list that holds now. */
-  take(told: {
+  /** Applies an update and returns the current list. */
+  apply(update: {
     servingListId: string | null;
     servingNodes: string[] | null;
   }): readonly string[] {
-    if (told.servingNodes) this.nodeNames = told.servingNodes;
-    this.servingListId = told.servingListId;
+    if (update.servingNodes) this.nodeNames = update.servingNodes;
+    this.servingListId = update.servingListId;
     return this.nodeNames;
   }
 }
--- a/packages/node-links/src/silent_nodes.test.ts
+++ b/packages/node-links/src/silent_nodes.test.ts
@@ -4,7 +4,7 @@
 import {type KnownNode} from './known_node.js';
 import {SilentNodes} from './silent_nodes.js';
 
-const test = suite('nodes that are not heard');
+const test = suite('silent nodes');
 
 function makeNode(nodeName: string): KnownNode {
   return {
@@ -16,34 +16,32 @@
 
 const NODES = ['a', 'b'].map(makeNode);
 
-/** Looks every 250 ms; only the nodes named are heard. */
-function play(forMs: number, heard: readonly string[], clock: ManualClock) {
+/** Updates every 250 ms while only the nodes in `heard` send heartbeats. */
+function runFor(forMs: number, heard: readonly string[], clock: ManualClock) {
   const silent = new SilentNodes(clock);
-  const look = () =>
-    silent.look(NODES, name =>
+  const update = () =>
+    silent.update(NODES, name =>
       heard.includes(name) ? clock.monotonicMs() : -Infinity,
     );
   for (let passed = 0; passed < forMs; passed += 250) {
-    look();
+    update();
     clock.advance(250);
   }
-  const {greet, strike} = look();
+  const {introduce, remove} = update();
   const nameOf = ({nodeName}: KnownNode) => nodeName;
-  return {greet: greet.map(nameOf), strike: strike.map(nameOf)};
+  return {introduce: introduce.map(nameOf), remove: remove.map(nameOf)};
 }
 
-test('a node that misses heartbeats is greeted, and struck off later', () => {
+test('a node that misses heartbeats is introduced, and removed later', () => {
   const clock = new ManualClock();
-  assert.equal(play(1_000, ['a'], clock), {greet: ['b'], strike: []});
-  assert.equal(play(6_500, ['a'], clock), {greet: ['b'], strike: ['b']});
+  assert.equal(runFor(1_000, ['a'], clock), {introduce: ['b'], remove: []});
+  assert.equal(runFor(6_500, ['a'], clock), {introduce: ['b'], remove: ['b']});
 });
 
-/*
- * The duty goes to another node. It has heard nobody yet; telling all nodes at
- * once of all nodes would fill its link at the size of the largest deployments.
- */
-test('a holder that has just begun greets nobody', () => {
-  assert.equal(play(250, [], new ManualClock()), {greet: [], strike: []});
+// Guards against a new holder that has received no heartbeats yet and sends an
+// introduction to every node, which would saturate its link.
+test('a new holder introduces itself to nobody at first', () => {
+  assert.equal(runFor(250, [], new ManualClock()), {introduce: [], remove: []});
 });
 
 test.run();
--- a/packages/node-links/src/silent_nodes.ts
+++ b/packages/node-links/src/silent_nodes.ts
@@ -1,37 +1,33 @@
-/** Registered nodes that the holder of the duty does not hear. */
+/** Tracks registered nodes from which the duty holder receives no heartbeats. */
 import {type Clock} from '@mimosatack/clock';
 import {type KnownNode} from './known_node.js';
 
-/** Two heartbeats that did not come. */
-const SILENT_MS = 500;
-/**
- * A host that stands still comes back within some seconds; one that was silent
- * for longer than this is taken off the list until it registers again.
- */
-const LOST_MS = 6_000;
+/** Two missed heartbeats. */
+const SILENT_AFTER_MS = 500;
+/** Longer than a usual pause of a host; a removed node has to register again. */
+const REMOVE_AFTER_MS = 6_000;
 
-/** What is done about nodes that are silent. */
-export interface SilentNodesPlan {
-  /** They may have started again and know of no holder. */
-  greet: readonly KnownNode[];
-  /** They are not waited for any more. */
-  strike: readonly KnownNode[];
+/** Silent nodes by the action to take. */
+export interface SilentNodeActions {
+  /** Nodes to introduce the holder to, since they may have restarted. */
+  introduce: readonly KnownNode[];
+  /** Nodes to remove from the list of registered nodes. */
+  remove: readonly KnownNode[];
 }
 
-/** Keeps since when which registered node was not heard. */
 export class SilentNodes {
   private readonly sinceMs = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** @param heardAtMs when a node was heard last; minus infinity for never. */
-  look(
+  /** @param heardAtMs time of a node's last heartbeat; -Infinity for never. */
+  update(
     registered: readonly KnownNode[],
     heardAtMs: (nodeName: string) => number,
-  ): SilentNodesPlan {
+  ): SilentNodeActions {
     const nowMs = this.clock.monotonicMs();
     const silent = registered.filter(
-      ({nodeName}) => nowMs - heardAtMs(nodeName) > SILENT_MS,
+      ({nodeName}) => nowMs - heardAtMs(nodeName) > SILENT_AFTER_MS,
     );
     const names = new Set(silent.map(({nodeName}) => nodeName));
     [...this.sinceMs.keys()]
@@ -40,16 +36,19 @@
     names.forEach(nodeName => {
       if (!this.sinceMs.has(nodeName)) this.sinceMs.set(nodeName, nowMs);
     });
-    const isSilentFor = (durationMs: number) =>
+    const listSilentFor = (durationMs: number) =>
       silent.filter(
         ({nodeName}) =>
           nowMs - (this.sinceMs.get(nodeName) ?? nowMs) > durationMs,
       );
-    return {greet: isSilentFor(SILENT_MS), strike: isSilentFor(LOST_MS)};
+    return {
+      introduce: listSilentFor(SILENT_AFTER_MS),
+      remove: listSilentFor(REMOVE_AFTER_MS),
+    };
   }
 
-  /** This node does not hold the duty, and so hears nobody. */
-  forget(): void {
+  /** Resets the state on a node that does not hold the duty. */
+  clear(): void {
     this.sinceMs.clear();
   }
 }
--- a/packages/node-links/src/told_confirmation.ts
+++ b/packages/node-links/src/told_confirmation.ts
@@ -1,66 +1,66 @@
-/** Passes on as of when a configuration was known to be the newest. */
+/** Exchanges between nodes when a configuration was last known to be current. */
 import {type HelloStatus, type Welcome} from './messages.js';
 import {type ConfigurationConfirmation} from './node_links_options.js';
 
-type ToldToHolder = Pick<
+type HelloConfirmation = Pick<
   HelloStatus,
   'configurationVersion' | 'confirmedBeatMs'
 >;
-type ToldByHolder = Pick<
+type WelcomeConfirmation = Pick<
   Welcome,
   'configurationVersion' | 'awakeBeatMs' | 'confirmedAgeMs'
 >;
 
-/** A welcome of the holder, and when it came. */
-interface Beat {
+/** The holder's clock reading in a `welcome`, and when it was received. */
+interface HolderClockSample {
   incarnation: string;
   beatMs: number;
   receivedAtMs: number;
 }
 
 /**
- * Guards against knowledge that seems younger than it is. Messages lie unread
- * while a process is frozen, so that an age counts from a time that its reader
- * has taken itself: a node counts from when it sent the heartbeat that is
- * answered, the holder from a beat of its own that the node has seen.
+ * Keeps a confirmation from appearing newer than it is when a message is read
+ * late, such as after a freeze of the process. Ages are applied to a time that
+ * the reader measured before: a node uses the send time of its heartbeat, the
+ * holder the timestamp of a `welcome` that the node has received.
  */
 export class ToldConfirmation {
-  private beat: Beat | null = null;
+  private holderClock: HolderClockSample | null = null;
 
   constructor(private readonly confirmation: ConfigurationConfirmation) {}
 
-  /** For a heartbeat, on the clock of the holder that it goes to. */
+  /** Time of the last confirmation on the holder's clock; null if unknown. */
   findBeatMs(holderIncarnation: string): number | null {
-    const {beat} = this;
+    const {holderClock} = this;
     const {asOfMs} = this.confirmation;
-    if (beat?.incarnation !== holderIncarnation) return null;
+    if (holderClock?.incarnation !== holderIncarnation) return null;
     if (asOfMs === -Infinity) return null;
-    return beat.beatMs + asOfMs - beat.receivedAtMs;
+    return holderClock.beatMs + asOfMs - holderClock.receivedAtMs;
   }
 
-  /** @param sentAtMs of the heartbeat that is answered. */
+  /** @param sentAtMs send time of the heartbeat that the welcome answers. */
   takeWelcome(
     incarnation: string,
-    {configurationVersion, awakeBeatMs, confirmedAgeMs}: ToldByHolder,
+    {configurationVersion, awakeBeatMs, confirmedAgeMs}: WelcomeConfirmation,
     sentAtMs: number,
   ): void {
     const {confirmation} = this;
     if (awakeBeatMs !== null) {
       const receivedAtMs = confirmation.nowMs;
-      this.beat = {incarnation, beatMs: awakeBeatMs, receivedAtMs};
+      this.holderClock = {incarnation, beatMs: awakeBeatMs, receivedAtMs};
     }
     if (confirmedAgeMs === null) return;
     confirmation.noteConfirmed(configurationVersion, sentAtMs - confirmedAgeMs);
   }
 
-  /** At the holder. */
-  takeHello({configurationVersion, confirmedBeatMs}: ToldToHolder): void {
+  /** Called on the holder for each heartbeat. */
+  takeHello({configurationVersion, confirmedBeatMs}: HelloConfirmation): void {
     if (confirmedBeatMs === null) return;
     const asOfMs = Math.min(confirmedBeatMs, this.confirmation.nowMs);
     this.confirmation.noteConfirmed(configurationVersion, asOfMs);
   }
 
-  /** For the holder's answer. */
+  /** Returns the holder's part of a `welcome`. */
   describe(): Pick<Welcome, 'awakeBeatMs' | 'confirmedAgeMs'> {
     const {nowMs, asOfMs} = this.confirmation;
     const ageMs = nowMs - asOfMs;
