--- a/packages/drain-node/src/drain_gate.ts
+++ b/packages/drain-node/src/drain_gate.ts
@@ -1,44 +1,44 @@
-/** What a server needs to know of a shutdown while it serves. */
+/** The shutdown state that the servers of a node consult for each request. */
 import {setMaxListeners} from 'node:events';
 import {TypedError} from '@mimosatack/errors';
 import {type InFlight} from './in_flight.js';
 import {type ShutdownPhase} from './shutdown_sequence.js';
 
 /**
- * How new work is met. `starting`: not yet. `leaving`: served, and callers
- * are told to ask for another address. `refusing`: refused.
+ * How new work is handled. `starting`: not accepted yet. `leaving`: accepted,
+ * and callers are told to use another address. `refusing`: rejected.
  */
 export type GateState = 'starting' | 'serving' | 'leaving' | 'refusing';
 
 /** Shared by the shutdown and the servers of one node. */
 export class DrainGate {
-  private readonly cutting = new AbortController();
+  private readonly abortController = new AbortController();
   private current: GateState = 'starting';
 
   constructor(readonly inFlight: InFlight) {
-    // Every request in flight listens; none of them is a leak.
-    setMaxListeners(0, this.cutting.signal);
+    // Each request in flight adds a listener; disables the leak warning.
+    setMaxListeners(0, this.abortController.signal);
   }
 
   get state(): GateState {
     return this.current;
   }
 
-  /** Aborted when work in flight is cut off; its reason is a typed error. */
+  /** Aborts when work in flight is cut off; `reason` is a `TypedError`. */
   get cutSignal(): AbortSignal {
-    return this.cutting.signal;
+    return this.abortController.signal;
   }
 
-  /** Follows the shutdown; whatever comes after refusing refuses too. */
+  /** Sets the state for a shutdown phase; later phases keep refusing work. */
   follow(phase: ShutdownPhase): void {
-    const isKnown =
+    const isOpen =
       phase === 'starting' || phase === 'serving' || phase === 'leaving';
-    this.current = isKnown ? phase : 'refusing';
+    this.current = isOpen ? phase : 'refusing';
   }
 
-  /** Ends the work in flight with an error that says where to go on. */
+  /** Aborts the work in flight with an error that tells callers how to resume. */
   cutOff(): void {
-    this.cutting.abort(
+    this.abortController.abort(
       new TypedError('shutting-down', 'The node had to stop at once.', {
         run: 'unknown',
         remedy:
--- a/packages/drain-node/src/in_flight.ts
+++ b/packages/drain-node/src/in_flight.ts
@@ -1,27 +1,27 @@
-/** Counts the work in flight and tells what it is. */
+/** Tracks the work in flight. */
 import {type Clock} from '@mimosatack/clock';
 
 /** One piece of work in flight. */
 export interface WorkInFlight {
-  /** What it is, such as `POST /v1/chat/completions`. */
+  /** Kind of work, such as `POST /v1/chat/completions`. */
   work: string;
-  /** The request it belongs to, as its caller knows it, if known yet. */
+  /** Request id that the caller knows; null until it is assigned. */
   requestId: string | null;
-  /** How long it has run. */
+  /** Time since the work began. */
   ageMs: number;
 }
 
-/** Work that has begun. */
+/** Handle of one piece of work in flight. */
 export interface WorkHandle {
   nameRequest(requestId: string): void;
-  /** Counts once, however often it is called. */
+  /** Marks the work as finished; further calls have no effect. */
   end(): void;
 }
 
 interface Entry {
   work: string;
   requestId: string | null;
-  beganMs: number;
+  startedAtMs: number;
 }
 
 /** The work in flight of one node. */
@@ -39,7 +39,7 @@
     const entry: Entry = {
       work,
       requestId: null,
-      beganMs: this.clock.monotonicMs(),
+      startedAtMs: this.clock.monotonicMs(),
     };
     this.entries.add(entry);
     return {
@@ -60,10 +60,10 @@
   /** The work in flight, oldest first. */
   list(): WorkInFlight[] {
     const nowMs = this.clock.monotonicMs();
-    return [...this.entries].map(({work, requestId, beganMs}) => ({
+    return [...this.entries].map(({work, requestId, startedAtMs}) => ({
       work,
       requestId,
-      ageMs: Math.round(nowMs - beganMs),
+      ageMs: Math.round(nowMs - startedAtMs),
     }));
   }
 
--- a/packages/drain-node/src/shutdown.test.ts
+++ b/packages/drain-node/src/shutdown.test.ts
@@ -12,7 +12,7 @@
 
 const sequences = suite('shutdown sequence');
 
-function playAll(inputs: ShutdownInput[]) {
+function applyAll(inputs: ShutdownInput[]) {
   const sequence = new ShutdownSequence();
   const steps = inputs.flatMap(input => sequence.take(input));
   return {phase: sequence.phase, steps: steps.map(step => step.type)};
@@ -22,7 +22,7 @@
 const STARTED: ShutdownInput = {type: 'started', isJoined: true};
 
 sequences('a planned stop goes through all phases in order', () => {
-  const {phase, steps} = playAll([
+  const {phase, steps} = applyAll([
     STARTED,
     STOP,
     {type: 'callers-told'},
@@ -40,26 +40,26 @@
   ]);
 });
 
-sequences('a moment without work does not end it before callers heard', () => {
-  // A caller would be refused a connection: nothing is in flight when the
-  // stop begins, but callers still hold the address for a few seconds.
-  const {phase} = playAll([STARTED, STOP, {type: 'nothing-in-flight'}]);
+// Guards against refusing callers that still use a cached address because no work
+// was in flight when the stop began.
+sequences('an idle node keeps serving until callers are informed', () => {
+  const {phase} = applyAll([STARTED, STOP, {type: 'nothing-in-flight'}]);
   assert.is(phase, 'leaving');
 });
 
-sequences('a stop while starting waits for the start to end', () => {
-  // The node would hang, or vanish from under peers that it has just joined:
-  // the signal comes before the start has ended.
-  const joined = playAll([STOP, STARTED]);
+// Guards against a node that hangs, or exits without leaving the cluster it just
+// joined, when the signal arrives during startup.
+sequences('a stop during startup waits for startup to finish', () => {
+  const joined = applyAll([STOP, STARTED]);
   assert.equal(joined.steps, ['abort-start', 'announce']);
-  const unknown = playAll([STOP, {type: 'started', isJoined: false}]);
+  const unknown = applyAll([STOP, {type: 'started', isJoined: false}]);
   assert.equal(unknown.steps, ['abort-start', 'close']);
 });
 
-sequences('a cut ends it in any phase, but only once and when stopping', () => {
+sequences('a stopping node can be cut off in any phase, but only once', () => {
   const cut: ShutdownInput = {type: 'cut', reason: 'second-signal'};
-  assert.equal(playAll([STARTED, cut]).steps, []);
-  assert.equal(playAll([STARTED, STOP, cut, cut]).steps, [
+  assert.equal(applyAll([STARTED, cut]).steps, []);
+  assert.equal(applyAll([STARTED, STOP, cut, cut]).steps, [
     'announce',
     'cut-off',
     'exit',
@@ -70,7 +70,7 @@
 
 const tasks = suite('shutdown task');
 
-const TELL_MS = 1_000;
+const TELL_CALLERS_MS = 1_000;
 const GRACE_MS = 10_000;
 
 function createFixture(overrides: {handOver?: () => Promise<void>} = {}) {
@@ -78,46 +78,43 @@
   const logger = new MemoryEventLogger();
   const inFlight = new InFlight(clock);
   const gate = new DrainGate(inFlight);
-  const done: string[] = [];
-  const note = (name: string) => async () => void done.push(name);
+  const performed: string[] = [];
+  const record = (name: string) => async () => void performed.push(name);
   const task = new ShutdownTask({
     ...{clock, logger, gate},
     actions: {
-      abortStart: () => done.push('abort-start'),
-      announce: () => done.push('announce'),
-      handOver: overrides.handOver ?? note('hand-over'),
-      close: note('close'),
+      abortStart: () => performed.push('abort-start'),
+      announce: () => performed.push('announce'),
+      handOver: overrides.handOver ?? record('hand-over'),
+      close: record('close'),
     },
-    tellCallersMs: TELL_MS,
+    tellCallersMs: TELL_CALLERS_MS,
     graceMs: GRACE_MS,
   });
-  return {clock, logger, inFlight, gate, done, task};
+  return {clock, logger, inFlight, gate, performed, task};
 }
 
-tasks(
-  'work that arrives while callers are told is served to its end',
-  async () => {
-    // A caller with a cached address would be cut off: its request arrives
-    // after the signal and is still running when the node would exit.
-    const {clock, logger, inFlight, gate, done, task} = createFixture();
-    task.noteStarted(true);
-    const early = inFlight.begin('early');
-    task.requestStop('SIGTERM');
-    assert.is(gate.state, 'leaving');
-    const late = inFlight.begin('late');
-    early.end();
-    clock.advance(TELL_MS);
-    assert.is(gate.state, 'refusing');
-    await Promise.resolve();
-    assert.equal(done, ['announce']);
-    late.end();
-    assert.is(await task.exited, 0);
-    assert.equal(done, ['announce', 'hand-over', 'close']);
-    assert.is(logger.fieldsOf('shutdown-finished').length, 1);
-  },
-);
-
-tasks('the end of the grace says exactly what is cut off', async () => {
+// Guards against cutting off a caller whose request arrives after the signal, over
+// a cached address, and is still running when the node would exit.
+tasks('work that arrives while callers are informed is completed', async () => {
+  const {clock, logger, inFlight, gate, performed, task} = createFixture();
+  task.noteStarted(true);
+  const early = inFlight.begin('early');
+  task.requestStop('SIGTERM');
+  assert.is(gate.state, 'leaving');
+  const late = inFlight.begin('late');
+  early.end();
+  clock.advance(TELL_CALLERS_MS);
+  assert.is(gate.state, 'refusing');
+  await Promise.resolve();
+  assert.equal(performed, ['announce']);
+  late.end();
+  assert.is(await task.exited, 0);
+  assert.equal(performed, ['announce', 'hand-over', 'close']);
+  assert.is(logger.fieldsOf('shutdown-finished').length, 1);
+});
+
+tasks('the end of the grace period logs the requests cut off', async () => {
   const {clock, logger, inFlight, gate, task} = createFixture();
   task.noteStarted(true);
   inFlight.begin('POST /v1/completions').nameRequest('r1.x');
@@ -134,7 +131,7 @@
   assert.equal(logger.fieldsOf('shutdown-finished'), []);
 });
 
-tasks('a second signal ends it at once', async () => {
+tasks('a second signal cuts the shutdown short', async () => {
   const {logger, inFlight, gate, task} = createFixture();
   task.noteStarted(true);
   const work = inFlight.begin('stream');
@@ -149,15 +146,15 @@
   );
 });
 
-tasks('a step that fails does not keep the node from ending', async () => {
-  // The node would run until the grace is over: the ticket table can't be
-  // handed over since no peer is there.
+// Guards against a node that runs until the grace period ends because the state
+// can't be handed over without a peer.
+tasks('a failed step does not keep the process from exiting', async () => {
   const {clock, logger, task} = createFixture({
     handOver: () => Promise.reject(new Error('no peer')),
   });
   task.noteStarted(true);
   task.requestStop('SIGTERM');
-  clock.advance(TELL_MS);
+  clock.advance(TELL_CALLERS_MS);
   assert.is(await task.exited, 0);
   assert.is(logger.fieldsOf('task-failed').length, 1);
 });
--- a/packages/drain-node/src/shutdown_sequence.ts
+++ b/packages/drain-node/src/shutdown_sequence.ts
@@ -1,14 +1,14 @@
 /**
- * The order of a graceful shutdown, as a state machine: it is told what has
- * happened and says what is to be done next. It knows no time and no socket.
+ * State machine of a graceful shutdown. It maps events to the next steps and
+ * does no I/O and uses no timers itself.
  */
 
 /**
- * `starting`: not known to anyone yet. `leaving`: peers and callers are told,
- * and what still arrives is served. `refusing`: new work is refused, work in
- * flight ends. `handing-over`: nothing is in flight any more; what this node
- * holds goes to others. `closing`: sockets are closed. `ended`: the process
- * may exit.
+ * `starting`: not announced to peers yet. `leaving`: peers and callers are being
+ * informed; new work is still served. `refusing`: new work is rejected, work in
+ * flight continues. `handing-over`: no work is in flight; the state of this node
+ * moves to others. `closing`: sockets are being closed. `ended`: the process may
+ * exit.
  */
 export type ShutdownPhase =
   | 'starting'
@@ -19,29 +19,29 @@
   | 'closing'
   | 'ended';
 
-/** What has happened. */
+/** Events that drive the shutdown. */
 export type ShutdownInput =
-  /** Start has ended; `isJoined` tells whether other nodes know this one. */
+  /** Startup has finished; `isJoined` is true if the node joined the cluster. */
   | {type: 'started'; isJoined: boolean}
   | {type: 'stop-requested'}
-  /** The time is over in which callers may still use a cached address. */
+  /** The time in which callers may use a cached address has elapsed. */
   | {type: 'callers-told'}
   | {type: 'nothing-in-flight'}
   | {type: 'handed-over'}
   | {type: 'closed'}
-  /** A second signal, or the grace is over. */
+  /** A second signal arrived, or the grace period has elapsed. */
   | {type: 'cut'; reason: CutReason};
 
-/** Why a shutdown did not wait any longer. */
+/** Why a shutdown was cut short. */
 export type CutReason = 'second-signal' | 'grace-over';
 
-/** What is to be done. */
+/** Steps that the shutdown task performs. */
 export type ShutdownStep =
-  /** Ends the start as soon as possible. */
+  /** Aborts startup. */
   | {type: 'abort-start'}
-  /** Tells peers and callers; then waits until callers have heard. */
+  /** Informs peers and callers, then waits for `callers-told`. */
   | {type: 'announce'}
-  /** Refuses new work; then waits until nothing is in flight. */
+  /** Rejects new work, then waits for `nothing-in-flight`. */
   | {type: 'refuse-new-work'}
   | {type: 'hand-over'}
   | {type: 'close'}
@@ -51,9 +51,9 @@
 export const EXIT_STOPPED = 0;
 export const EXIT_CUT_OFF = 3;
 
-const NOTHING: readonly ShutdownStep[] = [];
+const NO_STEPS: readonly ShutdownStep[] = [];
 
-/** One shutdown, from start to exit. */
+/** The lifecycle of one process, from startup to exit. */
 export class ShutdownSequence {
   private current: ShutdownPhase = 'starting';
   private isStopRequested = false;
@@ -62,12 +62,12 @@
     return this.current;
   }
 
-  /** Whether a stop was asked for, in whatever phase. */
+  /** Whether a stop was requested, in any phase. */
   get isStopping(): boolean {
     return this.isStopRequested;
   }
 
-  /** Takes what has happened; inputs that come too late change nothing. */
+  /** Applies an event; returns no steps for events that come too late. */
   take(input: ShutdownInput): readonly ShutdownStep[] {
     switch (input.type) {
       case 'started':
@@ -86,14 +86,13 @@
           exitCode: EXIT_STOPPED,
         });
       case 'cut':
-        return this.cut(input.reason);
+        return this.abort(input.reason);
     }
   }
 
   /**
-   * Guards against a stop that comes while the node starts: it may have been
-   * told to its peers half-way. A node that nobody knows closes at once; one
-   * that has joined leaves like any other, since callers may have its address.
+   * Handles a stop requested during startup: a node that has joined leaves in
+   * order, since callers may have its address; any other node closes at once.
    */
   private noteStarted(isJoined: boolean): readonly ShutdownStep[] {
     if (!this.isStopRequested) {
@@ -105,15 +104,15 @@
   }
 
   private requestStop(): readonly ShutdownStep[] {
-    if (this.isStopRequested) return NOTHING;
+    if (this.isStopRequested) return NO_STEPS;
     this.isStopRequested = true;
     return this.current === 'starting'
       ? [{type: 'abort-start'}]
       : this.advance('serving', 'leaving', {type: 'announce'});
   }
 
-  private cut(reason: CutReason): readonly ShutdownStep[] {
-    if (!this.isStopRequested || this.current === 'ended') return NOTHING;
+  private abort(reason: CutReason): readonly ShutdownStep[] {
+    if (!this.isStopRequested || this.current === 'ended') return NO_STEPS;
     const phase = this.current;
     this.current = 'ended';
     return [
@@ -127,8 +126,8 @@
     to: ShutdownPhase,
     step: ShutdownStep | null,
   ): readonly ShutdownStep[] {
-    if (this.current !== from) return NOTHING;
+    if (this.current !== from) return NO_STEPS;
     this.current = to;
-    return step ? [step] : NOTHING;
+    return step ? [step] : NO_STEPS;
   }
 }
--- a/packages/drain-node/src/shutdown_task.ts
+++ b/packages/drain-node/src/shutdown_task.ts
@@ -1,4 +1,4 @@
-/** Drives the shutdown: does what the sequence says and tells it the outcome. */
+/** Performs the steps of the shutdown sequence and reports their completion. */
 import {type Clock, type Timer} from '@mimosatack/clock';
 import {toTypedError} from '@mimosatack/errors';
 import {type EventLogger} from '@mimosatack/logger';
@@ -11,41 +11,40 @@
   type ShutdownStep,
 } from './shutdown_sequence.js';
 
-/** What the node does at each step. */
+/** Callbacks that the node performs at each step. */
 export interface ShutdownActions {
-  /** Ends the start as soon as possible. */
+  /** Aborts startup. */
   abortStart(): void;
-  /** Tells the other nodes that this one leaves. */
+  /** Informs the other nodes that this one leaves. */
   announce(): void;
-  /** Gives to others what this node holds; nothing is in flight any more. */
+  /** Moves the state of this node to others once no work is in flight. */
   handOver(): Promise<void>;
   /** Closes all sockets. */
   close(): Promise<void>;
 }
 
-/** What the task is built from. */
 export interface ShutdownTaskOptions {
   clock: Clock;
   logger: EventLogger;
   gate: DrainGate;
   actions: ShutdownActions;
-  /** How long callers may still come with an address that they have cached. */
+  /** How long callers may keep using a cached address of this node. */
   tellCallersMs: number;
-  /** How long the whole shutdown may take. */
+  /** Time limit for the whole shutdown. */
   graceMs: number;
 }
 
-/** How long callers are given to hear that they were cut off. */
-const CUT_NOTICE_MS = 500;
+/** Time for callers to receive the error after their request was aborted. */
+const ABORT_NOTICE_MS = 500;
 
-/** The task that owns the shutdown of one node. */
+/** Runs the shutdown of one node. */
 export class ShutdownTask {
   private readonly sequence = new ShutdownSequence();
   private readonly timers: Timer[] = [];
   private resolveExit: (exitCode: number) => void = () => undefined;
-  private beganMs = 0;
+  private startedAtMs = 0;
 
-  /** Resolves with the exit code once the process may end. */
+  /** Resolves with the exit code when the process may exit. */
   readonly exited = new Promise<number>(resolve => {
     this.resolveExit = resolve;
   });
@@ -60,70 +59,70 @@
     return this.sequence.isStopping;
   }
 
-  /** The start has ended; `isJoined` tells whether other nodes know it. */
+  /** Startup has finished; `isJoined` is true if the node joined the cluster. */
   noteStarted(isJoined: boolean): void {
     this.take({type: 'started', isJoined});
   }
 
-  /** The first call begins the shutdown, a second one ends it at once. */
+  /** The first call starts the shutdown; a second one cuts it short. */
   requestStop(signal: string): void {
     if (this.isStopping) {
       this.take({type: 'cut', reason: 'second-signal'});
       return;
     }
-    this.begin(signal);
+    this.startShutdown(signal);
     this.take({type: 'stop-requested'});
   }
 
-  private begin(signal: string): void {
+  private startShutdown(signal: string): void {
     const {clock, logger, gate, graceMs} = this.options;
-    this.beganMs = clock.monotonicMs();
+    this.startedAtMs = clock.monotonicMs();
     logger.log('shutdown-started', {
       signal,
       requestsInFlight: gate.inFlight.count,
       graceMs,
     });
-    this.setTimer(graceMs, {type: 'cut', reason: 'grace-over'});
+    this.scheduleInput(graceMs, {type: 'cut', reason: 'grace-over'});
   }
 
   private take(input: ShutdownInput): void {
-    const before = this.phase;
+    const previousPhase = this.phase;
     const steps = this.sequence.take(input);
     this.options.gate.follow(this.phase);
-    if (this.phase !== before && this.isStopping) this.logPhase();
-    void this.performAll(steps);
+    if (this.phase !== previousPhase && this.isStopping) this.logPhase();
+    void this.runSteps(steps);
   }
 
-  private async performAll(steps: readonly ShutdownStep[]): Promise<void> {
-    for (const step of steps) await this.perform(step);
+  private async runSteps(steps: readonly ShutdownStep[]): Promise<void> {
+    for (const step of steps) await this.runStep(step);
   }
 
-  private async perform(step: ShutdownStep): Promise<void> {
+  private async runStep(step: ShutdownStep): Promise<void> {
     const {actions, gate, tellCallersMs} = this.options;
     switch (step.type) {
       case 'abort-start':
         return actions.abortStart();
       case 'announce':
         actions.announce();
-        return this.setTimer(tellCallersMs, {type: 'callers-told'});
+        return this.scheduleInput(tellCallersMs, {type: 'callers-told'});
       case 'refuse-new-work':
         await gate.inFlight.whenZero();
         return this.take({type: 'nothing-in-flight'});
       case 'hand-over':
-        await this.attempt('hand-over', actions.handOver());
+        await this.runOrLog('hand-over', actions.handOver());
         return this.take({type: 'handed-over'});
       case 'close':
-        await this.attempt('close', actions.close());
+        await this.runOrLog('close', actions.close());
         return this.take({type: 'closed'});
       case 'cut-off':
-        return this.cutOff(step.reason, step.phase);
+        return this.abortInFlight(step.reason, step.phase);
       case 'exit':
         return this.exit(step.exitCode);
     }
   }
 
-  /** A step that fails must not keep the node from ending. */
-  private async attempt(task: string, action: Promise<void>): Promise<void> {
+  /** Logs a failed step, which must not keep the process from exiting. */
+  private async runOrLog(task: string, action: Promise<void>): Promise<void> {
     try {
       await action;
     } catch (thrown) {
@@ -135,8 +134,11 @@
     }
   }
 
-  /** Says what is cut off, and tells the callers concerned. */
-  private async cutOff(reason: CutReason, phase: ShutdownPhase): Promise<void> {
+  /** Logs the work in flight, aborts it and allows time for the error replies. */
+  private async abortInFlight(
+    reason: CutReason,
+    phase: ShutdownPhase,
+  ): Promise<void> {
     const {gate, logger, clock, graceMs} = this.options;
     const requests = gate.inFlight.list();
     logger.log('shutdown-cut-off', {
@@ -147,17 +149,17 @@
       graceMs,
     });
     gate.cutOff();
-    const waited = new Promise<void>(resolve =>
-      this.timers.push(clock.setTimer(CUT_NOTICE_MS, resolve)),
+    const noticeElapsed = new Promise<void>(resolve =>
+      this.timers.push(clock.setTimer(ABORT_NOTICE_MS, resolve)),
     );
-    await Promise.race([gate.inFlight.whenZero(), waited]);
+    await Promise.race([gate.inFlight.whenZero(), noticeElapsed]);
   }
 
   private exit(exitCode: number): void {
     const {clock, logger} = this.options;
     this.timers.forEach(timer => timer.cancel());
     if (exitCode === 0) {
-      const durationMs = Math.round(clock.monotonicMs() - this.beganMs);
+      const durationMs = Math.round(clock.monotonicMs() - this.startedAtMs);
       logger.log('shutdown-finished', {durationMs});
     }
     this.resolveExit(exitCode);
@@ -170,7 +172,7 @@
     });
   }
 
-  private setTimer(delayMs: number, input: ShutdownInput): void {
+  private scheduleInput(delayMs: number, input: ShutdownInput): void {
     const timer = this.options.clock.setTimer(delayMs, () => this.take(input));
     this.timers.push(timer);
   }
