--- a/packages/retry-requests/src/decide_retry.test.ts
+++ b/packages/retry-requests/src/decide_retry.test.ts
@@ -13,7 +13,7 @@
   remainingMs: 1_000,
 };
 
-test('retries only what is safe, worth it and in time', () => {
+test('retries only if it is safe, useful and before the deadline', () => {
   const decide = (change: Partial<FailedAttempt>) =>
     decideRetry({...FAILED, ...change}, new RetryBudget(0.1));
   assert.is(decide({}), 'retry');
@@ -24,12 +24,8 @@
   assert.is(decide({remainingMs: 0}), 'deadline');
 });
 
-/*
- * Every backend server fails. Users' requests are each sent again, which
- * would double or treble the load while the servers come back; the budget
- * keeps the retries at a tenth.
- */
-test('keeps retries a small share when everything fails', () => {
+// Guards against retries that multiply the load while all backend servers fail.
+test('limits retries to the budget when all requests fail', () => {
   const budget = new RetryBudget(0.1);
   const decisions = Array.from({length: 1_000}, () => {
     budget.noteRequest();
--- a/packages/retry-requests/src/decide_retry.ts
+++ b/packages/retry-requests/src/decide_retry.ts
@@ -1,15 +1,17 @@
-/** The rules for sending a request again. */
+/** The rules for retrying a failed request. */
 import {type RetryBudget} from './retry_budget.js';
 
-/** What is known of an attempt that failed. */
+/** A failed attempt to serve a request. */
 export interface FailedAttempt {
-  /** How many attempts there were, this one included. */
+  /** Number of attempts so far, including the failed one. */
   attempts: number;
+  /** Whether the request may run more than once. */
   isRepeatable: boolean;
   /** Whether the caller has received any part of the answer. */
   hasAnswerBegun: boolean;
   /** Whether another backend server may succeed where this one failed. */
   isWorthRetrying: boolean;
+  /** Time left until the deadline of the request. */
   remainingMs: number;
 }
 
@@ -23,10 +25,10 @@
   | 'budget-spent';
 
 const MAX_ATTEMPTS = 3;
-/** With less time than this left no answer is to be had. */
+/** With less time left, no retry can be answered before the deadline. */
 const MIN_REMAINING_MS = 5;
 
-/** Decides, and takes the retry out of the budget if it is to be made. */
+/** Decides on a retry and, if it is allowed, charges it to the budget. */
 export function decideRetry(
   failed: FailedAttempt,
   budget: RetryBudget,
--- a/packages/retry-requests/src/retry_budget.ts
+++ b/packages/retry-requests/src/retry_budget.ts
@@ -1,26 +1,26 @@
-/** Retries as a share of the requests. */
+/** Limits retries to a fraction of the requests, as a token bucket does. */
 
-/** Retries that may be saved up, so that a single failure is always retried. */
-const MAX_SAVED_RETRIES = 10;
+/** Retries that may accumulate, so that isolated failures are always retried. */
+const MAX_BALANCE = 10;
 
 /**
- * Guards against retries that multiply the load just when backend servers
- * fail under it: each request earns a part of one retry.
+ * Keeps retries from multiplying the load on backend servers that fail under it.
+ * Each request adds a fraction of a retry to the budget; each retry takes one.
  */
 export class RetryBudget {
-  private saved = MAX_SAVED_RETRIES;
+  private balance = MAX_BALANCE;
 
-  /** @param ratio retries for each request, such as 0.1. */
+  /** @param ratio retries allowed per request, such as 0.1; 0 disables them. */
   constructor(private readonly ratio: number) {}
 
   noteRequest(): void {
-    this.saved = Math.min(MAX_SAVED_RETRIES, this.saved + this.ratio);
+    this.balance = Math.min(MAX_BALANCE, this.balance + this.ratio);
   }
 
-  /** Takes one retry out of the budget if there is one. */
+  /** Takes one retry from the budget; returns false if the budget is spent. */
   trySpend(): boolean {
-    if (this.ratio === 0 || this.saved < 1) return false;
-    this.saved -= 1;
+    if (this.ratio === 0 || this.balance < 1) return false;
+    this.balance -= 1;
     return true;
   }
 }
