--- a/packages/route-requests/src/circuit_table.ts
+++ b/packages/route-requests/src/circuit_table.ts
@@ -1,30 +1,30 @@
-/** Leaves out backend servers that fail or are slow, and tries them again. */
+/** Circuit breakers of backend servers. */
 import {type RandomSource, addJitter} from '@mimosatack/random';
 import {type BackendServerId} from '@mimosatack/types';
 
 /**
- * `open`: nothing is sent. `half-open`: one request at a time is sent as a
- * probe. Servers without trouble are `closed`.
+ * `closed`: requests are sent. `open`: none are sent. `half-open`: one request at
+ * a time is sent as a probe.
  */
 export type CircuitState = 'closed' | 'open' | 'half-open';
 
 interface Circuit {
   failures: number;
   cause: 'failing' | 'slow';
-  /** Null while it has not been opened. */
+  /** Null if the circuit has not opened. */
   openUntilMs: number | null;
-  /** How often it was opened without a good answer in between. */
-  openings: number;
+  /** Number of times the circuit opened since the last success. */
+  openCount: number;
   isProbing: boolean;
 }
 
 const MAX_FAILURES = 3;
 const FIRST_OPEN_MS = 1_000;
 const MAX_OPEN_MS = 30_000;
-/** Nodes probe at different times, so that a probe is no burst. */
-const OPEN_SPREAD = 0.5;
+/** Jitter, so that nodes do not probe a server at the same time. */
+const OPEN_JITTER = 0.5;
 
-/** The circuits of all backend servers that have had trouble. */
+/** Circuits of the backend servers with failures or slow answers. */
 export class CircuitTable {
   private readonly circuits = new Map<BackendServerId, Circuit>();
 
@@ -36,7 +36,7 @@
     return nowMs < openUntilMs ? 'open' : 'half-open';
   }
 
-  /** Whether a request may be sent, as a probe if need be. */
+  /** Whether a request may be sent, possibly as a probe. */
   allows(id: BackendServerId, nowMs: number): boolean {
     const circuit = this.circuits.get(id);
     if (!circuit) return true;
@@ -44,7 +44,7 @@
     return state === 'closed' || (state === 'half-open' && !circuit.isProbing);
   }
 
-  /** A slow server is still better than none; a failing one is not. */
+  /** Whether the server is slow but not failing, and so usable as a last resort. */
   isMerelySlow(id: BackendServerId): boolean {
     return this.circuits.get(id)?.cause === 'slow';
   }
@@ -56,16 +56,16 @@
     }
   }
 
-  /** A good answer closes the circuit; returns whether it was open. */
+  /** Closes the circuit; returns whether it had opened. */
   noteSuccess(id: BackendServerId): boolean {
     const wasOpen = (this.circuits.get(id)?.openUntilMs ?? null) !== null;
     this.circuits.delete(id);
     return wasOpen;
   }
 
-  /** Returns whether the failure opened the circuit. */
+  /** Records a failure; returns whether it opened the circuit. */
   noteFailure(id: BackendServerId, nowMs: number): boolean {
-    const circuit = this.openEntry(id);
+    const circuit = this.getOrCreate(id);
     circuit.failures += 1;
     const isProbe = circuit.openUntilMs !== null;
     const isOpen = isProbe && nowMs < (circuit.openUntilMs ?? 0);
@@ -74,16 +74,16 @@
     return !isProbe;
   }
 
-  /** Opens the circuit of a server that is much slower than its peers. */
+  /** Opens the circuit of a slow server; returns whether it was closed before. */
   noteSlow(id: BackendServerId, nowMs: number): boolean {
-    const circuit = this.openEntry(id);
+    const circuit = this.getOrCreate(id);
     const wasOpen = circuit.openUntilMs !== null;
     if (wasOpen && nowMs < (circuit.openUntilMs ?? 0)) return false;
     this.open(circuit, 'slow', nowMs);
     return !wasOpen;
   }
 
-  /** A probe that ended without telling anything, such as a cancelled one. */
+  /** Ends a probe without a result, such as a cancelled request. */
   noteNeutral(id: BackendServerId): void {
     const circuit = this.circuits.get(id);
     if (circuit) circuit.isProbing = false;
@@ -94,21 +94,24 @@
   }
 
   private open(circuit: Circuit, cause: Circuit['cause'], nowMs: number): void {
-    const baseMs = Math.min(MAX_OPEN_MS, FIRST_OPEN_MS * 2 ** circuit.openings);
+    const baseMs = Math.min(
+      MAX_OPEN_MS,
+      FIRST_OPEN_MS * 2 ** circuit.openCount,
+    );
     circuit.cause = cause;
-    circuit.openUntilMs = nowMs + addJitter(this.random, baseMs, OPEN_SPREAD);
-    circuit.openings += 1;
+    circuit.openUntilMs = nowMs + addJitter(this.random, baseMs, OPEN_JITTER);
+    circuit.openCount += 1;
     circuit.isProbing = false;
   }
 
-  private openEntry(id: BackendServerId): Circuit {
-    const known = this.circuits.get(id);
-    if (known) return known;
+  private getOrCreate(id: BackendServerId): Circuit {
+    const existing = this.circuits.get(id);
+    if (existing) return existing;
     const circuit: Circuit = {
       failures: 0,
       cause: 'failing',
       openUntilMs: null,
-      openings: 0,
+      openCount: 0,
       isProbing: false,
     };
     this.circuits.set(id, circuit);
--- a/packages/route-requests/src/leaving_set.ts
+++ b/packages/route-requests/src/leaving_set.ts
@@ -1,12 +1,12 @@
-/** Backend servers that are leaving, from any source. */
+/** Backend servers that are leaving, from the host list or from hints. */
 import {type BackendServerId} from '@mimosatack/types';
 
-/** A hint that nothing confirms is dropped after this long. */
-const HINT_KEPT_MS = 600_000;
+/** Time after which a hint expires. */
+const HINT_TTL_MS = 600_000;
 
 /**
- * Joins the lagging host list with hints. A hint holds although the list still
- * shows the host as live: the list is late more often than a hint is wrong.
+ * Combines the host list with hints. A hint takes precedence over a list that
+ * shows the server as live, since the list lags behind.
  */
 export class LeavingSet {
   private listed: ReadonlySet<BackendServerId> = new Set();
@@ -16,17 +16,17 @@
     this.listed = new Set(ids);
   }
 
-  /** Returns whether the hint is news. */
+  /** Records a hint; returns whether the server was not known to be leaving. */
   noteHint(id: BackendServerId, nowMs: number): boolean {
-    const isNews = !this.has(id, nowMs);
+    const isNew = !this.has(id, nowMs);
     this.hintedAtMs.set(id, nowMs);
-    return isNews;
+    return isNew;
   }
 
   has(id: BackendServerId, nowMs: number): boolean {
     if (this.listed.has(id)) return true;
     const hintedAtMs = this.hintedAtMs.get(id);
-    return hintedAtMs !== undefined && nowMs - hintedAtMs < HINT_KEPT_MS;
+    return hintedAtMs !== undefined && nowMs - hintedAtMs < HINT_TTL_MS;
   }
 
   forget(id: BackendServerId): void {
--- a/packages/route-requests/src/prefix_hasher.ts
+++ b/packages/route-requests/src/prefix_hasher.ts
@@ -1,18 +1,18 @@
-/** Hashes of the start of a prompt, the same way engines publish them. */
+/** Hashes prompt prefixes in the same way as the engines. */
 import {createHash} from 'node:crypto';
 
-/** Names the blocks at the start of a prompt as the engines do. */
+/** Computes the prefix hashes that engines publish in cache events. */
 export interface PrefixHasher {
-  /** One hash for each whole block; each covers all before it. */
+  /** Returns one hash per complete block; each also covers all blocks before. */
   hash(promptText: string): string[];
 }
 
 const BLOCK_CHARS = 64;
 const DIGEST_CHARS = 16;
-/** Blocks beyond this are not told apart, which bounds the work. */
+/** Later blocks are not hashed, which bounds the work per request. */
 const MAX_BLOCKS = 32;
 
-/** SHA-256 over blocks of 64 characters. */
+/** Hashes blocks of 64 characters with SHA-256. */
 export class Sha256PrefixHasher implements PrefixHasher {
   hash(promptText: string): string[] {
     const whole = Math.floor(promptText.length / BLOCK_CHARS);
--- a/packages/route-requests/src/prefix_table.ts
+++ b/packages/route-requests/src/prefix_table.ts
@@ -1,38 +1,38 @@
-/** Which engine probably holds the start of a prompt in its cache. */
+/** Tracks which engines probably have the start of a prompt cached. */
 import {type BackendServerId} from '@mimosatack/types';
 
-/** One change of an engine's prompt cache, as the engine publishes it. */
+/** A change of an engine's prompt cache, as published by the engine. */
 export interface PrefixCacheEvent {
   op: 'stored' | 'evicted';
   model: string;
   prefixHash: string;
 }
 
-/** The engines that hold the longest known start of a prompt. */
+/** The engines that have the longest known prefix of a prompt cached. */
 export interface PrefixMatch {
   holders: readonly BackendServerId[];
   /** Fraction of the prompt's blocks that they hold. */
   fraction: number;
 }
 
-/** Engines with the time at which each was last known to hold a prefix. */
+/** When each engine was last known to have a prefix cached. */
 type Holders = Map<BackendServerId, number>;
 
-/** The prefixes of one model; the one used last is at the end. */
+/** Prefix hashes of one model, in order of last use. */
 type ModelPrefixes = Map<string, Holders>;
 
 const MAX_PREFIXES = 20_000;
 const MAX_HOLDERS = 4;
-/** How late cache events are at most expected to come. */
+/** Maximum expected delay of cache events. */
 const EVENT_LAG_MS = 1_000;
 
 /**
- * An approximate table of bounded size. A hash covers all blocks before its
- * own, so a lost event leaves a gap that the next longer hash bridges; a lost
- * eviction costs one request the prefix it hoped for and nothing more.
+ * An approximate table of bounded size. A hash covers all blocks before its own,
+ * so a longer hash makes up for a lost event. A lost eviction costs one cache
+ * miss.
  */
 export class PrefixTable {
-  /** The model used last is at the end. */
+  /** In order of last use. */
   private readonly models = new Map<string, ModelPrefixes>();
   private count = 0;
 
@@ -49,11 +49,16 @@
   ): void {
     events.forEach(({op, model, prefixHash}) => {
       if (op === 'evicted') return this.evict(model, prefixHash, id, nowMs);
-      this.store(this.openModel(model), prefixHash, id, nowMs - EVENT_LAG_MS);
+      this.store(
+        this.getOrCreateModel(model),
+        prefixHash,
+        id,
+        nowMs - EVENT_LAG_MS,
+      );
     });
   }
 
-  /** Notes that a prompt was sent; its blocks will be there from now on. */
+  /** Records the prefixes of a prompt that was sent to an engine. */
   noteSent(
     id: BackendServerId,
     model: string,
@@ -61,10 +66,11 @@
     nowMs: number,
   ): void {
     if (hashes.length === 0) return;
-    const prefixes = this.openModel(model);
+    const prefixes = this.getOrCreateModel(model);
     hashes.forEach(hash => this.store(prefixes, hash, id, nowMs));
   }
 
+  /** Finds the longest known prefix; null if none is known. */
   find(model: string, hashes: readonly string[]): PrefixMatch | null {
     const prefixes = this.models.get(model);
     if (!prefixes) return null;
@@ -77,16 +83,16 @@
     };
   }
 
-  /** Forgets an engine that is gone or was started again. */
+  /** Removes an engine that has stopped or restarted. */
   forget(id: BackendServerId): void {
     this.models.forEach((prefixes, model) =>
       prefixes.forEach((_holders, hash) => this.drop(model, hash, id)),
     );
   }
 
-  private openModel(model: string): ModelPrefixes {
-    const known = this.models.get(model);
-    const prefixes = known ?? new Map<string, Holders>();
+  private getOrCreateModel(model: string): ModelPrefixes {
+    const existing = this.models.get(model);
+    const prefixes = existing ?? new Map<string, Holders>();
     this.models.delete(model);
     this.models.set(model, prefixes);
     return prefixes;
@@ -98,22 +104,19 @@
     id: BackendServerId,
     atMs: number,
   ): void {
-    const known = prefixes.get(hash);
-    const holders = known ?? new Map<BackendServerId, number>();
+    const existing = prefixes.get(hash);
+    const holders = existing ?? new Map<BackendServerId, number>();
     const knownAtMs = holders.get(id) ?? -Infinity;
     holders.delete(id);
     holders.set(id, Math.max(knownAtMs, atMs));
     if (holders.size > MAX_HOLDERS) deleteOldest(holders);
     prefixes.delete(hash);
     prefixes.set(hash, holders);
-    if (!known) this.count += 1;
+    if (!existing) this.count += 1;
     if (this.count > this.maxPrefixes) this.dropOldest();
   }
 
-  /**
-   * Guards against a late eviction that undoes what this node has sent since:
-   * an engine looks without the prefix although it has just computed it.
-   */
+  /** Ignores a late eviction of a prefix that this node has sent since then. */
   private evict(
     model: string,
     hash: string,
@@ -121,8 +124,9 @@
     nowMs: number,
   ): void {
     const heldAtMs = this.models.get(model)?.get(hash)?.get(id);
-    const isOld = heldAtMs !== undefined && heldAtMs <= nowMs - EVENT_LAG_MS;
-    if (isOld) this.drop(model, hash, id);
+    const isSettled =
+      heldAtMs !== undefined && heldAtMs <= nowMs - EVENT_LAG_MS;
+    if (isSettled) this.drop(model, hash, id);
   }
 
   private drop(model: string, hash: string, id: BackendServerId): void {
@@ -134,7 +138,7 @@
     if (prefixes.size === 0) this.models.delete(model);
   }
 
-  /** Drops the oldest prefix of the model used longest ago. */
+  /** Drops the oldest prefix of the least recently used model. */
   private dropOldest(): void {
     const [oldest] = this.models;
     if (!oldest) return;
--- a/packages/route-requests/src/route_types.ts
+++ b/packages/route-requests/src/route_types.ts
@@ -1,24 +1,24 @@
-/** What routing is asked and what it answers. */
+/** Input and result of routing. */
 import {type BackendServerId, type FailureDomain} from '@mimosatack/types';
 
-/** What a request needs of a backend server. */
+/** Requirements of a request on its backend server. */
 export interface RouteRequest {
   candidates: readonly BackendServerId[];
-  /** Backend servers that were tried already. */
+  /** Backend servers that have already been tried. */
   excluded: ReadonlySet<BackendServerId>;
-  /** Failure domains to leave out while there is another choice. */
+  /** Failure domains to avoid if servers in others are available. */
   avoidedDomains?: ReadonlySet<FailureDomain>;
   /** The model and the hashes of the prompt's first blocks. */
   prefix?: {model: string; hashes: readonly string[]};
-  /** Whether a server that is full is no choice. */
+  /** Whether to skip servers without free capacity. */
   needsRoom?: boolean;
 }
 
-/** `full`: some would serve it later; `none`: none is there. */
+/** `full`: usable servers have no capacity; `none`: no server is usable. */
 export type RouteDecision =
   {status: 'chosen'; id: BackendServerId} | {status: 'full'} | {status: 'none'};
 
-/** How a request went, as far as it tells something about the server. */
+/** Result of a request, as a signal about the server; `neutral` carries none. */
 export type Outcome =
   | {status: 'answered'; group: string; firstByteMs: number}
   | {status: 'failed'}
--- a/packages/route-requests/src/router.ts
+++ b/packages/route-requests/src/router.ts
@@ -7,7 +7,7 @@
   type LoadReport,
 } from '@mimosatack/types';
 import {CircuitTable} from './circuit_table.js';
-import {LatencyPeers} from './latency_peers.js';
+import {PeerLatencies} from './peer_latencies.js';
 import {LeavingSet} from './leaving_set.js';
 import {type PrefixCacheEvent, PrefixTable} from './prefix_table.js';
 import {
@@ -17,53 +17,51 @@
 } from './route_types.js';
 import {ServerLoad} from './server_load.js';
 
-/** What the router is built from. */
 export interface RouterOptions {
   clock: Clock;
   random: RandomSource;
   ownDomain: FailureDomain;
   findDomain(id: BackendServerId): FailureDomain | undefined;
-  /** How many nodes send to the same backend servers, this one included. */
+  /** Number of nodes that send to the same servers, including this one. */
   countNodes(): number;
-  /** Told when a server is left out, and when it is used again. */
+  /** Called when the circuit of a server opens or closes. */
   onCircuit?(id: BackendServerId, state: 'open' | 'closed'): void;
 }
 
-/** How much load a wholly cached prompt outweighs, in units of capacity. */
+/** Load that a fully cached prompt outweighs, in units of capacity. */
 const PREFIX_WEIGHT = 0.3;
 
-/** Up to this many candidates are all looked at. */
-const MAX_SCANNED = 16;
-/** Of more candidates, this many are drawn. */
-const DRAWN = 4;
-/** With fewer that fit among those drawn, others are drawn. */
-const MIN_FITTING = 2;
-/** After this many draws all candidates are looked at. */
-const ROUNDS = 3;
+/** Up to this number of candidates, all are compared instead of a sample. */
+const MAX_FULL_SCAN = 16;
+const SAMPLE_SIZE = 4;
+/** A sample with fewer eligible candidates is drawn again. */
+const MIN_ELIGIBLE = 2;
+/** After this number of samples, all candidates are compared. */
+const MAX_SAMPLE_ROUNDS = 3;
 
-/** A request with the time of its decision. */
-interface DatedRequest extends RouteRequest {
+/** A request with the time of the routing decision. */
+interface TimedRequest extends RouteRequest {
   nowMs: number;
 }
 
-/** Routes by corrected load, cached prefixes, circuits and leaving hosts. */
+/** Routes by estimated load, cached prefixes, circuits and leaving servers. */
 export class Router {
   readonly prefixes = new PrefixTable();
   private readonly loads = new Map<BackendServerId, ServerLoad>();
   private readonly leaving = new LeavingSet();
   private readonly circuits: CircuitTable;
-  private readonly latencies = new LatencyPeers();
+  private readonly latencies = new PeerLatencies();
 
   constructor(private readonly options: RouterOptions) {
     this.circuits = new CircuitTable(options.random);
   }
 
-  /** The backend servers that the host list shows as leaving. */
+  /** Sets the backend servers that the host list shows as leaving. */
   setDraining(ids: readonly BackendServerId[]): void {
     this.leaving.setListed(ids);
   }
 
-  /** Takes a hint from any side that a backend server is leaving. */
+  /** Records a hint from any source; returns whether it was new. */
   noteLeaving(id: BackendServerId): boolean {
     return this.leaving.noteHint(id, this.nowMs());
   }
@@ -72,12 +70,12 @@
     return this.leaving.has(id, this.nowMs());
   }
 
-  /** Takes a load report that has just come in. */
+  /** Applies a load report that has just been received. */
   noteReport(id: BackendServerId, load: LoadReport): void {
-    this.openLoad(id).noteReport(load, {
+    this.getOrCreateLoad(id).noteReport(load, {
       nowMs: this.nowMs(),
       nodeCount: this.options.countNodes(),
-      chance: this.options.random.nextFraction(),
+      roundingFraction: this.options.random.nextFraction(),
     });
   }
 
@@ -88,7 +86,7 @@
     this.prefixes.noteEvents(id, events, this.nowMs());
   }
 
-  /** Forgets a backend server that is gone. */
+  /** Drops all state of a backend server that no longer exists. */
   forget(id: BackendServerId): void {
     this.loads.delete(id);
     this.circuits.forget(id);
@@ -97,21 +95,21 @@
     this.prefixes.forget(id);
   }
 
-  /** The chosen server, or null when there is none. */
+  /** Returns the chosen server, or null if there is none. */
   choose(request: RouteRequest): BackendServerId | null {
     const decision = this.route(request);
     return decision.status === 'chosen' ? decision.id : null;
   }
 
   /**
-   * Looks at all of a few candidates, or at some of many drawn at random, and
-   * at one that has the prompt's start cached, and takes the one with the
-   * least cost. The cost rests on what this node knows exactly, its own
-   * requests; see `ServerLoad` for why late reports count for little.
+   * Chooses the server with the lowest cost among all candidates, or a random
+   * sample of many, and one server that has the start of the prompt cached. The
+   * cost is described in `ServerLoad`.
    */
-  route(asked: RouteRequest): RouteDecision {
-    const {candidates, excluded, avoidedDomains, prefix, needsRoom} = asked;
-    const request: DatedRequest = {
+  route(routeRequest: RouteRequest): RouteDecision {
+    const {candidates, excluded, avoidedDomains, prefix, needsRoom} =
+      routeRequest;
+    const request: TimedRequest = {
       candidates,
       excluded,
       avoidedDomains,
@@ -123,15 +121,15 @@
     if (sample) return {status: 'chosen', id: this.pick(sample, request)};
     const usable = this.listUsable(request);
     if (usable.length === 0) return {status: 'none'};
-    const roomy = usable.filter(id => this.hasRoom(id, request));
-    if (roomy.length === 0) return {status: 'full'};
-    const drawn = this.rotate(this.avoidDomains(roomy, request));
-    return {status: 'chosen', id: this.pick(drawn, request)};
+    const withCapacity = usable.filter(id => this.hasCapacity(id, request));
+    if (withCapacity.length === 0) return {status: 'full'};
+    const sampled = this.rotate(this.avoidDomains(withCapacity, request));
+    return {status: 'chosen', id: this.pick(sampled, request)};
   }
 
   noteSent(id: BackendServerId, prefix?: RouteRequest['prefix']): void {
     const nowMs = this.nowMs();
-    this.openLoad(id).noteSent(nowMs);
+    this.getOrCreateLoad(id).noteSent(nowMs);
     this.circuits.noteSent(id, nowMs);
     if (prefix) {
       this.prefixes.noteSent(id, prefix.model, prefix.hashes, nowMs);
@@ -143,105 +141,107 @@
     this.noteOutcome(id, outcome);
   }
 
-  /** Notes how a request goes before it is done, such as a late first byte. */
+  /** Records an outcome before the request is done, such as a late first byte. */
   noteOutcome(id: BackendServerId, outcome: Outcome): void {
     const nowMs = this.nowMs();
     if (outcome.status === 'neutral') return this.circuits.noteNeutral(id);
     if (outcome.status === 'failed') {
-      if (this.circuits.noteFailure(id, nowMs)) this.tellOpened(id);
+      if (this.circuits.noteFailure(id, nowMs)) this.handleOpened(id);
       return;
     }
     const {group, firstByteMs} = outcome;
     const state = this.circuits.findState(id, nowMs);
-    // Sent before the circuit opened; its answer says nothing new.
+    // The request was sent before the circuit opened; its answer adds nothing.
     if (state === 'open') return;
     const isSlow =
       state === 'half-open'
-        ? firstByteMs > this.latencies.slowLimitMs(group, id)
-        : this.latencies.note(group, id, firstByteMs);
+        ? firstByteMs > this.latencies.findSlowLimitMs(group, id)
+        : this.latencies.record(group, id, firstByteMs);
     if (isSlow) {
-      if (this.circuits.noteSlow(id, nowMs)) this.tellOpened(id);
+      if (this.circuits.noteSlow(id, nowMs)) this.handleOpened(id);
     } else if (this.circuits.noteSuccess(id)) {
       this.options.onCircuit?.(id, 'closed');
     }
   }
 
-  /** When the first byte of an answer counts as late for its peers. */
+  /** Time to first byte above which a server counts as slow in its group, in ms. */
   findSlowLimitMs(group: string, id: BackendServerId): number {
-    return this.latencies.slowLimitMs(group, id);
+    return this.latencies.findSlowLimitMs(group, id);
   }
 
-  private tellOpened(id: BackendServerId): void {
-    // Judged anew by its probes, not by the samples that opened the circuit.
+  private handleOpened(id: BackendServerId): void {
+    // Probes must not be judged by the samples that opened the circuit.
     this.latencies.forget(id);
     this.options.onCircuit?.(id, 'open');
   }
 
   /**
-   * Some of many candidates, without a look at all of them. Null when there
-   * are few, or when too few of those drawn were a choice.
+   * Returns a random sample of eligible candidates. Null if there are few
+   * candidates, if failure domains are avoided, or if too few are eligible.
    */
-  private sample(request: DatedRequest): BackendServerId[] | null {
+  private sample(request: TimedRequest): BackendServerId[] | null {
     const {candidates, avoidedDomains} = request;
-    const isSmall = candidates.length <= MAX_SCANNED;
+    const isSmall = candidates.length <= MAX_FULL_SCAN;
     if (isSmall || (avoidedDomains && avoidedDomains.size > 0)) return null;
-    for (let round = 0; round < ROUNDS; round += 1) {
-      const fitting = this.draw(candidates).filter(id =>
-        this.isFitting(id, request),
+    for (let round = 0; round < MAX_SAMPLE_ROUNDS; round += 1) {
+      const eligible = this.drawCandidates(candidates).filter(id =>
+        this.isEligible(id, request),
       );
-      if (fitting.length >= MIN_FITTING) return fitting;
+      if (eligible.length >= MIN_ELIGIBLE) return eligible;
     }
     return null;
   }
 
-  private draw(candidates: readonly BackendServerId[]): BackendServerId[] {
+  private drawCandidates(
+    candidates: readonly BackendServerId[],
+  ): BackendServerId[] {
     const {random} = this.options;
     return Array.from(
-      {length: DRAWN},
+      {length: SAMPLE_SIZE},
       () =>
         candidates[random.nextInt(0, candidates.length - 1)] as BackendServerId,
     );
   }
 
-  private isFitting(id: BackendServerId, request: DatedRequest): boolean {
+  private isEligible(id: BackendServerId, request: TimedRequest): boolean {
     return (
-      this.isPresent(id, request) &&
+      this.isAvailable(id, request) &&
       this.circuits.allows(id, request.nowMs) &&
-      this.hasRoom(id, request)
+      this.hasCapacity(id, request)
     );
   }
 
-  private isPresent(id: BackendServerId, request: DatedRequest): boolean {
+  private isAvailable(id: BackendServerId, request: TimedRequest): boolean {
     return !request.excluded.has(id) && !this.leaving.has(id, request.nowMs);
   }
 
-  private listUsable(request: DatedRequest): BackendServerId[] {
+  private listUsable(request: TimedRequest): BackendServerId[] {
     const {nowMs} = request;
-    const present = request.candidates.filter(id =>
-      this.isPresent(id, request),
+    const available = request.candidates.filter(id =>
+      this.isAvailable(id, request),
     );
-    const allowed = present.filter(id => this.circuits.allows(id, nowMs));
+    const allowed = available.filter(id => this.circuits.allows(id, nowMs));
     return allowed.length > 0
       ? allowed
-      : present.filter(id => this.circuits.isMerelySlow(id));
+      : available.filter(id => this.circuits.isMerelySlow(id));
   }
 
   private avoidDomains(
     ids: BackendServerId[],
-    {avoidedDomains}: DatedRequest,
+    {avoidedDomains}: TimedRequest,
   ): BackendServerId[] {
     if (!avoidedDomains || avoidedDomains.size === 0) return ids;
-    const elsewhere = ids.filter(id => {
+    const inOtherDomains = ids.filter(id => {
       const domain = this.options.findDomain(id);
       return domain === undefined || !avoidedDomains.has(domain);
     });
-    return elsewhere.length > 0 ? elsewhere : ids;
+    return inOtherDomains.length > 0 ? inOtherDomains : ids;
   }
 
-  /** The least loaded of those drawn and of one that holds the prefix. */
+  /** Chooses the server of lowest cost from the sample and one prefix holder. */
   private pick(
-    drawn: readonly BackendServerId[],
-    request: DatedRequest,
+    sampled: readonly BackendServerId[],
+    request: TimedRequest,
   ): BackendServerId {
     const {prefix, candidates, nowMs} = request;
     const match = prefix && this.prefixes.find(prefix.model, prefix.hashes);
@@ -249,22 +249,26 @@
     const holder = pickOne(
       this.options.random,
       holders.filter(
-        id => candidates.includes(id) && this.isFitting(id, request),
+        id => candidates.includes(id) && this.isEligible(id, request),
       ),
     );
     const costOf = (id: BackendServerId) =>
       (this.loads.get(id)?.cost(nowMs) ?? 0) -
       (match && holders.includes(id) ? match.fraction * PREFIX_WEIGHT : 0);
-    const choices = holder === undefined ? drawn : [...drawn, holder];
+    const choices = holder === undefined ? sampled : [...sampled, holder];
     return choices.reduce((best, id) => {
       const difference = costOf(id) - costOf(best);
       const isBetter =
-        difference < 0 || (difference === 0 && this.isNearer(id, best));
+        difference < 0 ||
+        (difference === 0 && this.isPreferredByDomain(id, best));
       return isBetter ? id : best;
     });
   }
 
-  private isNearer(id: BackendServerId, other: BackendServerId): boolean {
+  private isPreferredByDomain(
+    id: BackendServerId,
+    other: BackendServerId,
+  ): boolean {
     const {options} = this;
     return (
       options.findDomain(id) === options.ownDomain &&
@@ -272,20 +276,20 @@
     );
   }
 
-  /** Begins at a random place, so that equals are taken in turn. */
+  /** Rotates by a random offset, so that servers of equal cost share the load. */
   private rotate(ids: readonly BackendServerId[]): BackendServerId[] {
     const start = this.options.random.nextInt(0, ids.length - 1);
     return [...ids.slice(start), ...ids.slice(0, start)];
   }
 
-  private hasRoom(id: BackendServerId, {needsRoom}: DatedRequest): boolean {
+  private hasCapacity(id: BackendServerId, {needsRoom}: TimedRequest): boolean {
     const load = needsRoom ? this.loads.get(id) : undefined;
-    return load?.hasRoom ?? true;
+    return load?.hasCapacity ?? true;
   }
 
-  private openLoad(id: BackendServerId): ServerLoad {
-    const known = this.loads.get(id);
-    if (known) return known;
+  private getOrCreateLoad(id: BackendServerId): ServerLoad {
+    const existing = this.loads.get(id);
+    if (existing) return existing;
     const load = new ServerLoad();
     this.loads.set(id, load);
     return load;
