--- a/packages/serve-requests/src/access_check.ts
+++ b/packages/serve-requests/src/access_check.ts
@@ -1,21 +1,21 @@
-/** Who may send a request, and in the name of which team. */
+/** Checks who may send a request, and for which team. */
 import {type TypedError} from '@mimosatack/errors';
 import {type ServiceRoute, type TeamSpec} from '@mimosatack/types';
 import {type CallerRequest} from './caller_request.js';
 
-/** What is looked at. */
+/** The part of a request that the check depends on. */
 export type AccessRequest = Pick<CallerRequest, 'requestId' | 'keyHashes'>;
 
-/** The team that sends it; null where the route needs none. */
+/** The team of the request; null where the route requires none. */
 export interface GrantedAccess {
   team: TeamSpec | null;
 }
 
-/** Knows the keys that are in force. */
+/** Checks requests against the configured keys. */
 export interface AccessCheck {
-  /** Whether the configuration is known to be the newest, as far as need be. */
+  /** Whether the configuration is confirmed as recent enough. */
   readonly isConfirmed: boolean;
-  /** To be asked right before each send: keys are taken away at any time. */
+  /** Must be called right before each send, since keys can be revoked. */
   check(
     request: AccessRequest,
     route: ServiceRoute,
--- a/packages/serve-requests/src/answer_relay.ts
+++ b/packages/serve-requests/src/answer_relay.ts
@@ -1,59 +1,58 @@
-/** Hands the answer of a backend server on to the caller. */
+/** Relays the response of a backend server to the caller. */
 import {TypedError} from '@mimosatack/errors';
 import {type AnswerConsumer} from './attempt.js';
 import {type AnswerFacts} from './backend_dialect.js';
 import {type AnswerSink} from './caller_request.js';
 import {EventBoundary} from './event_boundary.js';
 
-/** What a relay is made from. */
 export interface AnswerRelayOptions {
   sink: AnswerSink;
   isStream: boolean;
-  /** The last event that the caller had before this request. */
+  /** The last event that the caller received before this request. */
   lastEventId: number | null;
-  /** Reads on after the answer was paused. */
+  /** Continues reading after the response was paused. */
   resume: () => void;
-  /** Whether a failure may be tried elsewhere instead of being handed on. */
-  mayDiscard: () => boolean;
-  /** Told of every piece that comes. */
+  /** Spends a retry on a server error; false if the error must be relayed. */
+  spendRetry: () => boolean;
+  /** Called for each chunk. */
   onProgress: () => void;
 }
 
 /**
- * Answers in one piece are held until they are whole, up to this size, so that
- * one that breaks off can be replaced by another or by an honest failure.
+ * A response that is not a stream is buffered up to this size, so that an
+ * incomplete one can be replaced by a retry or an error.
  */
-const MAX_HELD_BYTES = 65_536;
+const MAX_BUFFERED_BYTES = 65_536;
 const STATUS_SUCCESS_MAX = 299;
-const STATUS_FAULT_MIN = 500;
+const STATUS_SERVER_ERROR_MIN = 500;
 
-/** The answer of one request, over all its attempts. */
+/** Relays one response over all attempts of a request. */
 export class AnswerRelay implements AnswerConsumer {
   private head: AnswerFacts | null = null;
-  private held: Uint8Array[] = [];
-  private heldBytes = 0;
+  private buffered: Uint8Array[] = [];
+  private bufferedBytes = 0;
   private boundary: EventBoundary;
 
   constructor(private readonly options: AnswerRelayOptions) {
     this.boundary = new EventBoundary(options.lastEventId);
   }
 
-  /** The last event that the caller was given. */
+  /** The last event that the caller received. */
   get lastEventId(): number | null {
     return this.boundary.lastEventId;
   }
 
-  /** Whether another attempt can go on where this one broke. */
-  get canGoOn(): boolean {
+  /** Whether another attempt can continue the response. */
+  get canResume(): boolean {
     return !this.options.sink.hasBegun || this.options.isStream;
   }
 
   onHead(facts: AnswerFacts): 'take' | 'discard' {
     this.boundary = new EventBoundary(this.boundary.lastEventId);
-    this.held = [];
-    this.heldBytes = 0;
-    const isFault = facts.status >= STATUS_FAULT_MIN;
-    if (isFault && this.options.mayDiscard()) return 'discard';
+    this.buffered = [];
+    this.bufferedBytes = 0;
+    const isServerError = facts.status >= STATUS_SERVER_ERROR_MIN;
+    if (isServerError && this.options.spendRetry()) return 'discard';
     if (this.options.sink.hasBegun && facts.status > STATUS_SUCCESS_MAX) {
       return 'discard';
     }
@@ -61,22 +60,24 @@
     return 'take';
   }
 
-  onData(piece: Uint8Array): boolean {
+  onData(chunk: Uint8Array): boolean {
     this.options.onProgress();
-    if (this.isEventStream) return this.passEvents(piece);
-    if (this.options.sink.hasBegun) return this.write(piece);
-    this.held.push(piece);
-    this.heldBytes += piece.length;
-    return this.heldBytes <= MAX_HELD_BYTES || this.release();
+    if (this.isEventStream) return this.writeEvents(chunk);
+    if (this.options.sink.hasBegun) return this.write(chunk);
+    this.buffered.push(chunk);
+    this.bufferedBytes += chunk.length;
+    return this.bufferedBytes <= MAX_BUFFERED_BYTES || this.flush();
   }
 
   onEnd(): TypedError | null {
     if (this.isEventStream && this.boundary.hasPartialEvent) {
-      return new TypedError('backend-failed', 'The stream broke off.', {
-        run: 'unknown',
-      });
+      return new TypedError(
+        'backend-failed',
+        'The stream ended inside an event.',
+        {run: 'unknown'},
+      );
     }
-    this.release();
+    this.flush();
     this.options.sink.end();
     return null;
   }
@@ -89,22 +90,22 @@
     );
   }
 
-  private passEvents(piece: Uint8Array): boolean {
-    const whole = this.boundary.push(piece);
-    return whole.length === 0 || this.write(whole);
+  private writeEvents(chunk: Uint8Array): boolean {
+    const completeEvents = this.boundary.push(chunk);
+    return completeEvents.length === 0 || this.write(completeEvents);
   }
 
-  private release(): boolean {
-    const {held} = this;
-    this.held = [];
+  private flush(): boolean {
+    const {buffered} = this;
+    this.buffered = [];
     this.begin();
-    return held.map(piece => this.write(piece)).every(Boolean);
+    return buffered.map(chunk => this.write(chunk)).every(Boolean);
   }
 
-  private write(piece: Uint8Array): boolean {
+  private write(chunk: Uint8Array): boolean {
     const {sink, resume} = this.options;
     this.begin();
-    if (sink.write(piece)) return true;
+    if (sink.write(chunk)) return true;
     sink.onDrain(resume);
     return false;
   }
--- a/packages/serve-requests/src/attempt.ts
+++ b/packages/serve-requests/src/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt: a request sent to one backend server, and its answer. */
+/** Sends a request to one backend server and reads the response. */
 import {
   type AnswerHead,
   type AnswerReceiver,
@@ -16,26 +16,25 @@
 import {type CallerRequest} from './caller_request.js';
 import {type AttemptResult} from './server_chooser.js';
 
-/** Why a server has not run a request. */
 export type NotRunReason = 'unreachable' | 'not-held' | 'not-taken';
 
-/** How an attempt ended. */
 export type AttemptOutcome =
-  /** The answer is whole and was handed over. */
+  /** The consumer received the complete response. */
   | {status: 'answered'; isSuccess: boolean}
-  /** The server has not run the request and won't. */
+  /** The server has not run the request and will not run it. */
   | {status: 'not-run'; error: TypedError; reason: NotRunReason}
-  /** The server answered with a failure that was not handed over. */
+  /** The consumer discarded an error response of the server. */
   | {status: 'refusing'; error: TypedError}
   /**
-   * The request may have run; what was handed over so far stays. `isCut`: the
-   * connection ended before the answer, as it does when the server ends.
+   * The request may have run, and the consumer may have a part of the response.
+   * `isConnectionLost`: the connection closed before the response was complete,
+   * as in a server crash.
    */
-  | {status: 'broken'; error: TypedError; isCut: boolean}
-  /** Ended from this side. */
+  | {status: 'broken'; error: TypedError; isConnectionLost: boolean}
+  /** Aborted by this node. */
   | {status: 'aborted'};
 
-/** What an outcome tells of the server. */
+/** What an outcome means for the choice of servers. */
 export function toAttemptResult(outcome: AttemptOutcome): AttemptResult {
   switch (outcome.status) {
     case 'answered':
@@ -49,17 +48,16 @@
   }
 }
 
-/** Takes the answer of an attempt as it comes. */
+/** Receives the response of an attempt in chunks. */
 export interface AnswerConsumer {
-  /** Whether the answer is wanted; a failure may be sent elsewhere instead. */
+  /** `discard` drops an error response, so that the request can be retried. */
   onHead(facts: AnswerFacts): 'take' | 'discard';
-  /** False pauses the answer until `Attempt.resume`. */
-  onData(piece: Uint8Array): boolean;
-  /** The framing says that the answer is whole; an error says that it isn't. */
+  /** False pauses the response until `Attempt.resume`. */
+  onData(chunk: Uint8Array): boolean;
+  /** Called after the last byte; returns an error for incomplete content. */
   onEnd(): TypedError | null;
 }
 
-/** What an attempt is made from. */
 export interface AttemptOptions {
   connections: BackendConnections;
   dialect: BackendDialect;
@@ -76,14 +74,12 @@
 const STATUS_OK_MIN = 200;
 const STATUS_OK_MAX = 299;
 
-/** Sends a request once. */
 export class Attempt implements AnswerReceiver {
   readonly outcome: Promise<AttemptOutcome>;
-  /** Whether the head of an answer came from the server. */
   hasHead = false;
   private resolve!: (outcome: AttemptOutcome) => void;
   private handle: CallHandle | null = null;
-  private isOver = false;
+  private isFinished = false;
   private isSuccess = false;
 
   constructor(private readonly options: AttemptOptions) {
@@ -105,28 +101,28 @@
       this,
     );
     this.handle = handle;
-    if (this.isOver) handle.abort();
+    if (this.isFinished) handle.abort();
   }
 
-  /** Reads on after the consumer has paused the answer. */
+  /** Continues reading after the consumer has paused the response. */
   resume(): void {
     this.handle?.resume();
   }
 
-  /** Ends the attempt as one that failed, so that another can go on. */
-  giveUpOn(error: TypedError): void {
-    this.finish({status: 'broken', error, isCut: false});
+  /** Ends the attempt as failed, so that another server can take over. */
+  fail(error: TypedError): void {
+    this.finish({status: 'broken', error, isConnectionLost: false});
     this.handle?.abort();
   }
 
-  /** Ends the attempt; the server sees its connection close. */
+  /** Ends the attempt and closes its connection. */
   abort(): void {
     this.finish({status: 'aborted'});
     this.handle?.abort();
   }
 
   onHead(head: AnswerHead): void {
-    if (this.isOver) return;
+    if (this.isFinished) return;
     this.hasHead = true;
     const {dialect, request, consumer, onLoad, onStatus} = this.options;
     const facts = dialect.readHead(head, request);
@@ -134,33 +130,40 @@
     this.isSuccess = isSuccess(facts.status);
     if (facts.load) onLoad(facts.load);
     if (facts.isNotRun) {
-      this.giveUp({
+      this.finishAtHead({
         status: 'not-run',
-        error: makeNotRun(facts),
+        error: makeNotRunError(facts),
         reason: facts.isMisdirected ? 'not-held' : 'not-taken',
       });
       return;
     }
     if (this.isSuccess && !facts.isGenuine) {
-      this.giveUp({status: 'broken', error: makeForeignAnswer(), isCut: false});
+      this.finishAtHead({
+        status: 'broken',
+        error: makeMismatchError(),
+        isConnectionLost: false,
+      });
       return;
     }
     if (consumer.onHead(facts) === 'discard') {
-      this.giveUp({status: 'refusing', error: makeRefusing(facts)});
+      this.finishAtHead({
+        status: 'refusing',
+        error: makeServerFailureError(facts),
+      });
     }
   }
 
-  onData(piece: Uint8Array): boolean {
-    if (this.isOver) return true;
-    return this.options.consumer.onData(piece);
+  onData(chunk: Uint8Array): boolean {
+    if (this.isFinished) return true;
+    return this.options.consumer.onData(chunk);
   }
 
   onEnd(): void {
-    if (this.isOver) return;
+    if (this.isFinished) return;
     const error = this.options.consumer.onEnd();
     this.finish(
       error
-        ? {status: 'broken', error, isCut: true}
+        ? {status: 'broken', error, isConnectionLost: true}
         : {status: 'answered', isSuccess: this.isSuccess},
     );
   }
@@ -169,22 +172,26 @@
     if (error.run === 'not-run' && !this.hasHead) {
       this.finish({status: 'not-run', error, reason: 'unreachable'});
     } else {
-      this.finish({status: 'broken', error, isCut: !isGarbled(error)});
+      this.finish({
+        status: 'broken',
+        error,
+        isConnectionLost: !isParseError(error),
+      });
     }
   }
 
   /**
-   * A short answer that is not wanted is read to its end, which keeps the
-   * connection; see `AnswerReceiver`. Its bytes are dropped.
+   * Keeps the connection unless the attempt is broken: a short unwanted
+   * response is read to its end and dropped, see `AnswerReceiver`.
    */
-  private giveUp(outcome: AttemptOutcome): void {
+  private finishAtHead(outcome: AttemptOutcome): void {
     this.finish(outcome);
     if (outcome.status === 'broken') this.handle?.abort();
   }
 
   private finish(outcome: AttemptOutcome): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.isFinished) return;
+    this.isFinished = true;
     this.resolve(outcome);
   }
 }
@@ -193,12 +200,12 @@
   return status >= STATUS_OK_MIN && status <= STATUS_OK_MAX;
 }
 
-/** Bytes that are no answer come from a server that lives. */
-function isGarbled({details}: TypedError): boolean {
+/** An unparsable response is no sign of a crash: the server is running. */
+function isParseError({details}: TypedError): boolean {
   return details.cause?.name === 'HTTPParserError';
 }
 
-function makeNotRun(facts: AnswerFacts): TypedError {
+function makeNotRunError(facts: AnswerFacts): TypedError {
   return new TypedError(
     'overloaded',
     `The backend server answered ${facts.status} and did not run the request.`,
@@ -206,7 +213,7 @@
   );
 }
 
-function makeRefusing(facts: AnswerFacts): TypedError {
+function makeServerFailureError(facts: AnswerFacts): TypedError {
   return new TypedError(
     'backend-failed',
     `The backend server answered ${facts.status}.`,
@@ -214,10 +221,10 @@
   );
 }
 
-function makeForeignAnswer(): TypedError {
+function makeMismatchError(): TypedError {
   return new TypedError(
     'backend-failed',
-    'An answer came that is not to this request.',
+    'The response does not belong to this request.',
     {run: 'unknown'},
   );
 }
--- a/packages/serve-requests/src/backend_dialect.ts
+++ b/packages/serve-requests/src/backend_dialect.ts
@@ -1,43 +1,43 @@
-/** How requests are put to backend servers, and what their answers say. */
+/** Interface of the protocol between this system and backend servers. */
 import {type AnswerHead} from '@mimosatack/backend-connections';
 import {type BackendServerEntry, type TeamName} from '@mimosatack/types';
 import {type CallerRequest} from './caller_request.js';
 
-/** What this system says to a backend server beside the caller's request. */
+/** What a backend server receives in addition to the caller's request. */
 export interface SendTerms {
   server: BackendServerEntry;
-  /** The time that is left for the answer. */
+  /** The time left until the deadline of the response. */
   remainingMs: number;
-  /** From 0, the most urgent; null leaves the server's own default. */
+  /** 0 is the most urgent; null keeps the server's default. */
   priority: number | null;
-  /** The team whose key the caller sent; null where it needs none. */
+  /** The team of the caller's key; null where the route requires none. */
   team: TeamName | null;
-  /** Events up to this one are there already; null for a whole answer. */
+  /** The last event that the caller has; null for the complete response. */
   lastEventId: number | null;
 }
 
-/** The load that a server tells with an answer. */
+/** The load that a server reports in a response head. */
 export interface ServerLoad {
   running: number;
   waiting: number;
   slots: number;
 }
 
-/** What the head of an answer says. */
+/** The decoded head of a response. */
 export interface AnswerFacts {
   status: number;
-  /** Headers to pass on, names and values by turns. */
+  /** Headers to forward, as alternating names and values. */
   headers: readonly string[];
-  /** Whether the server states that it has not run the request. */
+  /** Whether the server states that it did not run the request. */
   isNotRun: boolean;
-  /** Whether it is another server, or does not hold the model asked for. */
+  /** Whether another server responded, or one without the requested model. */
   isMisdirected: boolean;
-  /** Whether the answer is the server's own, and to this request. */
+  /** Whether the response is from the chosen server and to this request. */
   isGenuine: boolean;
   load: ServerLoad | null;
 }
 
-/** Writes and reads the headers between this system and backend servers. */
+/** Encodes request headers and decodes response heads. */
 export interface BackendDialect {
   makeHeaders(request: CallerRequest, terms: SendTerms): string[];
   readHead(head: AnswerHead, request: CallerRequest): AnswerFacts;
--- a/packages/serve-requests/src/caller_request.ts
+++ b/packages/serve-requests/src/caller_request.ts
@@ -1,61 +1,61 @@
-/** A request of a caller, decoded, and where its answer goes. */
+/** A decoded request of a caller, and the sink for its response. */
 import {type TypedError} from '@mimosatack/errors';
 import {type AdapterName, type ModelName} from '@mimosatack/types';
 
-/** A part of a prompt that other requests may share. */
+/** A part of a prompt that several requests may share. */
 export interface PromptPart {
   id: string;
   tokens: number;
 }
 
-/** What a request asks of a model. */
+/** The parameters of a generation. */
 export interface GenerationTerms {
   model: ModelName;
   adapter: AdapterName | null;
   promptTokens: number;
   maxOutputTokens: number;
-  /** The caller's estimate of the output; null when it gave none. */
+  /** The caller's estimate; null if the caller gave none. */
   expectedOutputTokens: number | null;
   promptParts: readonly PromptPart[];
 }
 
-/** One attempt of a caller, with its whole body. */
+/** One request of a caller, with its complete body. */
 export interface CallerRequest {
   requestId: string;
   host: string;
   method: string;
   /** Path and query, as the caller sent them. */
   path: string;
-  /** End-to-end headers to pass on, names and values by turns. */
+  /** End-to-end headers to forward, as alternating names and values. */
   headers: readonly string[];
   body: Uint8Array;
-  /** When its head was read, on the monotonic clock. */
+  /** When the request head was read, on the monotonic clock. */
   receivedAtMs: number;
-  /** How long the caller waits; null when it did not say. */
+  /** How long the caller waits; null if the caller did not say. */
   deadlineMs: number | null;
-  /** The last event that the caller has of an answer it resumes. */
+  /** The last event that the caller has of a resumed response. */
   lastEventId: number | null;
   generation: GenerationTerms | null;
-  /** Hashes of the keys that came with it; a proper request has one at most. */
+  /** Hashes of the keys in the request; a valid request has at most one. */
   keyHashes: readonly string[];
-  /** Tokens that the request counts for a quota; null where it names none. */
+  /** Tokens charged to a quota; null if the request states none. */
   tokenCount: number | null;
 }
 
-/** Takes the answer. Exactly one of `refuse`, `end` and `abort` ends it. */
+/** Receives the response. Exactly one of `refuse`, `end`, `abort` ends it. */
 export interface AnswerSink {
-  /** Aborted once the caller has left. */
+  /** Aborted once the caller has disconnected. */
   readonly gone: AbortSignal;
   /** Whether `begin` was called. */
   readonly hasBegun: boolean;
-  /** Answers with an error of this system's own. */
+  /** Responds with an error raised by this system. */
   refuse(error: TypedError): void;
   begin(status: number, headers: readonly string[]): void;
   /** False when the caller reads too slowly; see `onDrain`. */
-  write(piece: Uint8Array): boolean;
+  write(chunk: Uint8Array): boolean;
   /** Calls back once when more can be written. */
   onDrain(callback: () => void): void;
   end(): void;
-  /** Ends an answer that has begun so that it does not look whole. */
+  /** Ends a response so that the caller recognizes it as incomplete. */
   abort(): void;
 }
--- a/packages/serve-requests/src/crash_guard.test.ts
+++ b/packages/serve-requests/src/crash_guard.test.ts
@@ -1,4 +1,4 @@
-/** Which ends of an attempt tell for or against a request. */
+/** Guards against containing or clearing a request after the wrong outcome. */
 import {TypedError} from '@mimosatack/errors';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
@@ -6,80 +6,83 @@
 import {CrashGuard, type CrashWatch} from './crash_guard.js';
 import {makeRequest, makeServer} from './test_fixtures.js';
 
-const test = suite('what an attempt tells of its request');
+const test = suite('crash guard');
 
 const error = new TypedError('backend-failed', 'It failed.', {run: 'unknown'});
 
-/** Keeps what it is told. */
 class RecordingWatch implements CrashWatch {
   isWatching = true;
-  readonly told: string[] = [];
+  readonly calls: string[] = [];
 
-  isKnown = false;
-  isTryDue = false;
+  isRequestContained = false;
+  isProbeDue = false;
 
   isPathWatched(): boolean {
     return this.isWatching;
   }
 
   isContained(): boolean {
-    return this.isKnown;
+    return this.isRequestContained;
   }
 
   claimTry(): boolean {
-    this.told.push('asked for a try');
-    return this.isTryDue;
+    this.calls.push('claimed a probe');
+    return this.isProbeDue;
   }
 
   endTry(): void {
-    this.told.push('ended the try');
+    this.calls.push('ended the probe');
   }
 
   noteCut(_fingerprint: string, serverLife: string): void {
-    this.told.push(`cut at ${serverLife}`);
+    this.calls.push(`cut at ${serverLife}`);
   }
 
   noteServed(): void {
-    this.told.push('served');
+    this.calls.push('served');
   }
 }
 
-function tell(outcome: AttemptOutcome, watch = new RecordingWatch()): string[] {
+function recordOutcome(
+  outcome: AttemptOutcome,
+  watch = new RecordingWatch(),
+): string[] {
   const server = makeServer({id: 'i-1', startedAtMs: 7});
-  new CrashGuard(watch, makeRequest()).note(outcome, server);
-  return watch.told;
+  new CrashGuard(watch, makeRequest()).recordOutcome(outcome, server);
+  return watch.calls;
 }
 
-test('a connection that is cut tells against it, with the life of the server', () => {
-  assert.equal(tell({status: 'broken', error, isCut: true}), ['cut at i-1@7']);
+test('a lost connection is recorded with the incarnation of the server', () => {
+  assert.equal(
+    recordOutcome({status: 'broken', error, isConnectionLost: true}),
+    ['cut at i-1@7'],
+  );
 });
 
-test('what does not show that a server ended tells nothing', () => {
+test('outcomes that show no crash are not recorded', () => {
   const outcomes: AttemptOutcome[] = [
-    {status: 'broken', error, isCut: false},
+    {status: 'broken', error, isConnectionLost: false},
     {status: 'refusing', error},
     {status: 'not-run', error, reason: 'not-taken'},
     {status: 'not-run', error, reason: 'unreachable'},
     {status: 'aborted'},
   ];
   assert.equal(
-    outcomes.flatMap(outcome => tell(outcome)),
+    outcomes.flatMap(outcome => recordOutcome(outcome)),
     [],
   );
 });
 
-/*
- * A request that crashes servers waits in the queue of one until its time is over
- * and is answered with a failure. It has not begun to run there; were it cleared
- * by that, it would end three more servers.
- */
-test('only a success clears it', () => {
-  assert.equal(tell({status: 'answered', isSuccess: true}), ['served']);
-  assert.equal(tell({status: 'answered', isSuccess: false}), []);
+/* Guards against clearing a crashing request by an error sent before it ran. */
+test('only a success clears the request', () => {
+  assert.equal(recordOutcome({status: 'answered', isSuccess: true}), [
+    'served',
+  ]);
+  assert.equal(recordOutcome({status: 'answered', isSuccess: false}), []);
 });
 
-/* Bodies are large; one suspected request must not cost all others a hash. */
-test('no body is read while nobody with its path is suspected', () => {
+/* Guards against hashing every large body because of one suspected request. */
+test('no body is read while no request with its path is suspected', () => {
   const watch = new RecordingWatch();
   watch.isPathWatched = () => false;
   const request = makeRequest();
@@ -88,30 +91,40 @@
   });
   const guard = new CrashGuard(watch, request);
   assert.not(guard.isContained);
-  guard.note({status: 'answered', isSuccess: true}, makeServer());
-  assert.equal(watch.told, []);
+  guard.recordOutcome({status: 'answered', isSuccess: true}, makeServer());
+  assert.equal(watch.calls, []);
 });
 
-test('nothing is told of a success while nobody is suspected', () => {
+test('a success is not recorded while no request is suspected', () => {
   const watch = new RecordingWatch();
   watch.isWatching = false;
-  assert.equal(tell({status: 'answered', isSuccess: true}, watch), []);
+  assert.equal(recordOutcome({status: 'answered', isSuccess: true}, watch), []);
 });
 
-/* A contained request is tried at one server and must not go to a second one. */
-test('a try is over with the first server that may have run it', () => {
+/* Guards against a probe that crashes more than one server. */
+test('a probe ends at the first server that may have run the request', () => {
   const watch = new RecordingWatch();
-  Object.assign(watch, {isKnown: true, isTryDue: true});
+  Object.assign(watch, {isRequestContained: true, isProbeDue: true});
   const guard = new CrashGuard(watch, makeRequest());
   assert.ok(guard.isContained);
-  guard.claimTry();
+  guard.claimProbe();
   assert.not(guard.isContained);
-  guard.note({status: 'not-run', error, reason: 'unreachable'}, makeServer());
+  guard.recordOutcome(
+    {status: 'not-run', error, reason: 'unreachable'},
+    makeServer(),
+  );
   assert.not(guard.isContained);
-  guard.note({status: 'broken', error, isCut: true}, makeServer());
+  guard.recordOutcome(
+    {status: 'broken', error, isConnectionLost: true},
+    makeServer(),
+  );
   assert.ok(guard.isContained);
-  guard.end();
-  assert.equal(watch.told, ['asked for a try', 'cut at i-1', 'ended the try']);
+  guard.endProbe();
+  assert.equal(watch.calls, [
+    'claimed a probe',
+    'cut at i-1',
+    'ended the probe',
+  ]);
 });
 
 test.run();
--- a/packages/serve-requests/src/crash_guard.ts
+++ b/packages/serve-requests/src/crash_guard.ts
@@ -1,4 +1,4 @@
-/** Keeps one request from servers once others have ended under it. */
+/** Keeps a request from servers after it has crashed others. */
 import {TypedError} from '@mimosatack/errors';
 import {
   type BackendServerEntry,
@@ -9,30 +9,30 @@
 import {type CallerRequest} from './caller_request.js';
 import {makeFingerprint, makePathPrint} from './fingerprint.js';
 
-/** Knows, over all nodes, under which requests servers have ended. */
+/** Tracks, over all nodes, which requests may have crashed servers. */
 export interface CrashWatch {
   /** Whether any request is suspected. */
   readonly isWatching: boolean;
-  /** Whether any request with this path is. */
+  /** Whether any suspected request has this path. */
   isPathWatched(pathPrint: PathPrint): boolean;
   isContained(fingerprint: RequestFingerprint): boolean;
-  /** Whether a contained request may go to one server; see `endTry`. */
+  /** Whether a contained request may probe one server; see `endTry`. */
   claimTry(fingerprint: RequestFingerprint): boolean;
   endTry(fingerprint: RequestFingerprint): void;
-  /** A server's connection was cut while it had the request. */
+  /** Records a connection that was lost while the server had the request. */
   noteCut(fingerprint: RequestFingerprint, serverLife: string): void;
-  /** A server has answered the request whole, with a success. */
+  /** Records a complete success response. */
   noteServed(fingerprint: RequestFingerprint): void;
 }
 
 /**
- * One request before the watch. Nothing is hashed while nobody is suspected, and
- * no body while nobody with its path is.
+ * Checks one request against the crash watch. Until a connection is lost, the
+ * body is hashed only while a request with the same path is suspected.
  */
 export class CrashGuard {
-  private known: RequestFingerprint | null = null;
+  private cachedFingerprint: RequestFingerprint | null = null;
   private pathPrint: PathPrint | null = null;
-  private isTry = false;
+  private isProbe = false;
 
   constructor(
     private readonly watch: CrashWatch,
@@ -46,44 +46,43 @@
   }
 
   get fingerprint(): RequestFingerprint {
-    this.known ??= makeFingerprint(this.request);
-    return this.known;
+    this.cachedFingerprint ??= makeFingerprint(this.request);
+    return this.cachedFingerprint;
   }
 
-  /** Whether it must not be sent to a server now. */
+  /** Whether the request must not be sent to a server now. */
   get isContained(): boolean {
-    if (this.isTry) return false;
+    if (this.isProbe) return false;
     return this.isWatched && this.watch.isContained(this.fingerprint);
   }
 
-  /** Has the request tried at one server, if it is contained and that is due. */
-  claimTry(): void {
-    if (this.isContained) this.isTry = this.watch.claimTry(this.fingerprint);
+  /** Lets a contained request probe one server if a probe is due. */
+  claimProbe(): void {
+    if (this.isContained) this.isProbe = this.watch.claimTry(this.fingerprint);
   }
 
-  /** To be called once the request has ended. */
-  end(): void {
-    if (this.isTry) this.watch.endTry(this.fingerprint);
-    this.isTry = false;
+  /** Must be called once the request has ended. */
+  endProbe(): void {
+    if (this.isProbe) this.watch.endTry(this.fingerprint);
+    this.isProbe = false;
   }
 
-  note(outcome: AttemptOutcome, server: BackendServerEntry): void {
-    if (outcome.status === 'broken' && outcome.isCut) {
-      this.watch.noteCut(this.fingerprint, nameLife(server));
+  recordOutcome(outcome: AttemptOutcome, server: BackendServerEntry): void {
+    if (outcome.status === 'broken' && outcome.isConnectionLost) {
+      this.watch.noteCut(this.fingerprint, formatIncarnation(server));
     }
-    if (outcome.status === 'answered' && outcome.isSuccess) this.noteSuccess();
-    // A try is over with the first server that may have run it.
-    if (outcome.status !== 'not-run') this.end();
+    if (outcome.status === 'answered' && outcome.isSuccess) this.markServed();
+    // A probe ends at the first server that may have run the request.
+    if (outcome.status !== 'not-run') this.endProbe();
   }
 
-  /** A failure may come before the request has begun to run. */
-  private noteSuccess(): void {
+  /** Errors do not count: a server may send one before the request runs. */
+  private markServed(): void {
     if (this.isWatched) this.watch.noteServed(this.fingerprint);
   }
 }
 
-/** The refusal of a request that is contained. */
-export function makeContained(mayHaveRun: boolean): TypedError {
+export function makeContainedError(mayHaveRun: boolean): TypedError {
   return new TypedError(
     'contained',
     'Three backend servers crashed while running this request.',
@@ -93,7 +92,7 @@
   );
 }
 
-/** A server that starts again may do so under its id. */
-function nameLife({id, startedAtMs}: BackendServerEntry): string {
+/** Tells a restarted server from its earlier incarnation under the same id. */
+function formatIncarnation({id, startedAtMs}: BackendServerEntry): string {
   return startedAtMs === null ? id : `${id}@${startedAtMs}`;
 }
--- a/packages/serve-requests/src/decide_next.ts
+++ b/packages/serve-requests/src/decide_next.ts
@@ -1,30 +1,29 @@
-/** What is done with a request after an attempt that did not answer it. */
+/** Decides how a request continues after a failed attempt. */
 import {type ServiceRoute} from '@mimosatack/types';
 import {type AttemptOutcome, type NotRunReason} from './attempt.js';
 
-/** An attempt that left the request without its answer. */
 export type FailedAttempt = Exclude<
   AttemptOutcome,
   {status: 'answered' | 'aborted'}
 >;
 
-/** What the decision rests on beside the outcome. */
-export interface RequestStanding {
+/** The state of the request that the decision depends on. */
+export interface RetryContext {
   /** Whether the request may run more than once. */
   isRepeatable: boolean;
-  /** Whether another answer can go on where the caller's ended. */
-  canGoOn: boolean;
-  /** Servers that the request has reached beside the last one. */
-  reachedOthers: number;
-  /** Servers that it may be sent to. */
+  /** Whether another response can continue the one that the caller received. */
+  canResume: boolean;
+  /** Servers that the request has reached, without the last one. */
+  otherServersReached: number;
+  /** Servers that the request may reach. */
   maxAttempts: number;
 }
 
-/** What is done next; a retry may have to be within the shared bound. */
+/** The `if-allowed` steps spend a retry of the shared allowance. */
 export type NextStep =
   | 'retry'
   | 'retry-if-allowed'
-  /** Not at once: the server had no room a moment ago. */
+  /** After a backoff, since the server had no capacity. */
   | 'retry-later-if-allowed'
   | 'give-up';
 
@@ -34,17 +33,17 @@
 
 export function decideNext(
   outcome: FailedAttempt,
-  standing: RequestStanding,
+  context: RetryContext,
 ): NextStep {
-  const {isRepeatable, canGoOn, reachedOthers, maxAttempts} = standing;
+  const {isRepeatable, canResume, otherServersReached, maxAttempts} = context;
   switch (outcome.status) {
     case 'not-run':
       return decideAfterNotRun(outcome.reason);
     case 'refusing':
-      // Its retry was taken out of the bound before its answer was dropped.
+      // The retry was spent before the error response was discarded.
       return 'retry';
     case 'broken':
-      return isRepeatable && canGoOn && reachedOthers + 1 < maxAttempts
+      return isRepeatable && canResume && otherServersReached + 1 < maxAttempts
         ? 'retry-if-allowed'
         : 'give-up';
   }
@@ -53,7 +52,7 @@
 function decideAfterNotRun(reason: NotRunReason): NextStep {
   switch (reason) {
     case 'unreachable':
-      // Nothing arrived, so nothing is repeated.
+      // The server received nothing, so the retry repeats no work.
       return 'retry';
     case 'not-held':
       return 'retry-if-allowed';
--- a/packages/serve-requests/src/event_boundary.test.ts
+++ b/packages/serve-requests/src/event_boundary.test.ts
@@ -8,12 +8,8 @@
   return Buffer.from(boundary.push(Buffer.from(text))).toString();
 }
 
-/*
- * A reader's stream stops in the middle of an event when its runner crashes.
- * Half an event must not reach the reader: the stream goes on elsewhere after
- * the last whole one, and the half would stand in front of it.
- */
-test('holds back the beginning of an event', () => {
+/* Guards against a partial event in front of the resumed stream. */
+test('buffers an incomplete event', () => {
   const boundary = new EventBoundary(null);
   assert.is(
     pushText(boundary, 'id: 0\ndata: a\n\nid: 1\nda'),
@@ -27,7 +23,7 @@
   assert.not(boundary.hasPartialEvent);
 });
 
-test('keeps the id that the caller had before', () => {
+test('starts from the id of the last event that the caller received', () => {
   const boundary = new EventBoundary(12);
   assert.is(boundary.lastEventId, 12);
   pushText(boundary, 'id: 13\ndata: a\n\n');
--- a/packages/serve-requests/src/final_error.ts
+++ b/packages/serve-requests/src/final_error.ts
@@ -1,9 +1,9 @@
-/** What a caller is told in the end, by whether its request may have run. */
+/** Final errors of requests that may or may not have run. */
 import {TypedError, describeKind} from '@mimosatack/errors';
 
 const RETRY_AFTER_MS = 1_000;
 
-/** Never says "not run" once any attempt may have run. */
+/** Guards against reporting `not-run` after an attempt that may have run. */
 export function makeFinalError(
   error: TypedError,
   mayHaveRun: boolean,
@@ -12,23 +12,27 @@
   if (mayHaveRun) {
     return new TypedError('backend-failed', error.summary, {run: 'unknown'});
   }
-  const mayReturn = describeKind(error.kind).retryable;
+  const isRetryable = describeKind(error.kind).retryable;
   return new TypedError(error.kind, error.summary, {
     ...error.details,
     run: 'not-run',
-    retryAfterMs: mayReturn
+    retryAfterMs: isRetryable
       ? (error.retryAfterMs ?? RETRY_AFTER_MS)
       : undefined,
   });
 }
 
-/** What no server has taken up may come again; what may have run must not. */
-export function makeTimedOut(mayHaveRun: boolean): TypedError {
+/** Reports only a request that has not run as retryable. */
+export function makeTimeoutError(mayHaveRun: boolean): TypedError {
   return mayHaveRun
-    ? new TypedError('deadline-exceeded', 'No answer came in time.', {
-        run: 'unknown',
-      })
-    : new TypedError('overloaded', 'No server took it in time.', {
-        ...{run: 'not-run', retryAfterMs: RETRY_AFTER_MS},
-      });
+    ? new TypedError(
+        'deadline-exceeded',
+        'No response arrived before the deadline.',
+        {run: 'unknown'},
+      )
+    : new TypedError(
+        'overloaded',
+        'No backend server accepted the request before the deadline.',
+        {...{run: 'not-run', retryAfterMs: RETRY_AFTER_MS}},
+      );
 }
--- a/packages/serve-requests/src/fingerprint.test.ts
+++ b/packages/serve-requests/src/fingerprint.test.ts
@@ -1,4 +1,4 @@
-/** Which requests count as the same. */
+/** Guards against resends that look different and requests that look equal. */
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
 import {makeFingerprint} from './fingerprint.js';
@@ -9,19 +9,19 @@
 const bytes = (text: string) => new TextEncoder().encode(text);
 const known = makeRequest({method: 'POST', path: '/a', body: bytes('b')});
 
-test('the same under another id, later and further on in a stream', () => {
+test('a resend with another id, time or stream position is equal', () => {
   const again = {...known, requestId: 'r2', receivedAtMs: 9, lastEventId: 4};
   assert.is(makeFingerprint(again), makeFingerprint(known));
   assert.match(makeFingerprint(known), /^[0-9a-f]{32}$/);
 });
 
-test('another host, method, path or body is another request', () => {
+test('requests with another host, method, path or body differ', () => {
   const others = [
     {...known, host: 'other.example'},
     {...known, method: 'PUT'},
     {...known, path: '/a?'},
     {...known, body: bytes('c')},
-    // What follows the path must not read as a part of it.
+    // The concatenation of path and body is the same as that of `known`.
     {...known, path: '/', body: bytes('ab')},
   ];
   const prints = [known, ...others].map(makeFingerprint);
--- a/packages/serve-requests/src/fingerprint.ts
+++ b/packages/serve-requests/src/fingerprint.ts
@@ -1,4 +1,4 @@
-/** Tells requests of callers apart by what they ask, not by their ids. */
+/** Identifies requests by their content instead of their ids. */
 import {createHash} from 'node:crypto';
 import {
   type PathPrint,
@@ -11,15 +11,14 @@
 type HashedParts = Pick<CallerRequest, 'host' | 'method' | 'path' | 'body'>;
 
 /**
- * The same for a request that comes again under another id, at any node. Made
- * from host, method, path and body alone: headers name the attempt, its time
- * and where a stream goes on. Nothing of the request can be read from it.
+ * Equal for the same request under another id or at another node. Headers are
+ * left out, since they differ between resends. The hash reveals no content.
  */
 export function makeFingerprint(request: HashedParts): RequestFingerprint {
   return joinFingerprint(makePathPrint(request), hash(request.body));
 }
 
-/** Tells most requests apart at a price that does not grow with their bodies. */
+/** Tells most requests apart without hashing their bodies. */
 export function makePathPrint({
   host,
   method,
--- a/packages/serve-requests/src/head_times.ts
+++ b/packages/serve-requests/src/head_times.ts
@@ -1,31 +1,36 @@
-/** How long answers take to begin, by route. */
+/** Tracks the usual time to the response head for each route. */
 import {type ServiceRoute} from '@mimosatack/types';
 
-/** How much one answer counts against those before it. */
-const SMOOTHING = 0.1;
-/**
- * An answer that has not begun after this many times the usual is missing
- * rather than slow; answers of a kind differ by less.
- */
-const MISSING_FACTOR = 4;
-/** Never sooner than this: a busy server is late by as much. */
+/** The weight of a new sample in the moving average. */
+const SMOOTHING_FACTOR = 0.1;
+/** Times to the response head of one route vary by less than this factor. */
+const STALL_FACTOR = 4;
+/** A busy server may be late by this much. */
 const MIN_LIMIT_MS = 120;
-/** So that another server's answer can still be on time. */
-const TARGET_PART = 0.6;
+/** Leaves time for another server to respond within the target latency. */
+const MAX_TARGET_FRACTION = 0.6;
 
-/** Usual times, learnt from answers. */
 export class HeadTimes {
-  private readonly usualMs = new Map<string, number>();
+  private readonly averageMs = new Map<string, number>();
 
   note({name}: ServiceRoute, headMs: number): void {
-    const before = this.usualMs.get(name) ?? headMs;
-    this.usualMs.set(name, before + SMOOTHING * (headMs - before));
+    const averageBefore = this.averageMs.get(name) ?? headMs;
+    this.averageMs.set(
+      name,
+      averageBefore + SMOOTHING_FACTOR * (headMs - averageBefore),
+    );
   }
 
-  /** After this time an answer that has not begun counts as missing. */
+  /** The time after which a response without a head counts as stalled. */
   findLimitMs({name, targetLatencyMs}: ServiceRoute): number {
-    const usualMs = this.usualMs.get(name) ?? targetLatencyMs;
-    const latestMs = Math.max(MIN_LIMIT_MS, TARGET_PART * targetLatencyMs);
-    return Math.min(latestMs, Math.max(MIN_LIMIT_MS, MISSING_FACTOR * usualMs));
+    const averageMs = this.averageMs.get(name) ?? targetLatencyMs;
+    const maxLimitMs = Math.max(
+      MIN_LIMIT_MS,
+      MAX_TARGET_FRACTION * targetLatencyMs,
+    );
+    return Math.min(
+      maxLimitMs,
+      Math.max(MIN_LIMIT_MS, STALL_FACTOR * averageMs),
+    );
   }
 }
--- a/packages/serve-requests/src/least_loaded_chooser.test.ts
+++ b/packages/serve-requests/src/least_loaded_chooser.test.ts
@@ -26,21 +26,20 @@
 }
 
 /*
- * A server crashes with requests under way and starts again under its id. Their
- * ends, and the load that the old life told, come after the start. Counted for
- * the new life, an idle server would look full, or a full one idle.
+ * Guards against counting late results and loads of a crashed server for its
+ * next incarnation under the same id.
  */
-test('a new life of a server begins with nothing under way', async () => {
+test('a restarted server has no requests in flight', async () => {
   const old = makeServer({id: 's1', startedAtMs: 1_000});
-  const reborn = {...old, startedAtMs: 9_000};
+  const restarted = {...old, startedAtMs: 9_000};
   const other = makeServer({id: 's2'});
   let servers = [old, other];
   const chooser = makeChooser(() => servers);
   [1, 2, 3].forEach(() => chooser.noteSent(toChoice(old)));
   chooser.noteSent(toChoice(other));
   assert.is(await pickId(chooser), 's2');
-  servers = [reborn, other];
-  chooser.noteSent(toChoice(reborn));
+  servers = [restarted, other];
+  chooser.noteSent(toChoice(restarted));
   chooser.noteSent(toChoice(other));
   chooser.noteLoad(old, {running: 4, waiting: 8, slots: 4});
   chooser.noteDone(toChoice(old), 'unreachable');
--- a/packages/serve-requests/src/least_loaded_chooser.ts
+++ b/packages/serve-requests/src/least_loaded_chooser.ts
@@ -1,4 +1,4 @@
-/** Chooses the least loaded server that can serve a request now. */
+/** Chooses the least loaded server that can serve a request. */
 import {type Clock} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
 import {type RandomSource} from '@mimosatack/random';
@@ -18,45 +18,44 @@
   type ServerChooser,
 } from './server_chooser.js';
 
-/** What the chooser is built from. */
 export interface LeastLoadedOptions {
   clock: Clock;
   random: RandomSource;
   ownDomain: FailureDomain;
-  /** The servers of a service that may get new work. */
+  /** The servers of a service that accept new requests. */
   listServers: (service: string) => readonly BackendServerEntry[];
 }
 
-/** A told load is forgotten after this time; loads change within a second. */
-const LOAD_MEMORY_MS = 1_000;
-/** A server that failed gets no work for this long if others are there. */
-const FAILURE_REST_MS = 500;
+/** Loads change within a second. */
+const LOAD_MAX_AGE_MS = 1_000;
+/** A failed server is avoided for this long while others are available. */
+const FAILURE_COOLDOWN_MS = 500;
 const RETRY_AFTER_MS = 1_000;
 
-interface ServerNotes {
-  /** Of the life that they are about. */
+interface ServerStats {
+  /** Start of the server incarnation that the stats describe. */
   startedAtMs: ServerStartMs;
   inFlight: number;
   load: ServerLoad | null;
-  /** Own requests in flight when the load was told. */
+  /** This node's requests in flight when the server reported the load. */
   inFlightAtLoad: number;
   loadAtMs: number;
   failedAtMs: number;
 }
 
-/** Looks at own requests and at the loads that servers tell. */
+/** Ranks servers by this node's requests in flight and by reported loads. */
 export class LeastLoadedChooser implements ServerChooser {
-  private readonly notes = new Map<BackendServerId, ServerNotes>();
+  private readonly statsByServer = new Map<BackendServerId, ServerStats>();
 
   constructor(private readonly options: LeastLoadedOptions) {}
 
   async choose(ask: ServerAsk): Promise<ServerChoice> {
     const servers = this.options
       .listServers(ask.service.name)
-      .filter(server => mayReach(server, ask) && canServe(server, ask));
-    const best = this.pick(servers);
+      .filter(server => isAllowed(server, ask) && canServe(server, ask));
+    const best = this.pickCheapest(servers);
     if (best) {
-      const ownRequests = this.notes.get(best.id)?.inFlight ?? 0;
+      const ownRequests = this.statsByServer.get(best.id)?.inFlight ?? 0;
       const alternatives = servers.length - 1;
       return {
         status: 'chosen',
@@ -67,44 +66,49 @@
     }
     return {
       status: 'refused',
-      error: new TypedError('overloaded', 'No backend server can serve it.', {
-        run: 'not-run',
-        retryAfterMs: RETRY_AFTER_MS,
-      }),
+      error: new TypedError(
+        'overloaded',
+        'No backend server can serve the request.',
+        {
+          run: 'not-run',
+          retryAfterMs: RETRY_AFTER_MS,
+        },
+      ),
     };
   }
 
   release(): void {
-    // Nothing is kept of a choice before it is used.
+    // Choices are not tracked until their requests are sent.
   }
 
   noteSent({server}: ChosenServer): void {
-    this.open(server).inFlight += 1;
+    this.getOrCreateStats(server).inFlight += 1;
   }
 
   noteLoad(server: BackendServerEntry, load: ServerLoad): void {
-    const notes = this.open(server);
-    notes.load = load;
-    notes.inFlightAtLoad = notes.inFlight;
-    notes.loadAtMs = this.options.clock.monotonicMs();
+    const stats = this.getOrCreateStats(server);
+    stats.load = load;
+    stats.inFlightAtLoad = stats.inFlight;
+    stats.loadAtMs = this.options.clock.monotonicMs();
   }
 
   noteDone({server}: ChosenServer, result: AttemptResult): void {
-    const notes = this.open(server);
-    notes.inFlight = Math.max(0, notes.inFlight - 1);
+    const stats = this.getOrCreateStats(server);
+    stats.inFlight = Math.max(0, stats.inFlight - 1);
     if (result === 'failed' || result === 'unreachable') {
-      notes.failedAtMs = this.options.clock.monotonicMs();
+      stats.failedAtMs = this.options.clock.monotonicMs();
     }
   }
 
-  private pick(
+  private pickCheapest(
     servers: readonly BackendServerEntry[],
   ): BackendServerEntry | undefined {
     const {random, clock} = this.options;
     const nowMs = clock.monotonicMs();
     const costs = servers.map(server => ({
       server,
-      cost: this.cost(server, nowMs) + random.nextFraction() * TIE_BREAK,
+      cost:
+        this.cost(server, nowMs) + random.nextFraction() * MAX_TIE_BREAK_COST,
     }));
     return costs.reduce<(typeof costs)[number] | undefined>(
       (best, next) => (best && best.cost <= next.cost ? best : next),
@@ -113,36 +117,39 @@
   }
 
   private cost(server: BackendServerEntry, nowMs: number): number {
-    const notes = this.notes.get(server.id);
-    const isNear = server.failureDomain === this.options.ownDomain;
-    const distance = isNear ? 0 : DISTANCE_COST;
-    if (!notes) return distance;
-    const isLoadKnown = nowMs - notes.loadAtMs < LOAD_MEMORY_MS;
-    const told = isLoadKnown && notes.load;
-    const busy = told
-      ? told.running + told.waiting + notes.inFlight - notes.inFlightAtLoad
-      : notes.inFlight;
-    const hasFailed = nowMs - notes.failedAtMs < FAILURE_REST_MS;
+    const stats = this.statsByServer.get(server.id);
+    const isSameDomain = server.failureDomain === this.options.ownDomain;
+    const domainCost = isSameDomain ? 0 : CROSS_DOMAIN_COST;
+    if (!stats) return domainCost;
+    const isLoadFresh = nowMs - stats.loadAtMs < LOAD_MAX_AGE_MS;
+    const reportedLoad = isLoadFresh && stats.load;
+    const requestCount = reportedLoad
+      ? reportedLoad.running +
+        reportedLoad.waiting +
+        stats.inFlight -
+        stats.inFlightAtLoad
+      : stats.inFlight;
+    const hasFailed = nowMs - stats.failedAtMs < FAILURE_COOLDOWN_MS;
     return (
-      busy / Math.max(1, server.slots) +
-      distance +
-      (hasFailed ? FAILED_COST : 0)
+      requestCount / Math.max(1, server.slots) +
+      domainCost +
+      (hasFailed ? RECENT_FAILURE_COST : 0)
     );
   }
 
-  /** A new life of a server begins with new notes. */
-  private open({id, startedAtMs}: BackendServerEntry): ServerNotes {
-    const known = this.notes.get(id);
+  /** Stats start empty after each restart of a server. */
+  private getOrCreateStats({id, startedAtMs}: BackendServerEntry): ServerStats {
+    const known = this.statsByServer.get(id);
     const order = known && compareLives(startedAtMs, known.startedAtMs);
     if (known && order === 'same') return known;
-    const added = makeNotes(startedAtMs);
-    // What ends of a life before changes nothing of this one.
-    if (order !== 'earlier') this.notes.set(id, added);
+    const added = makeStats(startedAtMs);
+    // Late results of an earlier incarnation leave the current stats unchanged.
+    if (order !== 'earlier') this.statsByServer.set(id, added);
     return added;
   }
 }
 
-function makeNotes(startedAtMs: ServerStartMs): ServerNotes {
+function makeStats(startedAtMs: ServerStartMs): ServerStats {
   return {
     startedAtMs,
     inFlight: 0,
@@ -153,14 +160,14 @@
   };
 }
 
-/** Decides between equals only: less than one request of 64 places. */
-const TIE_BREAK = 0.01;
-/** A near server is taken while it has one request of 20 more at most. */
-const DISTANCE_COST = 0.05;
-/** A server that has just failed comes after any that is not overrun. */
-const FAILED_COST = 2;
+/** Breaks ties only: less than one request at a server with 64 slots. */
+const MAX_TIE_BREAK_COST = 0.01;
+/** Equals one request at a server with 20 slots. */
+const CROSS_DOMAIN_COST = 0.05;
+/** Ranks a failed server below others with fewer than two requests per slot. */
+const RECENT_FAILURE_COST = 2;
 
-function mayReach({id}: BackendServerEntry, ask: ServerAsk): boolean {
+function isAllowed({id}: BackendServerEntry, ask: ServerAsk): boolean {
   return !ask.excluded.has(id) && (ask.allowed?.has(id) ?? true);
 }
 
--- a/packages/serve-requests/src/pick_service.ts
+++ b/packages/serve-requests/src/pick_service.ts
@@ -1,7 +1,7 @@
 import {type RandomSource} from '@mimosatack/random';
 import {type TrafficShare} from '@mimosatack/types';
 
-/** Draws a service by weight; null when no weight is above 0. */
+/** Picks a random service by weight; null if no weight is positive. */
 export function pickService(
   traffic: readonly TrafficShare[],
   random: RandomSource,
--- a/packages/serve-requests/src/quota_charges.ts
+++ b/packages/serve-requests/src/quota_charges.ts
@@ -1,4 +1,4 @@
-/** What requests take out of their teams' quotas. */
+/** Computes the cost of a request to its team's quota. */
 import {type QuotaCharge} from '@mimosatack/team-quotas';
 import {type TeamSpec} from '@mimosatack/types';
 import {type CallerRequest} from './caller_request.js';
--- a/packages/serve-requests/src/refusal_pause.ts
+++ b/packages/serve-requests/src/refusal_pause.ts
@@ -1,25 +1,23 @@
-/** How long a request waits after a server had no room for it. */
+/** Backoff before a retry after a server had no capacity for a request. */
 
-/** A plain service frees a place about as often: it works 20 to 40 ms. */
-const FIRST_PAUSE_MS = 20;
-const PAUSE_FACTOR = 2;
-/** Part of what is left of a request's time that one pause may take. */
-const MAX_PART = 0.25;
+/** About the time that a plain service takes for a request (20 to 40 ms). */
+const INITIAL_BACKOFF_MS = 20;
+const BACKOFF_FACTOR = 2;
+/** The largest fraction of the remaining time that one backoff may take. */
+const MAX_REMAINING_FRACTION = 0.25;
 
 /**
- * Guards against a full server that is asked again at once: each ask is
- * refused, counts against the retries that all requests to its service share,
- * and keeps the server busy with refusing. Null when what is left of the
- * request's time is too short for another try; the caller is refused then and
- * told when to come back.
+ * Guards against immediate retries at a full server, which use up the retries
+ * shared by all requests to the service. Null when too little time is left for
+ * another attempt.
  *
- * @param refusals how often servers had no room for the request, this time
- *     included.
+ * @param refusals how often servers had no capacity for the request, including
+ *     the last time.
  */
-export function findPauseMs(
+export function findBackoffMs(
   refusals: number,
   remainingMs: number,
 ): number | null {
-  const pauseMs = FIRST_PAUSE_MS * PAUSE_FACTOR ** (refusals - 1);
-  return pauseMs <= MAX_PART * remainingMs ? pauseMs : null;
+  const backoffMs = INITIAL_BACKOFF_MS * BACKOFF_FACTOR ** (refusals - 1);
+  return backoffMs <= MAX_REMAINING_FRACTION * remainingMs ? backoffMs : null;
 }
--- a/packages/serve-requests/src/request_log.ts
+++ b/packages/serve-requests/src/request_log.ts
@@ -1,4 +1,4 @@
-/** The log lines of one request: each decision, and what it rested on. */
+/** Logs the attempts of one request, their basis and the final result. */
 import {type Clock} from '@mimosatack/clock';
 import {type TypedError} from '@mimosatack/errors';
 import {type EventLogger} from '@mimosatack/logger';
@@ -8,17 +8,16 @@
 import {type CrashGuard} from './crash_guard.js';
 import {type ChosenServer} from './server_chooser.js';
 
-/** What a caller got in the end. */
+/** The final result for the caller. */
 export type FinalResult =
-  /** The whole answer of a backend server, whatever its status. */
+  /** A complete response of a backend server, whatever its status. */
   | 'answered'
-  /** An error of this system. */
+  /** An error raised by this system. */
   | 'refused'
-  /** An answer that ended before it was whole. */
+  /** A response that ended before it was complete. */
   | 'broken-off'
   | 'caller-gone';
 
-/** How a request ended. */
 export interface FinishedRequest {
   result: FinalResult;
   error: TypedError | null;
@@ -26,17 +25,15 @@
   lastEventId: number | null;
 }
 
-/** What the lines are written with. */
 export interface RequestLogOptions {
   clock: Clock;
   logger: EventLogger;
 }
 
-/** Writes the lines of one request. */
 export class RequestLog {
   private sentAtMs = 0;
   private headAtMs: number | null = null;
-  private pieceAtMs: number | null = null;
+  private lastChunkAtMs: number | null = null;
   private longestGapMs = 0;
   private status: number | null = null;
   private backendServerId = '';
@@ -48,15 +45,15 @@
     private readonly guard: CrashGuard,
   ) {}
 
-  /** Until the answer of the last attempt began; null if it did not. */
+  /** Time to the response head of the last attempt; null if none arrived. */
   get headMs(): number | null {
     return this.headAtMs === null ? null : this.headAtMs - this.sentAtMs;
   }
 
-  noteSent(choice: ChosenServer, attempt: number, endsAtMs: number): void {
+  logSent(choice: ChosenServer, attempt: number, deadlineAtMs: number): void {
     this.sentAtMs = this.nowMs();
     this.headAtMs = null;
-    this.pieceAtMs = null;
+    this.lastChunkAtMs = null;
     this.longestGapMs = 0;
     this.status = null;
     this.backendServerId = choice.server.id;
@@ -65,26 +62,25 @@
       route: this.target.route.name,
       backendServerId: this.backendServerId,
       attempt,
-      remainingMs: Math.round(endsAtMs - this.sentAtMs),
+      remainingMs: Math.round(deadlineAtMs - this.sentAtMs),
       configurationVersion: this.target.version,
       chosenBy: {...choice.basis},
     });
   }
 
-  noteHead(status: number): void {
+  recordHead(status: number): void {
     this.headAtMs = this.nowMs();
     this.status = status;
   }
 
-  /** A piece of the answer has come. */
-  notePiece(): void {
+  recordChunk(): void {
     const nowMs = this.nowMs();
-    const gapMs = nowMs - (this.pieceAtMs ?? nowMs);
+    const gapMs = nowMs - (this.lastChunkAtMs ?? nowMs);
     this.longestGapMs = Math.max(this.longestGapMs, gapMs);
-    this.pieceAtMs = nowMs;
+    this.lastChunkAtMs = nowMs;
   }
 
-  noteAttempt(
+  logAttempt(
     outcome: AttemptOutcome,
     next: 'end' | 'try-elsewhere' | 'give-up',
   ): void {
@@ -95,7 +91,9 @@
       outcome: outcome.status,
       status: this.status,
       error: 'error' in outcome ? outcome.error.message : undefined,
-      fingerprint: isCut(outcome) ? this.guard.fingerprint : undefined,
+      fingerprint: isConnectionLost(outcome)
+        ? this.guard.fingerprint
+        : undefined,
       tookMs: Math.round(this.nowMs() - sentAtMs),
       headMs: headMs === null ? null : Math.round(headMs),
       longestGapMs: Math.round(this.longestGapMs),
@@ -103,7 +101,7 @@
     });
   }
 
-  noteFinished(finished: FinishedRequest): void {
+  logFinished(finished: FinishedRequest): void {
     const {result, error, attempts, lastEventId} = finished;
     this.options.logger.log('request-finished', {
       requestId: this.request.requestId,
@@ -123,7 +121,7 @@
   }
 }
 
-/** Servers that end under requests are looked into by what these have in common. */
-function isCut(outcome: AttemptOutcome): boolean {
-  return outcome.status === 'broken' && outcome.isCut;
+/** The fingerprint of such a request shows whether it crashes servers. */
+function isConnectionLost(outcome: AttemptOutcome): boolean {
+  return outcome.status === 'broken' && outcome.isConnectionLost;
 }
--- a/packages/serve-requests/src/request_pipeline.ts
+++ b/packages/serve-requests/src/request_pipeline.ts
@@ -1,4 +1,4 @@
-/** Takes requests from their arrival to their final answers. */
+/** Serves requests from arrival to the final response. */
 import {type BackendConnections} from '@mimosatack/backend-connections';
 import {type Clock} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
@@ -20,7 +20,6 @@
 import {RouteTable} from './route_table.js';
 import {type ServerChooser} from './server_chooser.js';
 
-/** What the pipeline is built from. */
 export interface PipelineOptions {
   clock: Clock;
   random: RandomSource;
@@ -36,20 +35,20 @@
 
 const NOT_CONFIGURED_RETRY_MS = 500;
 
-/** The configuration in force, ready for look-ups. */
+/** The current configuration, indexed for lookups. */
 interface ActiveConfiguration {
   version: number;
   routes: RouteTable;
   services: ReadonlyMap<string, ServiceSpec>;
 }
 
-/** The path of every request, whichever edge it came in by. */
+/** Serves the requests of all caller edges. */
 export class RequestPipeline {
   private active: ActiveConfiguration | null = null;
 
   constructor(private readonly options: PipelineOptions) {}
 
-  /** Puts a configuration in force for all requests that come after it. */
+  /** Applies a configuration to all later requests. */
   configure(configuration: ServingConfiguration): void {
     this.active = {
       version: configuration.version,
@@ -61,24 +60,24 @@
   }
 
   /**
-   * Why a request is not served at all; null for one that may be. Needs no body,
-   * so that nothing is spent on a caller that is not known.
+   * Returns the error for a request without access, or null. Runs before the
+   * body is read, so that unknown callers use few resources.
    */
   screen(head: RequestHead): TypedError | null {
     const route = this.findRoute(head);
     if (route instanceof TypedError) return null;
     const access = this.options.access.check(head, route);
     if (!(access instanceof TypedError)) return null;
-    this.logUnrouted(head, access);
+    this.logRefused(head, access);
     return access;
   }
 
-  /** Resolves once the request has its final answer. */
+  /** Resolves once the request is finished and logged. */
   async serve(request: CallerRequest, sink: AnswerSink): Promise<void> {
     const target = this.findTarget(request);
     if (target instanceof TypedError) {
       sink.refuse(target);
-      this.logUnrouted(request, target);
+      this.logRefused(request, target);
       return;
     }
     this.options.retries.noteRequest(target.service.name);
@@ -86,29 +85,31 @@
   }
 
   private findRoute({host, path}: RequestHead): ServiceRoute | TypedError {
-    if (!this.active) return makeNotConfigured();
+    if (!this.active) return makeNotConfiguredError();
     const route = this.active.routes.find(host, path);
     if (route) return route;
     return this.options.access.isConfirmed
-      ? makeNoRoute(host, path)
-      : makeNotConfigured();
+      ? makeNoRouteError(host, path)
+      : makeNotConfiguredError();
   }
 
   private findTarget(request: CallerRequest): RequestTarget | TypedError {
     const {active} = this;
     const route = this.findRoute(request);
     if (!active || route instanceof TypedError) {
-      return route instanceof TypedError ? route : makeNotConfigured();
+      return route instanceof TypedError ? route : makeNotConfiguredError();
     }
     const access = this.options.access.check(request, route);
     if (access instanceof TypedError) return access;
     const name = pickService(route.traffic, this.options.random);
     const service = name === null ? undefined : active.services.get(name);
     const {version} = active;
-    return service ? {route, service, version, access} : makeNotConfigured();
+    return service
+      ? {route, service, version, access}
+      : makeNotConfiguredError();
   }
 
-  private logUnrouted(
+  private logRefused(
     {requestId, receivedAtMs}: RequestHead,
     error: TypedError,
   ): void {
@@ -127,33 +128,36 @@
   }
 }
 
-/** A request before its body is read. */
+/** A request whose body is not read yet. */
 export type RequestHead = Omit<CallerRequest, 'body'>;
 
-/** Where a request goes by its configuration. */
+/** The route and service that a configuration selects for a request. */
 export interface RequestTarget {
   route: ServiceRoute;
   service: ServiceSpec;
-  /** Of the configuration that decided it. */
+  /** The version of that configuration. */
   version: number;
-  /** In whose name it was admitted. */
+  /** The access that the request was admitted with. */
   access: GrantedAccess;
 }
 
 /**
- * A node that has no configuration yet, or an old one, can't tell an unknown path
- * from one that it has not learnt of, so it does not answer that there is no such
- * route.
+ * Guards against `not-found` for a route that exists: a node without a current
+ * configuration may not have received the route yet.
  */
-function makeNotConfigured(): TypedError {
-  return new TypedError('platform-unavailable', 'Not configured yet.', {
-    run: 'not-run',
-    retryAfterMs: NOT_CONFIGURED_RETRY_MS,
-  });
+function makeNotConfiguredError(): TypedError {
+  return new TypedError(
+    'platform-unavailable',
+    'The node has no current serving configuration.',
+    {
+      run: 'not-run',
+      retryAfterMs: NOT_CONFIGURED_RETRY_MS,
+    },
+  );
 }
 
-function makeNoRoute(host: string, path: string): TypedError {
-  return new TypedError('not-found', `No route takes ${host}${path}.`, {
+function makeNoRouteError(host: string, path: string): TypedError {
+  return new TypedError('not-found', `No route matches ${host}${path}.`, {
     run: 'not-run',
   });
 }
--- a/packages/serve-requests/src/request_run.ts
+++ b/packages/serve-requests/src/request_run.ts
@@ -1,4 +1,4 @@
-/** One request on its way: attempts, retries, and one final answer. */
+/** Executes one request: its attempts, retries and final response. */
 import {type Timer, sleep} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
 import {type BackendServerId} from '@mimosatack/types';
@@ -11,9 +11,9 @@
 } from './attempt.js';
 import {type GrantedAccess} from './access_check.js';
 import {type AnswerSink, type CallerRequest} from './caller_request.js';
-import {CrashGuard, makeContained} from './crash_guard.js';
+import {CrashGuard, makeContainedError} from './crash_guard.js';
 import {type FailedAttempt, decideNext, isRepeatable} from './decide_next.js';
-import {makeFinalError, makeTimedOut} from './final_error.js';
+import {makeFinalError, makeTimeoutError} from './final_error.js';
 import {type FinalResult, RequestLog} from './request_log.js';
 import {type PipelineOptions, type RequestTarget} from './request_pipeline.js';
 import {
@@ -22,48 +22,44 @@
   type ServerChoice,
 } from './server_chooser.js';
 import {findCharge} from './quota_charges.js';
-import {findPauseMs} from './refusal_pause.js';
-import {StallRescue} from './stall_rescue.js';
+import {findBackoffMs} from './refusal_pause.js';
+import {StallFailover} from './stall_failover.js';
 
-/** A connection that takes longer than this is tried elsewhere. */
+/** A slower connection fails, and the request goes to another server. */
 const CONNECT_TIMEOUT_MS = 500;
 /**
- * A request that may run only once does not go on a connection that was idle
- * for longer, since the other side may be closing it just then.
+ * Guards a request that must not run twice against a keep-alive connection that
+ * the server is about to close.
  */
-const MAX_IDLE_ONCE_MS = 1_000;
+const MAX_IDLE_NON_REPEATABLE_MS = 1_000;
 /**
- * An engine that still says so is not the one that is meant: another one has its
- * address, or it has started again.
+ * An engine that lacks the model after this many retries has restarted, or
+ * another engine has taken over its address.
  */
-const MAX_NOT_HELD = 2;
+const MAX_NOT_HELD_RETRIES = 2;
 
-/** Why a run ended from this side. */
-type EndCause = 'caller-gone' | 'timeout';
+/** Why this node aborted the request. */
+type AbortCause = 'caller-gone' | 'timeout';
 
-/** Carries one request from its choice of a server to its final answer. */
 export class RequestRun {
-  private readonly endsAtMs: number;
-  /** Servers that the request must not go to again. */
-  private readonly tried = new Set<BackendServerId>();
-  /** Servers that the request has reached. */
-  private readonly sentTo = new Set<BackendServerId>();
-  private readonly ending = new AbortController();
+  private readonly deadlineAtMs: number;
+  private readonly excludedServers = new Set<BackendServerId>();
+  private readonly reachedServers = new Set<BackendServerId>();
+  private readonly abortController = new AbortController();
   private readonly relay: AnswerRelay;
   private readonly log: RequestLog;
   private readonly guard: CrashGuard;
   private readonly isRepeatable: boolean;
   private access: GrantedAccess;
   private attempt: Attempt | null = null;
-  private rescue: StallRescue | null = null;
+  private stallFailover: StallFailover | null = null;
   private attempts = 0;
-  /** How often a server had no room for it. */
-  private refusals = 0;
-  /** How often a server did not hold what it needs. */
-  private notHeld = 0;
-  /** Whether a server may have run the request without an answer to it. */
+  private capacityRefusals = 0;
+  /** How often an engine did not hold the requested model. */
+  private notHeldCount = 0;
+  /** Whether a server may have run the request without a complete response. */
   private mayHaveRun = false;
-  private endCause: EndCause | null = null;
+  private abortCause: AbortCause | null = null;
 
   constructor(
     private readonly options: PipelineOptions,
@@ -74,7 +70,7 @@
     const {route} = target;
     this.access = target.access;
     const waitMs = Math.min(route.timeoutMs, request.deadlineMs ?? Infinity);
-    this.endsAtMs = request.receivedAtMs + waitMs;
+    this.deadlineAtMs = request.receivedAtMs + waitMs;
     this.isRepeatable = isRepeatable(route);
     this.guard = new CrashGuard(options.crashes, request);
     this.log = new RequestLog(options, request, target, this.guard);
@@ -83,140 +79,142 @@
       isStream: route.kind === 'streaming',
       lastEventId: request.lastEventId,
       resume: () => this.attempt?.resume(),
-      mayDiscard: () => this.mayRetryFailure(),
+      spendRetry: () => this.spendFailureRetry(),
       onProgress: () => {
-        this.log.notePiece();
-        this.rescue?.noteProgress();
+        this.log.recordChunk();
+        this.stallFailover?.recordProgress();
       },
     });
   }
 
-  /** Resolves once the request has its final answer. */
+  /** Resolves once the request is finished and logged. */
   async run(): Promise<void> {
-    const timer = this.startTimer();
-    const onGone = () => this.endBy('caller-gone');
-    this.sink.gone.addEventListener('abort', onGone, {once: true});
-    if (this.sink.gone.aborted) onGone();
-    this.guard.claimTry();
+    const timer = this.startDeadlineTimer();
+    const onCallerGone = () => this.abortRun('caller-gone');
+    this.sink.gone.addEventListener('abort', onCallerGone, {once: true});
+    if (this.sink.gone.aborted) onCallerGone();
+    this.guard.claimProbe();
     try {
-      await this.attemptUntilDone();
+      await this.runAttempts();
     } finally {
       timer.cancel();
-      this.guard.end();
-      this.sink.gone.removeEventListener('abort', onGone);
+      this.guard.endProbe();
+      this.sink.gone.removeEventListener('abort', onCallerGone);
     }
   }
 
-  private async attemptUntilDone(): Promise<void> {
+  private async runAttempts(): Promise<void> {
     let next: ServerChoice | null = null;
     for (;;) {
-      const choice = await this.choose(next);
-      if (this.endCause) return this.finishEnded(choice);
-      if (choice.status === 'refused') return this.giveUp(choice.error);
+      const choice = await this.chooseServer(next);
+      if (this.abortCause) return this.finishAborted(choice);
+      if (choice.status === 'refused') return this.finishFailed(choice.error);
       const access = this.recheckAccess();
-      if (access instanceof TypedError) return this.stopBarred(access, choice);
+      if (access instanceof TypedError) return this.denyAccess(access, choice);
       this.access = access;
-      const outcome = await this.attemptAt(choice);
-      next = this.rescue?.takeChoice() ?? null;
-      if (outcome.status === 'answered') return this.noteAnswered(outcome);
+      const outcome = await this.runAttempt(choice);
+      next = this.stallFailover?.takeReplacement() ?? null;
+      if (outcome.status === 'answered') return this.finishAnswered(outcome);
       if (outcome.status === 'aborted') {
-        this.log.noteAttempt(outcome, 'end');
-        return this.finishEnded(next);
+        this.log.logAttempt(outcome, 'end');
+        return this.finishAborted(next);
       }
-      if (this.guard.isContained) return this.stopContained(outcome, next);
-      const goesOn = next !== null || (await this.mayGoOn(outcome, choice));
-      this.log.noteAttempt(outcome, this.nameNext(goesOn));
-      if (this.endCause) return this.finishEnded(next);
-      if (!goesOn) return this.giveUp(outcome.error);
+      if (this.guard.isContained) return this.finishContained(outcome, next);
+      const willRetry =
+        next !== null || (await this.shouldRetry(outcome, choice));
+      this.log.logAttempt(outcome, this.describeNextStep(willRetry));
+      if (this.abortCause) return this.finishAborted(next);
+      if (!willRetry) return this.finishFailed(outcome.error);
     }
   }
 
-  private nameNext(goesOn: boolean): 'end' | 'try-elsewhere' | 'give-up' {
-    if (this.endCause) return 'end';
-    return goesOn ? 'try-elsewhere' : 'give-up';
+  private describeNextStep(
+    willRetry: boolean,
+  ): 'end' | 'try-elsewhere' | 'give-up' {
+    if (this.abortCause) return 'end';
+    return willRetry ? 'try-elsewhere' : 'give-up';
   }
 
   /**
-   * Refuses what is contained, also when that became known while it waited.
+   * Refuses a contained request, also one that became contained while waiting.
    *
-   * Guards against a request that ends server after server: it comes again under
-   * new ids at all nodes, each of which would send each id to as many servers as
-   * its route allows. What a request is does not change with its id, and what one
-   * node has seen is known to all.
+   * Guards against a request that crashes one server after another when callers
+   * resend it to other nodes under new ids.
    */
-  private async choose(rescued: ChosenServer | null): Promise<ServerChoice> {
+  private async chooseServer(
+    replacement: ChosenServer | null,
+  ): Promise<ServerChoice> {
     const {chooser} = this.options;
-    if (!rescued && this.guard.isContained) return this.refuseContained();
-    const choice = rescued ?? (await chooser.choose(this.makeAsk(this.tried)));
+    if (!replacement && this.guard.isContained) return this.refuseContained();
+    const choice =
+      replacement ?? (await chooser.choose(this.makeAsk(this.excludedServers)));
     if (choice.status === 'refused' || !this.guard.isContained) return choice;
     chooser.release(choice);
     return this.refuseContained();
   }
 
-  /** One more server has ended under it, and that was enough. */
-  private stopContained(
+  /** Ends a request that became contained through its last attempt. */
+  private finishContained(
     outcome: AttemptOutcome,
     unused: ServerChoice | null,
   ): void {
-    this.log.noteAttempt(outcome, 'give-up');
+    this.log.logAttempt(outcome, 'give-up');
     if (unused?.status === 'chosen') this.options.chooser.release(unused);
-    this.giveUp(makeContained(this.mayHaveRun));
+    this.finishFailed(makeContainedError(this.mayHaveRun));
   }
 
-  /**
-   * Guards against a request that runs though its key was taken away while it
-   * waited, or before it is sent once more.
-   */
+  /** Guards against sending a request whose key was revoked while it waited. */
   private recheckAccess(): GrantedAccess | TypedError {
     return this.options.access.check(this.request, this.target.route);
   }
 
-  private stopBarred(error: TypedError, unused: ChosenServer): void {
+  private denyAccess(error: TypedError, unused: ChosenServer): void {
     this.options.chooser.release(unused);
-    this.giveUp(error);
+    this.finishFailed(error);
   }
 
   private refuseContained(): ServerChoice {
-    return {status: 'refused', error: makeContained(this.mayHaveRun)};
+    return {status: 'refused', error: makeContainedError(this.mayHaveRun)};
   }
 
-  private async attemptAt(choice: ChosenServer): Promise<AttemptOutcome> {
+  private async runAttempt(choice: ChosenServer): Promise<AttemptOutcome> {
     const {chooser} = this.options;
     const {server} = choice;
     this.attempts += 1;
-    this.log.noteSent(choice, this.attempts, this.endsAtMs);
+    this.log.logSent(choice, this.attempts, this.deadlineAtMs);
     const attempt = this.makeAttempt(choice);
     this.attempt = attempt;
-    this.rescue = this.makeRescue(choice, attempt);
+    this.stallFailover = this.makeStallFailover(choice, attempt);
     chooser.noteSent(choice);
     attempt.start();
     const outcome = await attempt.outcome;
     this.attempt = null;
-    this.rescue?.stop();
+    this.stallFailover?.stop();
     chooser.noteDone(choice, toAttemptResult(outcome), this.log.headMs);
-    this.guard.note(outcome, server);
-    const hasRun = outcome.status === 'broken' || outcome.status === 'refusing';
-    if (hasRun) this.mayHaveRun = true;
+    this.guard.recordOutcome(outcome, server);
+    const mayHaveStarted =
+      outcome.status === 'broken' || outcome.status === 'refusing';
+    if (mayHaveStarted) this.mayHaveRun = true;
     const reason = outcome.status === 'not-run' ? outcome.reason : null;
-    if (reason !== 'unreachable') this.sentTo.add(server.id);
-    if (!this.mayTakeLater(reason)) this.tried.add(server.id);
+    if (reason !== 'unreachable') this.reachedServers.add(server.id);
+    if (!this.mayRetryAtSameServer(reason)) this.excludedServers.add(server.id);
     return outcome;
   }
 
   /**
-   * Whether a server that has not run the request may be sent it once more: one
-   * without room, and an engine that did not hold the model. Who schedules the
-   * engines has the model loaded there and sends the request then.
+   * Whether a server that has not run the request may receive it again: a
+   * server without capacity, or an engine that does not hold the model yet.
    *
-   * Guards against a refusal of what is about to be served: a load takes a bit
-   * longer than is known, the engine says that it does not hold the model, and a
-   * request that may reach one engine alone has nowhere else to go. On a day of
-   * the large fleet these were 69 of 305 refusals for weights far away.
+   * Guards against refusing a request whose only engine finishes the model load
+   * slightly later than estimated.
    */
-  private mayTakeLater(reason: NotRunReason | null): boolean {
+  private mayRetryAtSameServer(reason: NotRunReason | null): boolean {
     if (reason !== 'not-held') return reason === 'not-taken';
-    this.notHeld += 1;
-    return this.target.service.engine !== null && this.notHeld <= MAX_NOT_HELD;
+    this.notHeldCount += 1;
+    return (
+      this.target.service.engine !== null &&
+      this.notHeldCount <= MAX_NOT_HELD_RETRIES
+    );
   }
 
   private makeAttempt({server}: ChosenServer): Attempt {
@@ -226,47 +224,50 @@
       ...{connections, dialect, clock, request},
       terms: {
         server,
-        remainingMs: this.endsAtMs - clock.monotonicMs(),
+        remainingMs: this.deadlineAtMs - clock.monotonicMs(),
         priority: target.service.engine ? this.priority : null,
         team: this.access.team?.team ?? null,
         lastEventId: relay.lastEventId,
       },
       consumer: relay,
       connectTimeoutMs: CONNECT_TIMEOUT_MS,
-      maxIdleMs: this.isRepeatable ? Infinity : MAX_IDLE_ONCE_MS,
+      maxIdleMs: this.isRepeatable ? Infinity : MAX_IDLE_NON_REPEATABLE_MS,
       onLoad: load => chooser.noteLoad(server, load),
       onStatus: status => {
-        this.log.noteHead(status);
-        this.rescue?.noteHead();
+        this.log.recordHead(status);
+        this.stallFailover?.recordHead();
       },
     });
   }
 
-  /** Only what may be repeated can be taken to another server. */
-  private makeRescue(
+  /** Null for a request that must not go to another server. */
+  private makeStallFailover(
     choice: ChosenServer,
     attempt: Attempt,
-  ): StallRescue | null {
-    const isLast = this.sentTo.size + 1 >= this.target.route.maxAttempts;
+  ): StallFailover | null {
+    const isLast =
+      this.reachedServers.size + 1 >= this.target.route.maxAttempts;
     if (!this.isRepeatable || isLast) return null;
     const {clock, chooser, headTimes} = this.options;
-    return new StallRescue({
+    return new StallFailover({
       ...{clock, chooser, headTimes, attempt},
       route: this.target.route,
-      makeAsk: () => this.makeAsk(new Set([...this.tried, choice.server.id])),
-      maySpend: () => this.spendRetry(),
+      makeAsk: () =>
+        this.makeAsk(new Set([...this.excludedServers, choice.server.id])),
+      spendRetry: () => this.spendRetry(),
     });
   }
 
-  /** Whether the request is sent once more after this outcome. */
-  private async mayGoOn(
+  /** Decides on a retry; waits for the backoff and spends a retry if needed. */
+  private async shouldRetry(
     outcome: FailedAttempt,
     {server}: ChosenServer,
   ): Promise<boolean> {
     const next = decideNext(outcome, {
       isRepeatable: this.isRepeatable,
-      canGoOn: this.relay.canGoOn,
-      reachedOthers: this.sentTo.size - (this.sentTo.has(server.id) ? 1 : 0),
+      canResume: this.relay.canResume,
+      otherServersReached:
+        this.reachedServers.size - (this.reachedServers.has(server.id) ? 1 : 0),
       maxAttempts: this.target.route.maxAttempts,
     });
     switch (next) {
@@ -275,32 +276,32 @@
       case 'retry-if-allowed':
         return this.spendRetry();
       case 'retry-later-if-allowed':
-        return (await this.pause()) && this.spendRetry();
+        return (await this.waitBeforeRetry()) && this.spendRetry();
       case 'give-up':
         return false;
     }
   }
 
-  /** False when there is no time for a pause and another try. */
-  private async pause(): Promise<boolean> {
-    // Who schedules the engines knows when they have room again.
+  /** False when too little time is left for a backoff and another attempt. */
+  private async waitBeforeRetry(): Promise<boolean> {
+    // The scheduling node assigns an engine only when it has capacity.
     if (this.target.service.engine) return true;
     const {clock} = this.options;
-    this.refusals += 1;
-    const pauseMs = findPauseMs(
-      this.refusals,
-      this.endsAtMs - clock.monotonicMs(),
+    this.capacityRefusals += 1;
+    const backoffMs = findBackoffMs(
+      this.capacityRefusals,
+      this.deadlineAtMs - clock.monotonicMs(),
     );
-    if (pauseMs === null) return false;
-    await sleep(clock, pauseMs, this.ending.signal);
+    if (backoffMs === null) return false;
+    await sleep(clock, backoffMs, this.abortController.signal);
     return true;
   }
 
-  /** A failure that a server answered is tried elsewhere if that is allowed. */
-  private mayRetryFailure(): boolean {
+  /** Spends a retry on a server's error response if the request allows one. */
+  private spendFailureRetry(): boolean {
     return (
       this.isRepeatable &&
-      this.sentTo.size + 1 < this.target.route.maxAttempts &&
+      this.reachedServers.size + 1 < this.target.route.maxAttempts &&
       this.spendRetry()
     );
   }
@@ -309,72 +310,72 @@
     return this.options.retries.trySpend(this.target.service.name);
   }
 
-  private noteAnswered(outcome: AttemptOutcome): void {
-    this.log.noteAttempt(outcome, 'end');
-    this.noteFinished('answered', null);
+  private finishAnswered(outcome: AttemptOutcome): void {
+    this.log.logAttempt(outcome, 'end');
+    this.logFinished('answered', null);
   }
 
-  private giveUp(error: TypedError): void {
-    this.endWith(makeFinalError(error, this.mayHaveRun));
+  private finishFailed(error: TypedError): void {
+    this.finishWithError(makeFinalError(error, this.mayHaveRun));
   }
 
-  /** Refuses, or breaks an answer off that has begun. */
-  private endWith(error: TypedError): void {
+  /** Responds with the error, or aborts a response that has begun. */
+  private finishWithError(error: TypedError): void {
     if (this.sink.hasBegun) {
       this.sink.abort();
-      this.noteFinished('broken-off', error);
+      this.logFinished('broken-off', error);
     } else {
       this.sink.refuse(error);
-      this.noteFinished('refused', error);
+      this.logFinished('refused', error);
     }
   }
 
-  private finishEnded(unused: ServerChoice | null): void {
+  private finishAborted(unused: ServerChoice | null): void {
     if (unused?.status === 'chosen') this.options.chooser.release(unused);
-    if (this.endCause === 'caller-gone') {
-      return this.noteFinished('caller-gone', null);
+    if (this.abortCause === 'caller-gone') {
+      return this.logFinished('caller-gone', null);
     }
-    this.endWith(makeTimedOut(this.mayHaveRun));
+    this.finishWithError(makeTimeoutError(this.mayHaveRun));
   }
 
-  private noteFinished(result: FinalResult, error: TypedError | null): void {
+  private logFinished(result: FinalResult, error: TypedError | null): void {
     const {attempts} = this;
     const {lastEventId} = this.relay;
-    this.log.noteFinished({result, error, attempts, lastEventId});
+    this.log.logFinished({result, error, attempts, lastEventId});
   }
 
-  private startTimer(): Timer {
+  private startDeadlineTimer(): Timer {
     const {clock} = this.options;
-    return clock.setTimer(this.endsAtMs - clock.monotonicMs(), () =>
-      this.endBy('timeout'),
+    return clock.setTimer(this.deadlineAtMs - clock.monotonicMs(), () =>
+      this.abortRun('timeout'),
     );
   }
 
-  private endBy(cause: EndCause): void {
-    if (this.endCause) return;
-    this.endCause = cause;
+  private abortRun(cause: AbortCause): void {
+    if (this.abortCause) return;
+    this.abortCause = cause;
     if (this.attempt) this.mayHaveRun = true;
-    this.ending.abort();
+    this.abortController.abort();
     this.attempt?.abort();
   }
 
-  /** A team's own goes before that of the route. */
+  /** The team's priority overrides that of the route. */
   private get priority(): number {
     return this.access.team?.priority ?? this.target.route.priority;
   }
 
   private makeAsk(excluded: ReadonlySet<BackendServerId>): ServerAsk {
     const {route, service} = this.target;
-    const isFull = this.sentTo.size >= route.maxAttempts;
+    const isServerLimitReached = this.reachedServers.size >= route.maxAttempts;
     return {
       request: this.request,
       ...{route, service, excluded},
-      allowed: isFull ? this.sentTo : null,
-      endsAtMs: this.endsAtMs,
+      allowed: isServerLimitReached ? this.reachedServers : null,
+      endsAtMs: this.deadlineAtMs,
       hasBegun: this.sink.hasBegun,
       charge: findCharge(this.request, this.access.team, this.attempts > 0),
       priority: this.priority,
-      signal: this.ending.signal,
+      signal: this.abortController.signal,
     };
   }
 }
--- a/packages/serve-requests/src/retry_allowance.test.ts
+++ b/packages/serve-requests/src/retry_allowance.test.ts
@@ -13,11 +13,7 @@
   ).filter(Boolean).length;
 }
 
-/*
- * All servers of a service fail. Every request would be sent twice by each of
- * 8 nodes; the bound holds for all of them together, so each may use an
- * eighth of the slack and its own requests' share, and no more.
- */
+/* Guards against nodes that each spend the whole bound when servers fail. */
 test('all nodes together stay within the bound', () => {
   const clock = new ManualClock();
   const granted = Array.from({length: 8}, () => {
@@ -32,7 +28,7 @@
   assert.ok(total <= BOUND.ratio * 8 * 50 + BOUND.slack, `${total}`);
 });
 
-test('what was spent comes back once it has left the window', () => {
+test('a spent retry is available again after the window', () => {
   const clock = new ManualClock();
   const allowance = new RetryAllowance({
     ...{clock, bound: () => BOUND, countNodes: () => 1},
--- a/packages/serve-requests/src/retry_allowance.ts
+++ b/packages/serve-requests/src/retry_allowance.ts
@@ -1,32 +1,28 @@
-/** How often requests may be sent again, over all nodes together. */
+/** Limits the retries to a service over all nodes together. */
 import {type Clock} from '@mimosatack/clock';
 import {type ServiceName} from '@mimosatack/types';
 
-/** The bound that all nodes together keep. */
+/** The retry limit of all nodes together. */
 export interface RetryBound {
-  /** Sends beyond the first of each request, as a share of the requests. */
+  /** Retries as a fraction of the requests. */
   ratio: number;
-  /** Sends that are allowed beside the share. */
+  /** Retries allowed in addition to the ratio. */
   slack: number;
   windowMs: number;
 }
 
-/** What the allowance is built from. */
 export interface RetryAllowanceOptions {
   clock: Clock;
-  /** The bound in force. */
+  /** The current bound. */
   bound: () => RetryBound;
-  /** How many nodes share the bound. */
+  /** The number of nodes that share the bound. */
   countNodes: () => number;
 }
 
-/**
- * Part of the bound that is used. Requests are not spread evenly over the
- * nodes and the nodes' counts of each other lag, so each keeps some back.
- */
-const USED_PART = 0.7;
-/** Buckets of a window; it slides by one of them. */
-const BUCKETS = 10;
+/** The rest covers uneven request rates and outdated node counts. */
+const USED_FRACTION = 0.7;
+/** The window slides by one bucket. */
+const BUCKETS_PER_WINDOW = 10;
 
 interface Bucket {
   startsAtMs: number;
@@ -35,10 +31,9 @@
 }
 
 /**
- * Guards against retries that multiply the load just when servers fail: all
- * nodes together send a bounded number again in any window of time, however
- * many callers press. Each node keeps its part of the bound by itself, since
- * asking others would take longer than a retry may wait.
+ * Guards against retries that multiply the load while servers fail. Each node
+ * enforces its part of the bound locally, since a round trip to other nodes
+ * would take longer than a retry may wait.
  */
 export class RetryAllowance {
   private readonly windows = new Map<ServiceName, Bucket[]>();
@@ -46,27 +41,27 @@
   constructor(private readonly options: RetryAllowanceOptions) {}
 
   noteRequest(service: ServiceName): void {
-    this.openBucket(service).requests += 1;
+    this.getCurrentBucket(service).requests += 1;
   }
 
-  /** Takes one more send out of the allowance, if there is one. */
+  /** Spends one retry if the allowance has one left. */
   trySpend(service: ServiceName): boolean {
-    const current = this.openBucket(service);
+    const current = this.getCurrentBucket(service);
     const buckets = this.windows.get(service) ?? [];
     const {ratio, slack} = this.options.bound();
     const requests = buckets.reduce((sum, b) => sum + b.requests, 0);
     const retries = buckets.reduce((sum, b) => sum + b.retries, 0);
     const nodes = Math.max(1, this.options.countNodes());
-    const allowed = USED_PART * (ratio * requests + slack / nodes);
+    const allowed = USED_FRACTION * (ratio * requests + slack / nodes);
     if (retries + 1 > allowed) return false;
     current.retries += 1;
     return true;
   }
 
-  private openBucket(service: ServiceName): Bucket {
+  private getCurrentBucket(service: ServiceName): Bucket {
     const nowMs = this.options.clock.monotonicMs();
     const {windowMs} = this.options.bound();
-    const lengthMs = windowMs / BUCKETS;
+    const lengthMs = windowMs / BUCKETS_PER_WINDOW;
     const known = this.windows.get(service) ?? [];
     const kept = known.filter(bucket => bucket.startsAtMs > nowMs - windowMs);
     const last = kept[kept.length - 1];
--- a/packages/serve-requests/src/retry_allowance_properties.test.ts
+++ b/packages/serve-requests/src/retry_allowance_properties.test.ts
@@ -8,7 +8,7 @@
 
 const BOUND = {ratio: 0.2, slack: 40, windowMs: 10_000};
 const NODES = 4;
-/** A long run takes more runs by this variable; CI has a fixed seed. */
+/** The environment variable raises the number of runs for long tests. */
 const RUNS = Number(process.env['MIMOSATACK_PROPERTY_RUNS'] ?? 60);
 const SEED = 20_261_203;
 
@@ -30,10 +30,8 @@
 );
 
 /*
- * Requests and failures come to the nodes unevenly and in bursts, with pauses
- * between. Whatever their order, in no window of time do all nodes together
- * send again more often than the bound allows, by the requests of that window
- * and the one before it.
+ * Guards against bursts at few nodes that exceed the bound, counted over the
+ * requests of a window and the window before.
  */
 test('no window holds more retries than the bound allows', () => {
   fc.assert(
--- a/packages/serve-requests/src/route_table.test.ts
+++ b/packages/serve-requests/src/route_table.test.ts
@@ -14,7 +14,7 @@
   );
 }
 
-test('takes the longest prefix of the host', () => {
+test('finds the longest matching prefix of the host', () => {
   const table = makeTable('/a/', '/a/b/', '/');
   const find = (path: string): ServiceRoute['name'] | undefined =>
     table.find('lists.example', path)?.name;
@@ -24,14 +24,14 @@
   assert.is(find('/a/b/?q=/z/'), '/a/b/');
 });
 
-test('knows no route of another host, nor a prefix in the query', () => {
+test('ignores routes of other hosts and prefixes in the query', () => {
   const table = makeTable('/a/');
   assert.is(table.find('other.example', '/a/x'), undefined);
   assert.is(table.find('lists.example', '/x?/a/'), undefined);
   assert.ok(table.find('LISTS.example:8080', '/a/x'));
 });
 
-test('draws services by their weights', () => {
+test('picks services by weight', () => {
   const random = new SeededRandom(7);
   const traffic = [
     {service: 'old', weight: 90},
--- a/packages/serve-requests/src/route_table.ts
+++ b/packages/serve-requests/src/route_table.ts
@@ -1,9 +1,8 @@
-/** Finds the route of a request. */
+/** Finds the route of a request by host and path. */
 import {type ServiceRoute} from '@mimosatack/types';
 
-/** The routes of one configuration, by host. */
 export class RouteTable {
-  /** Of each host, the longest prefix first. */
+  /** The routes of each host, longest prefix first. */
   private readonly byHost = new Map<string, ServiceRoute[]>();
 
   constructor(routes: readonly ServiceRoute[]) {
@@ -18,7 +17,7 @@
     );
   }
 
-  /** The route with the longest prefix that begins the path. */
+  /** Returns the route with the longest matching path prefix. */
   find(host: string, path: string): ServiceRoute | undefined {
     const pathOnly = path.split('?', 1)[0] ?? '';
     return this.byHost
@@ -27,7 +26,7 @@
   }
 }
 
-/** Host names are compared without case and without a port. */
+/** Host names match without regard to case and port. */
 function normalizeHost(host: string): string {
   return host.toLowerCase().replace(/:\d*$/, '');
 }
--- a/packages/serve-requests/src/server_chooser.ts
+++ b/packages/serve-requests/src/server_chooser.ts
@@ -1,4 +1,4 @@
-/** Who chooses the backend server that a request is sent to. */
+/** Interface for choosing the backend server of a request. */
 import {type TypedError} from '@mimosatack/errors';
 import {type QuotaCharge} from '@mimosatack/team-quotas';
 import {
@@ -10,81 +10,77 @@
 import {type ServerLoad} from './backend_dialect.js';
 import {type CallerRequest} from './caller_request.js';
 
-/** What a server is chosen for. */
+/** The request and the constraints that a server is chosen for. */
 export interface ServerAsk {
   request: CallerRequest;
   route: ServiceRoute;
   service: ServiceSpec;
-  /** Servers that were tried already. */
+  /** Servers that must not be chosen again. */
   excluded: ReadonlySet<BackendServerId>;
   /**
-   * The only servers that it may still be sent to, since it was sent to as
-   * many as its route allows; null for any.
+   * The only eligible servers once the request has reached as many servers as
+   * its route allows; null for any.
    */
   allowed: ReadonlySet<BackendServerId> | null;
-  /** When the answer has to be whole, on the monotonic clock. */
+  /** The deadline of the complete response, on the monotonic clock. */
   endsAtMs: number;
-  /** Whether the caller has a part of the answer and waits for the rest. */
+  /** Whether the caller has received the beginning of the response. */
   hasBegun: boolean;
-  /** What it takes out of its team's quota; null where nothing is counted. */
+  /** The cost to the team's quota; null for a team without a quota. */
   charge: QuotaCharge | null;
-  /** Of its team, or of its route; 0 is the most urgent. */
+  /** The priority of the team or the route; 0 is the most urgent. */
   priority: number;
-  /** Aborted when the request no longer waits. */
+  /** Aborted when the request no longer needs a server. */
   signal: AbortSignal;
 }
 
-/** What a choice rested on, for the log. */
+/** The basis of a choice, as logged. */
 export interface ChoiceBasis {
-  /** By the node that schedules, or by this node's own view. */
+  /** Whether the scheduling node or this node chose the server. */
   by: 'schedule' | 'own-view';
-  /** Requests of this node at the server, for a choice by the own view. */
+  /** This node's requests in flight at the server, for `own-view`. */
   ownRequests?: number;
-  /** Other servers that could have been chosen. */
+  /** The number of other eligible servers. */
   alternatives?: number;
-  /** The fencing token of the node that schedules. */
+  /** The fencing token of the scheduling node. */
   holderToken?: number;
-  /** How long the choice took. */
   waitedMs?: number;
 }
 
-/** A server to send to. */
 export interface ChosenServer {
   status: 'chosen';
   server: BackendServerEntry;
   basis: ChoiceBasis;
-  /** By which the chooser knows the choice again; null when it need not. */
+  /** Identifies the choice to the chooser; null if the chooser needs no id. */
   askId: string | null;
-  /** What was charged at this node, to be given back if it has not run. */
+  /** What this node charged; refunded if the request does not run. */
   charge?: QuotaCharge | null;
 }
 
-/** The server to send to, or why there is none. */
 export type ServerChoice =
   ChosenServer | {status: 'refused'; error: TypedError};
 
-/** How an attempt at a server went. */
+/** The result of an attempt, as reported to the chooser. */
 export type AttemptResult =
   | 'answered'
-  /** The server has no room for it, or still loads what it needs. */
+  /** The server has no capacity, or is still loading what the request needs. */
   | 'not-taken'
-  /** The server does not hold the model that it needs. */
+  /** The server does not hold the requested model. */
   | 'not-held'
-  /** It failed the request by a fault of its own. */
+  /** The request failed through a fault of the server. */
   | 'failed'
-  /** It could not be reached. */
   | 'unreachable'
-  /** It ended for a reason that says nothing of the server. */
+  /** The attempt ended for a reason unrelated to the server. */
   | 'neutral';
 
-/** Chooses servers and learns how the attempts go. */
+/** Chooses servers by the loads and results of earlier attempts. */
 export interface ServerChooser {
   choose(ask: ServerAsk): Promise<ServerChoice>;
-  /** The chosen server is not used after all. */
+  /** Gives back a chosen server that is not used. */
   release(choice: ChosenServer): void;
   noteSent(choice: ChosenServer): void;
   noteLoad(server: BackendServerEntry, load: ServerLoad): void;
-  /** @param headMs until the answer began; null if it did not. */
+  /** @param headMs time to the response head; null if none arrived. */
   noteDone(
     choice: ChosenServer,
     result: AttemptResult,
--- a/packages/serve-requests/src/test_fixtures.ts
+++ b/packages/serve-requests/src/test_fixtures.ts
@@ -54,7 +54,7 @@
   };
 }
 
-/** An ask of a plain request that may go to any server. */
+/** An ask for a plain request that may go to any server. */
 export function makeAsk(change: Partial<ServerAsk> = {}): ServerAsk {
   return {
     request: makeRequest(),
