--- a/packages/contain-requests/src/contained_record.test.ts
+++ b/packages/contain-requests/src/contained_record.test.ts
@@ -1,18 +1,23 @@
-/** What the store keeps of contained requests. */
+/** Guards against losing or misreading contained requests after a restart. */
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
 import {decodeContained, encodeContained} from './contained_record.js';
 
 const test = suite('record of contained requests');
 
-const makeLives = (names: string) =>
-  new Map([...names].map((life, atMs) => [life, {atMs, isTry: life === 'c'}]));
+const makeCuts = (names: string) =>
+  new Map(
+    [...names].map((serverLife, atMs) => [
+      serverLife,
+      {atMs, isTry: serverLife === 'c'},
+    ]),
+  );
 const cuts = new Map([
-  ['bad', makeLives('bac')],
-  ['other', makeLives('a')],
+  ['bad', makeCuts('bac')],
+  ['other', makeCuts('a')],
 ]);
 
-test('only what is contained is recorded', () => {
+test('only contained requests are recorded', () => {
   const value = encodeContained(['bad'], cuts);
   assert.equal(
     value && decodeContained(value, 9),
@@ -24,12 +29,12 @@
   assert.is(encodeContained([], cuts), null);
 });
 
-test('the same knowledge makes the same record, whoever learnt it how', () => {
-  const other = new Map([['bad', makeLives('cab')]]);
+test('the same facts make the same record in any order of arrival', () => {
+  const other = new Map([['bad', makeCuts('cab')]]);
   assert.equal(encodeContained(['bad'], cuts), encodeContained(['bad'], other));
 });
 
-test('a record of another form tells nothing', () => {
+test('a record with an invalid format decodes to null', () => {
   ['', '{', '[1]', '{"bad":3}', '[{"fingerprint":1,"cuts":[]}]'].forEach(text =>
     assert.is(decodeContained(Buffer.from(text), 0), null, text),
   );
--- a/packages/contain-requests/src/contained_record.ts
+++ b/packages/contain-requests/src/contained_record.ts
@@ -1,10 +1,10 @@
-/** The record in the store of which requests are contained. */
+/** Encodes and decodes the stored record of contained requests. */
 import {type RequestFingerprint} from '@mimosatack/types';
 import * as z from 'zod';
-import {type CrashFact, type CutsByLife} from './crash_evidence.js';
+import {type CrashFact, type CutsByIncarnation} from './crash_evidence.js';
 
-/** More would not fit one record; those that were cut most lately are kept. */
-const MAX_RECORDED = 500;
+/** Limited by the record size; requests with the latest cuts are kept. */
+const MAX_RECORDED_REQUESTS = 500;
 
 const recordSchema = z.array(
   z.object({
@@ -13,13 +13,13 @@
   }),
 );
 
-/** The form of the record; null for a record that is not needed. */
+/** Null if no request is contained. */
 export function encodeContained(
   contained: readonly RequestFingerprint[],
-  cuts: ReadonlyMap<RequestFingerprint, CutsByLife>,
+  cuts: ReadonlyMap<RequestFingerprint, CutsByIncarnation>,
 ): Uint8Array | null {
   if (contained.length === 0) return null;
-  const entries = contained.slice(-MAX_RECORDED).map(fingerprint => ({
+  const entries = contained.slice(-MAX_RECORDED_REQUESTS).map(fingerprint => ({
     fingerprint,
     cuts: [...(cuts.get(fingerprint) ?? [])]
       .map(([serverLife, {isTry}]) => ({serverLife, isTry}))
@@ -29,8 +29,8 @@
 }
 
 /**
- * The facts in a record, as if they had been seen just now: a clock that lasts
- * from one process to the next can jump. Null for a record of another form.
+ * Dates the recorded facts to now, since a wall clock that could date them may
+ * jump. Null for a record with an invalid format.
  */
 export function decodeContained(
   value: Uint8Array,
--- a/packages/contain-requests/src/crash_evidence.test.ts
+++ b/packages/contain-requests/src/crash_evidence.test.ts
@@ -1,18 +1,18 @@
-/** What nodes know of servers that ended, however it reaches them. */
+/** Guards against evidence that depends on how facts reach a node. */
 import {ManualClock} from '@mimosatack/clock';
 import fc from 'fast-check';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
 import {CrashEvidence, type CrashFact} from './crash_evidence.js';
 
-const test = suite('evidence of crashes');
+const test = suite('crash evidence');
 
 const RUNS = {numRuns: 300, seed: 11};
-const KEPT_FROM = 3;
+const MIN_PROTECTED_CUTS = 3;
 const DAY_MS = 24 * 3_600_000;
 
 function makeEvidence(clock = new ManualClock()): CrashEvidence {
-  return new CrashEvidence(clock, KEPT_FROM);
+  return new CrashEvidence(clock, MIN_PROTECTED_CUTS);
 }
 
 function cut(
@@ -28,11 +28,11 @@
   return {kind: 'served', fingerprint, atMs};
 }
 
-/** In an order that does not depend on how it was learnt. */
-function show(evidence: CrashEvidence): string[] {
+/** Sorted, so that the order of arrival does not matter. */
+function listCuts(evidence: CrashEvidence): string[] {
   return [...evidence.byRequest]
-    .flatMap(([print, lives]) =>
-      [...lives.keys()].map(life => `${print} ${life}`),
+    .flatMap(([fingerprint, cuts]) =>
+      [...cuts.keys()].map(serverLife => `${fingerprint} ${serverLife}`),
     )
     .sort();
 }
@@ -52,29 +52,30 @@
   }),
 );
 
-/*
- * Two halves of the nodes are cut off from each other and meet again; each tells
- * the other all that it knows, also what both have seen. Were an end counted
- * twice, a request that stood at two servers would be refused.
- */
-test('a fact that comes again changes nothing', () => {
+/* Guards against counting a crash twice when a network partition heals. */
+test('a repeated fact changes nothing', () => {
   fc.assert(
     fc.property(fc.array(anyFact), facts => {
       const evidence = makeEvidence();
       facts.forEach(fact => evidence.add(fact));
-      const before = show(evidence);
-      const cuts = [...evidence.byRequest].flatMap(([print, lives]) =>
-        [...lives].map(([life, {atMs}]) => cut(print, life, atMs)),
+      const before = listCuts(evidence);
+      const repeated = [...evidence.byRequest].flatMap(([fingerprint, cuts]) =>
+        [...cuts].map(([serverLife, {atMs}]) =>
+          cut(fingerprint, serverLife, atMs),
+        ),
       );
-      assert.equal(cuts.map(fact => evidence.add(fact)).some(Boolean), false);
-      assert.equal(show(evidence), before);
+      assert.equal(
+        repeated.map(fact => evidence.add(fact)).some(Boolean),
+        false,
+      );
+      assert.equal(listCuts(evidence), before);
     }),
     RUNS,
   );
 });
 
-/* The same cut is told once: what a node saw first is not moved by hearsay. */
-test('the order in which facts come does not matter', () => {
+/* Each cut occurs once: the first report of a cut decides its time. */
+test('the order of facts does not matter', () => {
   const once = fc.uniqueArray(anyFact, {
     selector: fact =>
       fact.kind === 'cut'
@@ -93,13 +94,13 @@
       const other = makeEvidence();
       first.forEach(fact => one.add(fact));
       second.forEach(fact => other.add(fact));
-      assert.equal(show(one), show(other));
+      assert.equal(listCuts(one), listCuts(other));
     }),
     RUNS,
   );
 });
 
-test('what was served since crashes nothing, also when told late', () => {
+test('a success clears earlier cuts, also those reported later', () => {
   const evidence = makeEvidence();
   evidence.add(cut('f', 'a', -9));
   evidence.add(served('f', -5));
@@ -108,13 +109,10 @@
   assert.ok(evidence.add(cut('f', 'c', -3)));
 });
 
-/*
- * Somebody sends thousands of different bodies, and each is cut once. What is
- * known to crash servers must not be forgotten for them.
- */
-test('any number of other requests pushes out none that is known', () => {
+/* Guards against evicting contained requests when many others lose a server. */
+test('other requests do not evict a contained one', () => {
   const evidence = makeEvidence();
-  ['a', 'b', 'c'].forEach(life => evidence.add(cut('bad', life)));
+  ['a', 'b', 'c'].forEach(serverLife => evidence.add(cut('bad', serverLife)));
   Array.from({length: 100_000}, (_, at) =>
     evidence.add(cut(`other-${at}`, 'a')),
   );
@@ -123,21 +121,18 @@
   assert.ok(evidence.listSince(0, Infinity).length <= 2_002);
 });
 
-/*
- * More servers end under a request than are remembered, and then a try ends one
- * more. Were that not taken in, the next try would come at once.
- */
-test('of many ends the newest and those of tries are kept', () => {
+/* Guards against an immediate next probe because a probe's cut was dropped. */
+test('the newest cuts and those of probes are kept', () => {
   const evidence = makeEvidence();
   Array.from({length: 9}, (_, at) => evidence.add(cut('f', `${at}`, at - 20)));
   assert.ok(evidence.add(cut('f', 'tried', -5, true)));
   assert.not(evidence.add(cut('f', '0', -20)));
   assert.ok(evidence.add(cut('f', 'late', -1)));
-  const lives = [...(evidence.byRequest.get('f')?.keys() ?? [])];
-  assert.equal(lives, ['3', '4', '5', '6', '7', '8', 'tried', 'late']);
+  const incarnations = [...(evidence.byRequest.get('f')?.keys() ?? [])];
+  assert.equal(incarnations, ['3', '4', '5', '6', '7', '8', 'tried', 'late']);
 });
 
-test('what is older than a day is forgotten', () => {
+test('facts expire after a day', () => {
   const clock = new ManualClock();
   const evidence = makeEvidence(clock);
   evidence.add(cut('f', 'a'));
--- a/packages/contain-requests/src/crash_evidence.ts
+++ b/packages/contain-requests/src/crash_evidence.ts
@@ -1,63 +1,63 @@
-/** What is known of servers that ended under requests. */
+/** Evidence of which requests crash servers, collected from all nodes. */
 import {type Clock} from '@mimosatack/clock';
 import {type RequestFingerprint} from '@mimosatack/types';
 
-/** One life of a server: another one begins when it starts again. */
-export type ServerLife = string;
+/** Identifies a server process; a restarted server is another incarnation. */
+export type ServerIncarnation = string;
 
-/** Something that a node has seen; times are on the own monotonic clock. */
+/** An observation of a node; times are on this node's monotonic clock. */
 export type CrashFact =
-  /** A server's connection was cut while it had the request. */
+  /** A connection was lost while the server had the request. */
   | {
       kind: 'cut';
       fingerprint: RequestFingerprint;
-      serverLife: ServerLife;
+      serverLife: ServerIncarnation;
       atMs: number;
-      /** It was contained and tried once more. */
+      /** Whether the request was a probe of a contained one. */
       isTry: boolean;
     }
-  /** A server has answered it whole, so that it crashes none. */
+  /** A server completed the request with a success. */
   | {kind: 'served'; fingerprint: RequestFingerprint; atMs: number};
 
-/** One cut of a request. */
 export type Cut = Pick<Extract<CrashFact, {kind: 'cut'}>, 'atMs' | 'isTry'>;
 
-/** At which lives of servers a request was cut. */
-export type CutsByLife = ReadonlyMap<ServerLife, Cut>;
+/** The server incarnations that lost their connection under a request. */
+export type CutsByIncarnation = ReadonlyMap<ServerIncarnation, Cut>;
 
 /**
- * Requests that are remembered. Beyond it the oldest go first of those that are
- * short of being contained, so that any number of other bodies pushes out none
- * of the known ones.
+ * Beyond this number the oldest requests that are not contained are evicted
+ * first, so that other requests never displace contained ones.
  */
 const MAX_REQUESTS = 2_000;
-/** Lives kept of each request: the newest, and those that tries ended. */
-const MAX_LIVES = 8;
-/** What is older is forgotten. */
-const MEMORY_MS = 24 * 3_600_000;
+/** The newest cuts and those of probes are kept. */
+const MAX_CUTS_PER_REQUEST = 8;
+const FACT_MAX_AGE_MS = 24 * 3_600_000;
 
-interface NumberedFact {
+interface SequencedFact {
   sequence: number;
   fact: CrashFact;
 }
 
 /**
- * A set of facts that only grows by merging: the same fact from two nodes
- * counts once, in whichever order they come.
+ * A set of facts with an idempotent merge: the same fact from several nodes
+ * counts once, in any order of arrival.
  */
 export class CrashEvidence {
-  private readonly facts = new Map<string, NumberedFact>();
-  private readonly cuts = new Map<RequestFingerprint, Map<ServerLife, Cut>>();
+  private readonly facts = new Map<string, SequencedFact>();
+  private readonly cuts = new Map<
+    RequestFingerprint,
+    Map<ServerIncarnation, Cut>
+  >();
   private readonly servedAtMs = new Map<RequestFingerprint, number>();
   private sequence = 0;
 
   constructor(
     private readonly clock: Clock,
-    /** From how many cuts on a request is kept rather than others. */
-    private readonly keptFromCuts: number,
+    /** Requests with at least this many cuts are evicted last. */
+    private readonly minProtectedCuts: number,
   ) {}
 
-  /** Grows with every fact that is new here. */
+  /** The sequence number of the last fact that was new to this node. */
   get lastSequence(): number {
     return this.sequence;
   }
@@ -66,30 +66,29 @@
     return this.cuts.size === 0;
   }
 
-  /** The requests that were cut and not served since. */
-  get byRequest(): ReadonlyMap<RequestFingerprint, CutsByLife> {
+  /** The cuts of each request that was not served since. */
+  get byRequest(): ReadonlyMap<RequestFingerprint, CutsByIncarnation> {
     return this.cuts;
   }
 
-  /** The newest facts after a number, oldest first. */
-  listSince(sequence: number, limit: number): NumberedFact[] {
+  /** Returns facts after a sequence number, oldest first. */
+  listSince(sequence: number, limit: number): SequencedFact[] {
     if (sequence >= this.sequence) return [];
     return [...this.facts.values()]
-      .filter(numbered => numbered.sequence > sequence)
+      .filter(sequenced => sequenced.sequence > sequence)
       .slice(0, limit);
   }
 
-  /** False for what is known, or refuted by what is known. */
+  /** Returns false for a fact that is known, expired or outdated. */
   add(fact: CrashFact): boolean {
-    if (this.clock.monotonicMs() - fact.atMs > MEMORY_MS) return false;
+    if (this.clock.monotonicMs() - fact.atMs > FACT_MAX_AGE_MS) return false;
     return fact.kind === 'cut' ? this.addCut(fact) : this.addServed(fact);
   }
 
-  /** Drops what is too old to tell anything. */
   expire(): void {
-    const oldestMs = this.clock.monotonicMs() - MEMORY_MS;
-    this.cuts.forEach((lives, fingerprint) => {
-      if (findNewestMs(lives) < oldestMs) this.dropCuts(fingerprint);
+    const oldestMs = this.clock.monotonicMs() - FACT_MAX_AGE_MS;
+    this.cuts.forEach((cuts, fingerprint) => {
+      if (findLastCutMs(cuts) < oldestMs) this.dropCuts(fingerprint);
     });
     this.servedAtMs.forEach((atMs, fingerprint) => {
       if (atMs < oldestMs) this.dropServed(fingerprint);
@@ -99,26 +98,27 @@
   private addCut(fact: Extract<CrashFact, {kind: 'cut'}>): boolean {
     const {fingerprint, serverLife, atMs, isTry} = fact;
     if (atMs <= (this.servedAtMs.get(fingerprint) ?? -Infinity)) return false;
-    const lives = this.cuts.get(fingerprint) ?? new Map<ServerLife, Cut>();
-    if (lives.has(serverLife) || !this.hasPlace(fact)) return false;
-    lives.set(serverLife, {atMs, isTry});
-    // Put last, as the one that was cut most lately.
+    const cuts =
+      this.cuts.get(fingerprint) ?? new Map<ServerIncarnation, Cut>();
+    if (cuts.has(serverLife) || !this.makeRoomForCut(fact)) return false;
+    cuts.set(serverLife, {atMs, isTry});
+    // Moves the request to the end, since eviction starts with the first.
     this.cuts.delete(fingerprint);
-    this.cuts.set(fingerprint, lives);
-    this.number(makeCutKey(fingerprint, serverLife), fact);
-    if (this.cuts.size > MAX_REQUESTS) this.makeRoom();
+    this.cuts.set(fingerprint, cuts);
+    this.assignSequence(makeCutKey(fingerprint, serverLife), fact);
+    if (this.cuts.size > MAX_REQUESTS) this.evictRequest();
     return true;
   }
 
-  /** Makes room among the lives of a request for one that is newer. */
-  private hasPlace({
+  /** Evicts an older cut of the request; false if all are newer. */
+  private makeRoomForCut({
     fingerprint,
     atMs,
   }: Extract<CrashFact, {kind: 'cut'}>): boolean {
-    const lives = [...(this.cuts.get(fingerprint) ?? [])];
-    if (lives.length < MAX_LIVES) return true;
-    const slight = lives.filter(([, {isTry}]) => !isTry);
-    const [oldest] = (slight.length > 0 ? slight : lives).sort(
+    const cuts = [...(this.cuts.get(fingerprint) ?? [])];
+    if (cuts.length < MAX_CUTS_PER_REQUEST) return true;
+    const evictable = cuts.filter(([, {isTry}]) => !isTry);
+    const [oldest] = (evictable.length > 0 ? evictable : cuts).sort(
       ([, one], [, other]) => one.atMs - other.atMs,
     );
     if (!oldest || oldest[1].atMs >= atMs) return false;
@@ -128,50 +128,49 @@
 
   private addServed(fact: Extract<CrashFact, {kind: 'served'}>): boolean {
     const {fingerprint, atMs} = fact;
-    const refuted = [...(this.cuts.get(fingerprint) ?? [])].filter(
+    const outdated = [...(this.cuts.get(fingerprint) ?? [])].filter(
       ([, cut]) => cut.atMs <= atMs,
     );
-    // A fact that comes back from another node looks a little younger.
-    if (this.servedAtMs.has(fingerprint) && refuted.length === 0) return false;
+    // The same fact from another node may have a slightly later time.
+    if (this.servedAtMs.has(fingerprint) && outdated.length === 0) return false;
     this.dropServed(fingerprint);
     this.servedAtMs.set(fingerprint, atMs);
-    this.number(fingerprint, fact);
-    refuted.forEach(([life]) => this.dropCut(fingerprint, life));
+    this.assignSequence(fingerprint, fact);
+    outdated.forEach(([serverLife]) => this.dropCut(fingerprint, serverLife));
     if (this.servedAtMs.size > MAX_REQUESTS) this.dropOldestServed();
     return true;
   }
 
-  private number(key: string, fact: CrashFact): void {
+  private assignSequence(key: string, fact: CrashFact): void {
     this.sequence += 1;
     this.facts.set(key, {sequence: this.sequence, fact});
   }
 
-  private makeRoom(): void {
+  private evictRequest(): void {
     const [oldest] = this.cuts.keys();
-    const fingerprint = this.findOldestSlight() ?? oldest;
+    const fingerprint = this.findOldestUnprotected() ?? oldest;
     if (fingerprint !== undefined) this.dropCuts(fingerprint);
   }
 
-  /** Looks no further than it has to. */
-  private findOldestSlight(): RequestFingerprint | undefined {
+  private findOldestUnprotected(): RequestFingerprint | undefined {
     for (const [fingerprint, {size}] of this.cuts) {
-      if (size < this.keptFromCuts) return fingerprint;
+      if (size < this.minProtectedCuts) return fingerprint;
     }
     return undefined;
   }
 
   private dropCuts(fingerprint: RequestFingerprint): void {
-    const lives = [...(this.cuts.get(fingerprint)?.keys() ?? [])];
-    lives.forEach(serverLife => this.dropCut(fingerprint, serverLife));
+    const incarnations = [...(this.cuts.get(fingerprint)?.keys() ?? [])];
+    incarnations.forEach(serverLife => this.dropCut(fingerprint, serverLife));
   }
 
   private dropCut(
     fingerprint: RequestFingerprint,
-    serverLife: ServerLife,
+    serverLife: ServerIncarnation,
   ): void {
-    const lives = this.cuts.get(fingerprint);
-    lives?.delete(serverLife);
-    if (lives?.size === 0) this.cuts.delete(fingerprint);
+    const cuts = this.cuts.get(fingerprint);
+    cuts?.delete(serverLife);
+    if (cuts?.size === 0) this.cuts.delete(fingerprint);
     this.facts.delete(makeCutKey(fingerprint, serverLife));
   }
 
@@ -186,14 +185,13 @@
   }
 }
 
-/** When a request was cut last. */
-export function findNewestMs(cuts: CutsByLife): number {
+export function findLastCutMs(cuts: CutsByIncarnation): number {
   return Math.max(...[...cuts.values()].map(({atMs}) => atMs));
 }
 
 function makeCutKey(
   fingerprint: RequestFingerprint,
-  serverLife: ServerLife,
+  serverLife: ServerIncarnation,
 ): string {
   return `${fingerprint} ${serverLife}`;
 }
--- a/packages/contain-requests/src/crash_exchange.test.ts
+++ b/packages/contain-requests/src/crash_exchange.test.ts
@@ -1,4 +1,4 @@
-/** How what one node has seen reaches the others. */
+/** Guards against facts that do not reach all nodes. */
 import {ManualClock} from '@mimosatack/clock';
 import {MemoryEventLogger} from '@mimosatack/logger';
 import {suite} from 'uvu';
@@ -6,7 +6,7 @@
 import {CrashExchange} from './crash_exchange.js';
 import {RequestContainment} from './request_containment.js';
 
-const test = suite('exchange of crashes');
+const test = suite('crash exchange');
 
 const clock = new ManualClock();
 
@@ -21,80 +21,76 @@
 
 type TestNode = ReturnType<typeof makeNode>;
 
-/** One heartbeat; the numbers of facts that went either way. */
-function greet(node: TestNode, holder: TestNode): [number, number] {
+/** Returns the numbers of facts in the report and in the reply. */
+function exchangeHeartbeat(node: TestNode, holder: TestNode): [number, number] {
   const report = node.exchange.makeReport(holder.incarnation);
   const reply = holder.exchange.answer(report);
   if (reply) node.exchange.takeReply(holder.incarnation, report, reply);
   return [report?.facts.length ?? 0, reply?.facts.length ?? 0];
 }
 
-/*
- * One request ends a server under each of three nodes. None of them has seen
- * three ends by itself; with a heartbeat of each all have to know.
- */
-test('three ends at three nodes contain it at all', () => {
+/* Guards against counting crashes at each node alone. */
+test('three crashes at three nodes contain a request at all nodes', () => {
   const [holder, second, third] = ['n1', 'n2', 'n3'].map(name =>
     makeNode(name),
   );
-  if (!holder || !second || !third) throw new Error('three nodes');
+  if (!holder || !second || !third) throw new Error('expected three nodes');
   holder.containment.noteCut('bad', 'a');
   second.containment.noteCut('bad', 'b');
   third.containment.noteCut('bad', 'c');
-  greet(second, holder);
-  greet(third, holder);
+  exchangeHeartbeat(second, holder);
+  exchangeHeartbeat(third, holder);
   assert.ok(holder.containment.isContained('bad'));
   assert.ok(third.containment.isContained('bad'));
-  greet(second, holder);
+  exchangeHeartbeat(second, holder);
   assert.ok(second.containment.isContained('bad'));
   assert.is(second.logger.fieldsOf('request-contained').length, 1);
 });
 
-test('nothing is told twice, and nothing while nothing happens', () => {
+test('no fact is sent twice, and no message without facts', () => {
   const [holder, second] = ['n1', 'n2'].map(name => makeNode(name));
-  if (!holder || !second) throw new Error('two nodes');
+  if (!holder || !second) throw new Error('expected two nodes');
   assert.is(second.exchange.makeReport(holder.incarnation), null);
   assert.is(holder.exchange.answer(null), null);
   second.containment.noteCut('bad', 'a');
-  assert.is(greet(second, holder)[0], 1);
+  assert.is(exchangeHeartbeat(second, holder)[0], 1);
   holder.containment.noteCut('bad', 'b');
-  greet(second, holder);
-  assert.equal(greet(second, holder), [0, 0]);
+  exchangeHeartbeat(second, holder);
+  assert.equal(exchangeHeartbeat(second, holder), [0, 0]);
 });
 
-test('a reply that was lost is made up for', () => {
+test('facts of a lost reply are sent again', () => {
   const [holder, second] = ['n1', 'n2'].map(name => makeNode(name));
-  if (!holder || !second) throw new Error('two nodes');
+  if (!holder || !second) throw new Error('expected two nodes');
   holder.containment.noteCut('bad', 'a');
   second.containment.noteCut('bad', 'b');
   holder.exchange.answer(second.exchange.makeReport(holder.incarnation));
-  greet(second, holder);
+  exchangeHeartbeat(second, holder);
   assert.is(second.containment.evidence.byRequest.get('bad')?.size, 2);
   assert.is(holder.containment.evidence.byRequest.get('bad')?.size, 2);
 });
 
-/* The holder is lost with all it knew; the next one has to learn it again. */
-test('a new holder is told all, and tells one that has restarted', () => {
+/* Guards against losing the facts of a holder that crashes. */
+test('a new holder receives all facts and updates a restarted node', () => {
   const [first, second, third] = ['n1', 'n2', 'n3'].map(name => makeNode(name));
-  if (!first || !second || !third) throw new Error('three nodes');
-  ['a', 'b', 'c'].forEach(life => second.containment.noteCut('bad', life));
-  greet(second, first);
-  greet(second, third);
+  if (!first || !second || !third) throw new Error('expected three nodes');
+  ['a', 'b', 'c'].forEach(serverLife =>
+    second.containment.noteCut('bad', serverLife),
+  );
+  exchangeHeartbeat(second, first);
+  exchangeHeartbeat(second, third);
   assert.ok(third.containment.isContained('bad'));
   const restarted = makeNode('n1-again');
-  greet(restarted, third);
+  exchangeHeartbeat(restarted, third);
   assert.ok(restarted.containment.isContained('bad'));
 });
 
-/*
- * The holder's process is restarted, and its address answers before anybody knows.
- * Were the answer taken for the old one's, what it lacks would never be told.
- */
-test('another process at the address of the holder is told all later', () => {
+/* Guards against taking a restarted holder's reply for an acknowledgement. */
+test('a restarted holder at the same address receives all facts', () => {
   const [first, second] = ['n1', 'n2'].map(name => makeNode(name));
-  if (!first || !second) throw new Error('two nodes');
+  if (!first || !second) throw new Error('expected two nodes');
   second.containment.noteCut('bad', 'a');
-  greet(second, first);
+  exchangeHeartbeat(second, first);
   const restarted = makeNode('n1-again');
   const report = second.exchange.makeReport(first.incarnation);
   const reply = restarted.exchange.answer(report);
@@ -102,42 +98,43 @@
     second.exchange.takeReply(restarted.incarnation, report, reply);
   }
   assert.ok(restarted.containment.evidence.isEmpty);
-  greet(second, restarted);
+  exchangeHeartbeat(second, restarted);
   assert.not(restarted.containment.evidence.isEmpty);
 });
 
-test('more than fits one message comes with the next', () => {
+test('facts beyond the message limit follow with the next heartbeat', () => {
   const [holder, second] = ['n1', 'n2'].map(name => makeNode(name));
-  if (!holder || !second) throw new Error('two nodes');
+  if (!holder || !second) throw new Error('expected two nodes');
   Array.from({length: 450}, (_, at) =>
     second.containment.noteCut(`f-${at}`, 'a'),
   );
-  const sent = [0, 0, 0, 0].map(() => greet(second, holder)[0]);
+  const sent = [0, 0, 0, 0].map(() => exchangeHeartbeat(second, holder)[0]);
   assert.equal(sent, [200, 200, 50, 0]);
   assert.is(holder.containment.evidence.byRequest.size, 450);
 });
 
-test('one that was served since is let go everywhere', () => {
+test('a success releases the request at all nodes', () => {
   const [holder, second] = ['n1', 'n2'].map(name => makeNode(name));
-  if (!holder || !second) throw new Error('two nodes');
-  ['a', 'b', 'c'].forEach(life => second.containment.noteCut('slow', life));
-  greet(second, holder);
+  if (!holder || !second) throw new Error('expected two nodes');
+  ['a', 'b', 'c'].forEach(serverLife =>
+    second.containment.noteCut('slow', serverLife),
+  );
+  exchangeHeartbeat(second, holder);
   clock.advance(1);
   holder.containment.noteServed('slow');
-  greet(second, holder);
+  exchangeHeartbeat(second, holder);
   assert.not(second.containment.isContained('slow'));
   assert.is(second.logger.fieldsOf('request-released').length, 1);
-  assert.equal(greet(second, holder), [0, 0]);
+  assert.equal(exchangeHeartbeat(second, holder), [0, 0]);
 });
 
-/*
- * Three servers are lost at once for another reason, and each had a request that
- * many callers send. Refused everywhere, it could never be served and cleared.
- */
-test('one node tries a contained request, one at a time', () => {
+/* Guards against containing a harmless request forever. */
+test('one node probes a contained request, once at a time', () => {
   const [holder, second] = [makeNode('n1', true), makeNode('n2')];
-  ['a', 'b', 'c'].forEach(life => holder.containment.noteCut('common', life));
-  greet(second, holder);
+  ['a', 'b', 'c'].forEach(serverLife =>
+    holder.containment.noteCut('common', serverLife),
+  );
+  exchangeHeartbeat(second, holder);
   assert.not(holder.containment.claimTry('common'));
   clock.advance(30_000);
   assert.not(second.containment.claimTry('common'));
@@ -145,21 +142,21 @@
   assert.not(holder.containment.claimTry('common'));
   holder.containment.noteServed('common');
   holder.containment.endTry('common');
-  greet(second, holder);
+  exchangeHeartbeat(second, holder);
   assert.not(second.containment.isContained('common'));
 });
 
-test('what a try ends makes the next one rarer', () => {
+test('each probe that crashes a server delays the next one', () => {
   const {containment} = makeNode('n1', true);
-  ['a', 'b', 'c'].forEach(life => containment.noteCut('bad', life));
-  const tried = ['d', 'e', 'f'].map(life => {
+  ['a', 'b', 'c'].forEach(serverLife => containment.noteCut('bad', serverLife));
+  const delaysS = ['d', 'e', 'f'].map(serverLife => {
     const startedAtMs = clock.monotonicMs();
     while (!containment.claimTry('bad')) clock.advance(1_000);
-    containment.noteCut('bad', life);
+    containment.noteCut('bad', serverLife);
     containment.endTry('bad');
     return (clock.monotonicMs() - startedAtMs) / 1_000;
   });
-  assert.equal(tried, [30, 240, 1_920]);
+  assert.equal(delaysS, [30, 240, 1_920]);
   assert.ok(containment.isContained('bad'));
 });
 
--- a/packages/contain-requests/src/crash_exchange.ts
+++ b/packages/contain-requests/src/crash_exchange.ts
@@ -1,53 +1,51 @@
-/** Passes on with heartbeats what nodes know of servers that ended. */
+/** Exchanges crash evidence between nodes in their heartbeats. */
 import {type Clock} from '@mimosatack/clock';
 import {type NodeIncarnation} from '@mimosatack/types';
 import {
   type CrashReply,
   type CrashReport,
-  fromTold,
-  toTold,
+  fromWireFact,
+  toWireFact,
 } from './crash_messages.js';
 import {type RequestContainment} from './request_containment.js';
 
-/** What an exchange is built from. */
 export interface CrashExchangeOptions {
   clock: Clock;
   containment: RequestContainment;
 }
 
-/** Facts in one message; what is left goes with the next heartbeat. */
-const MAX_FACTS = 200;
+/** The rest follows with the next heartbeat. */
+const MAX_FACTS_PER_MESSAGE = 200;
 
 /**
- * Each node and the holder tell each other what the other lacks, in heartbeats
- * that are sent anyway. So all know within two of them, nothing is sent while
- * nothing happens, and a node that has restarted, a holder that is new, or
- * halves that were apart fetch all by the same steps.
+ * Each node exchanges the missing facts with the holder, the node that holds
+ * the scheduling duty, so that a fact reaches all nodes within two heartbeats.
+ * Restarted nodes, new holders and healed partitions catch up the same way.
  */
 export class CrashExchange {
   private holder: NodeIncarnation = '';
-  /** Of the holder's facts, the last that this node has. */
+  /** The last of the holder's facts that this node has. */
   private knownSequence = 0;
-  /** Of the own facts, the last that the holder has confirmed. */
-  private toldSequence = 0;
+  /** The last of this node's facts that the holder has acknowledged. */
+  private acknowledgedSequence = 0;
 
   constructor(private readonly options: CrashExchangeOptions) {}
 
-  /** What a heartbeat to the holder tells; null while nothing is known. */
+  /** The report in a heartbeat to the holder; null while there are no facts. */
   makeReport(holder: NodeIncarnation): CrashReport | null {
     if (holder !== this.holder) {
       this.holder = holder;
       this.knownSequence = 0;
-      this.toldSequence = 0;
+      this.acknowledgedSequence = 0;
     }
     const {knownSequence} = this;
     if (knownSequence === 0 && this.evidence.lastSequence === 0) return null;
-    return {...this.listFacts(this.toldSequence), knownSequence};
+    return {...this.listFacts(this.acknowledgedSequence), knownSequence};
   }
 
   /**
-   * Takes what a holder said to a report. What another one says, which has started
-   * at its address meanwhile, tells nothing of what this one knows.
+   * Merges the holder's reply to a report. Ignores the reply of another process
+   * at the holder's address, which does not acknowledge facts for the holder.
    */
   takeReply(
     holder: NodeIncarnation,
@@ -55,17 +53,20 @@
     reply: CrashReply,
   ): void {
     if (holder !== this.holder) return;
-    this.toldSequence = Math.max(this.toldSequence, report?.sequence ?? 0);
+    this.acknowledgedSequence = Math.max(
+      this.acknowledgedSequence,
+      report?.sequence ?? 0,
+    );
     this.knownSequence = reply.sequence;
-    const hasToldAll = this.toldSequence === this.evidence.lastSequence;
-    this.take(reply);
-    // The holder need not be told what it has just said.
-    if (hasToldAll) this.toldSequence = this.evidence.lastSequence;
+    const isUpToDate = this.acknowledgedSequence === this.evidence.lastSequence;
+    this.mergeFacts(reply);
+    // The holder has the facts of its own reply.
+    if (isUpToDate) this.acknowledgedSequence = this.evidence.lastSequence;
   }
 
-  /** At the holder: takes a report and tells what its sender lacks. */
+  /** Called at the holder: merges a report, replies with the missing facts. */
   answer(report: CrashReport | null): CrashReply | null {
-    if (report) this.take(report);
+    if (report) this.mergeFacts(report);
     if (this.evidence.lastSequence === 0) return null;
     return this.listFacts(report?.knownSequence ?? 0);
   }
@@ -76,18 +77,23 @@
 
   private listFacts(sinceSequence: number): CrashReply {
     const nowMs = this.options.clock.monotonicMs();
-    const listed = this.evidence.listSince(sinceSequence, MAX_FACTS);
-    const isAll = listed.length < MAX_FACTS;
+    const listed = this.evidence.listSince(
+      sinceSequence,
+      MAX_FACTS_PER_MESSAGE,
+    );
+    const isAll = listed.length < MAX_FACTS_PER_MESSAGE;
     return {
-      facts: listed.map(({fact}) => toTold(fact, nowMs)),
+      facts: listed.map(({fact}) => toWireFact(fact, nowMs)),
       sequence: isAll
         ? this.evidence.lastSequence
         : (listed.at(-1)?.sequence ?? sinceSequence),
     };
   }
 
-  private take({facts}: Pick<CrashReport, 'facts'>): void {
+  private mergeFacts({facts}: Pick<CrashReport, 'facts'>): void {
     const nowMs = this.options.clock.monotonicMs();
-    this.options.containment.take(facts.map(told => fromTold(told, nowMs)));
+    this.options.containment.take(
+      facts.map(wireFact => fromWireFact(wireFact, nowMs)),
+    );
   }
 }
--- a/packages/contain-requests/src/crash_messages.ts
+++ b/packages/contain-requests/src/crash_messages.ts
@@ -1,13 +1,13 @@
-/** What nodes tell each other of servers that ended under requests. */
+/** The messages in which nodes exchange crash evidence. */
 import * as z from 'zod';
 import {type CrashFact} from './crash_evidence.js';
 
-const toldFactSchema = z.discriminatedUnion('kind', [
+const wireFactSchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('cut'),
     fingerprint: z.string(),
     serverLife: z.string(),
-    /** Times are told as spans, since the clocks of two nodes differ. */
+    /** An age instead of a time, since the clocks of two nodes differ. */
     ageMs: z.number().nonnegative(),
     isTry: z.boolean(),
   }),
@@ -18,31 +18,37 @@
   }),
 ]);
 
-/** From a node to the holder, with its heartbeat. */
+/** From a node to the holder, with the node's heartbeat. */
 export const crashReportSchema = z.object({
-  /** What the holder has not confirmed yet. */
-  facts: z.array(toldFactSchema),
-  /** The last of its own facts that these reach. */
+  /** Facts that the holder has not acknowledged yet. */
+  facts: z.array(wireFactSchema),
+  /** The sequence number of the sender's last fact that `facts` covers. */
   sequence: z.number(),
-  /** The last of the holder's facts that it has. */
+  /** The sequence number of the holder's last fact that the sender has. */
   knownSequence: z.number(),
 });
 
-/** From the holder, with its reply. */
+/** From the holder, with the reply to a heartbeat. */
 export const crashReplySchema = z.object({
-  facts: z.array(toldFactSchema),
-  /** The last of the holder's facts that these reach. */
+  facts: z.array(wireFactSchema),
+  /** The sequence number of the holder's last fact that `facts` covers. */
   sequence: z.number(),
 });
 
-export type ToldFact = z.infer<typeof toldFactSchema>;
+export type WireFact = z.infer<typeof wireFactSchema>;
 export type CrashReport = z.infer<typeof crashReportSchema>;
 export type CrashReply = z.infer<typeof crashReplySchema>;
 
-export function toTold({atMs, ...rest}: CrashFact, nowMs: number): ToldFact {
+export function toWireFact(
+  {atMs, ...rest}: CrashFact,
+  nowMs: number,
+): WireFact {
   return {...rest, ageMs: Math.max(0, nowMs - atMs)};
 }
 
-export function fromTold({ageMs, ...rest}: ToldFact, nowMs: number): CrashFact {
+export function fromWireFact(
+  {ageMs, ...rest}: WireFact,
+  nowMs: number,
+): CrashFact {
   return {...rest, atMs: nowMs - ageMs};
 }
--- a/packages/contain-requests/src/request_containment.ts
+++ b/packages/contain-requests/src/request_containment.ts
@@ -1,4 +1,4 @@
-/** Which requests are kept from servers, by all that this node knows. */
+/** Decides which requests are kept from servers because they crash them. */
 import {type Clock} from '@mimosatack/clock';
 import {type EventLogger} from '@mimosatack/logger';
 import {
@@ -9,56 +9,50 @@
 import {
   type CrashFact,
   CrashEvidence,
-  type CutsByLife,
-  type ServerLife,
-  findNewestMs,
+  type CutsByIncarnation,
+  type ServerIncarnation,
+  findLastCutMs,
 } from './crash_evidence.js';
 
-/** What it is built from. */
 export interface RequestContainmentOptions {
   clock: Clock;
   logger: EventLogger;
-  /** Whether this node tries contained requests for all nodes. */
+  /** Whether this node probes contained requests on behalf of all nodes. */
   isTrier: () => boolean;
 }
 
 /**
- * Servers that may end under a request before it is contained.
- *
- * What only stood beside a bad request is rarely at three ends, since it is
- * served first. It is not told apart by the ends that other requests explain:
- * where several bad ones come at once, that blames innocents for their ends.
+ * Guards against containing a harmless request that ran beside a crashing one:
+ * such a request is usually served before it loses three servers.
  */
 const CRASHES_TO_CONTAIN = 3;
-/** From the last end of a server until a contained request is tried. */
-const FIRST_TRY_MS = 30_000;
-/** The wait for the next try grows by this with each server that a try ends. */
-const TRY_GROWTH = 8;
+/** From the last crash until the first probe of a contained request. */
+const FIRST_PROBE_DELAY_MS = 30_000;
+/** Each probe that crashes a server multiplies the delay of the next one. */
+const PROBE_DELAY_FACTOR = 8;
 
-/** Takes what this node and others have seen, and answers for one request. */
+/** Merges the facts of all nodes and decides on single requests. */
 export class RequestContainment {
   readonly evidence: CrashEvidence;
-  /** Those that are contained, each with the time of its next try. */
-  private tryAtMs: ReadonlyMap<RequestFingerprint, number> = new Map();
-  /** The paths of all that are suspected. */
-  private paths: ReadonlySet<PathPrint> = new Set();
-  /** Those that are being tried. */
-  private readonly tried = new Set<RequestFingerprint>();
+  /** The contained requests, each with the time of its next probe. */
+  private probeAtMs: ReadonlyMap<RequestFingerprint, number> = new Map();
+  private suspectedPaths: ReadonlySet<PathPrint> = new Set();
+  private readonly activeProbes = new Set<RequestFingerprint>();
 
   constructor(private readonly options: RequestContainmentOptions) {
     this.evidence = new CrashEvidence(options.clock, CRASHES_TO_CONTAIN);
   }
 
-  /** Whether any request is suspected: without, none needs to be looked at. */
+  /** Whether any request is suspected; otherwise no request needs a check. */
   get isWatching(): boolean {
     return !this.evidence.isEmpty;
   }
 
   isPathWatched(pathPrint: PathPrint): boolean {
-    return this.paths.has(pathPrint);
+    return this.suspectedPaths.has(pathPrint);
   }
 
-  /** Those that are contained, the one that was cut most lately last. */
+  /** The contained requests; the one with the latest cut comes last. */
   get contained(): RequestFingerprint[] {
     return [...this.evidence.byRequest.keys()].filter(fingerprint =>
       this.isContained(fingerprint),
@@ -66,62 +60,65 @@
   }
 
   isContained(fingerprint: RequestFingerprint): boolean {
-    return this.tryAtMs.has(fingerprint);
+    return this.probeAtMs.has(fingerprint);
   }
 
   /**
-   * Whether a contained request may go to one server now; to be given back by
+   * Whether a contained request may probe one server now; must be followed by
    * `endTry`.
    *
-   * Guards against a request that is contained for good though it crashes nothing:
-   * many callers send the same one, and three servers that had it were lost at
-   * once for another reason. One node alone tries, one request at a time, and
-   * ever more rarely, so that one that does crash servers gets few of them.
+   * Guards against containing a harmless request forever. A single node sends
+   * one probe of a request at a time, with growing delays, to limit crashes.
    */
   claimTry(fingerprint: RequestFingerprint): boolean {
-    const atMs = this.tryAtMs.get(fingerprint) ?? Infinity;
+    const atMs = this.probeAtMs.get(fingerprint) ?? Infinity;
     const isDue = this.nowMs() >= atMs && this.options.isTrier();
-    if (!isDue || this.tried.has(fingerprint)) return false;
-    this.tried.add(fingerprint);
+    if (!isDue || this.activeProbes.has(fingerprint)) return false;
+    this.activeProbes.add(fingerprint);
     return true;
   }
 
   endTry(fingerprint: RequestFingerprint): void {
-    this.tried.delete(fingerprint);
+    this.activeProbes.delete(fingerprint);
   }
 
-  /** The server's connection was cut while it had the request. */
-  noteCut(fingerprint: RequestFingerprint, serverLife: ServerLife): void {
+  /** Records a connection that was lost while the server had the request. */
+  noteCut(
+    fingerprint: RequestFingerprint,
+    serverLife: ServerIncarnation,
+  ): void {
     const atMs = this.nowMs();
-    const isTry = this.tried.has(fingerprint);
+    const isTry = this.activeProbes.has(fingerprint);
     this.take([{kind: 'cut', fingerprint, serverLife, atMs, isTry}]);
   }
 
-  /** A server has answered the request whole, with a success. */
+  /** Records a complete success response. */
   noteServed(fingerprint: RequestFingerprint): void {
     if (!this.evidence.byRequest.has(fingerprint)) return;
     this.take([{kind: 'served', fingerprint, atMs: this.nowMs()}]);
   }
 
-  /** Takes facts, of this node or of others. */
+  /** Merges facts of this node or of others. */
   take(facts: readonly CrashFact[]): void {
     const isChanged = facts.map(fact => this.evidence.add(fact)).some(Boolean);
-    if (isChanged) this.decide();
+    if (isChanged) this.updateContained();
   }
 
-  private decide(): void {
+  private updateContained(): void {
     this.evidence.expire();
-    this.paths = new Set([...this.evidence.byRequest.keys()].map(toPathPrint));
-    const before = this.tryAtMs;
-    this.tryAtMs = new Map(
+    this.suspectedPaths = new Set(
+      [...this.evidence.byRequest.keys()].map(toPathPrint),
+    );
+    const before = this.probeAtMs;
+    this.probeAtMs = new Map(
       [...this.evidence.byRequest]
         .filter(([, cuts]) => cuts.size >= CRASHES_TO_CONTAIN)
-        .map(([fingerprint, cuts]) => [fingerprint, findTryMs(cuts)]),
+        .map(([fingerprint, cuts]) => [fingerprint, findNextProbeMs(cuts)]),
     );
-    this.logChange(before, this.tryAtMs);
+    this.logChanges(before, this.probeAtMs);
   }
 
-  private logChange(
+  private logChanges(
     before: ReadonlyMap<RequestFingerprint, number>,
     after: ReadonlyMap<RequestFingerprint, number>,
   ): void {
@@ -151,7 +148,10 @@
   }
 }
 
-function findTryMs(cuts: CutsByLife): number {
-  const failedTries = [...cuts.values()].filter(({isTry}) => isTry).length;
-  return findNewestMs(cuts) + FIRST_TRY_MS * TRY_GROWTH ** failedTries;
+function findNextProbeMs(cuts: CutsByIncarnation): number {
+  const failedProbes = [...cuts.values()].filter(({isTry}) => isTry).length;
+  return (
+    findLastCutMs(cuts) +
+    FIRST_PROBE_DELAY_MS * PROBE_DELAY_FACTOR ** failedProbes
+  );
 }
--- a/packages/contain-requests/src/virtual_fleet.ts
+++ b/packages/contain-requests/src/virtual_fleet.ts
@@ -1,7 +1,6 @@
 /**
- * Nodes and servers in memory, for tests of what requests that crash servers
- * cost: batches that are cut together, callers that come again, knowledge that
- * travels with heartbeats.
+ * Simulates nodes, batching servers, retrying callers and heartbeats in memory,
+ * for tests of containment.
  */
 import {ManualClock} from '@mimosatack/clock';
 import {MemoryEventLogger} from '@mimosatack/logger';
@@ -9,43 +8,41 @@
 import {CrashExchange} from './crash_exchange.js';
 import {RequestContainment} from './request_containment.js';
 
-/** What is played. */
-export interface FleetPlay {
+export interface FleetScenario {
   random: SeededRandom;
   nodes: number;
   servers: number;
-  /** Requests that a server runs at once. */
+  /** Requests that a server runs concurrently. */
   batch: number;
   durationMs: number;
-  /** Requests that crash nobody, between two of them. */
-  otherGapMs: number;
-  /** Bodies that crash servers; each comes again and again. */
-  badBodies: number;
-  badGapMs: number;
+  /** The interval of requests that crash no server. */
+  harmlessGapMs: number;
+  /** The number of bodies that crash servers; each is resent at an interval. */
+  crashingBodies: number;
+  crashingGapMs: number;
 }
 
-/** What came of it. */
 export interface FleetOutcome {
   crashes: number;
-  /** Of any bad body, the most runs begun a second after its third crash. */
-  mostLateRuns: number;
-  others: number;
-  servedOthers: number;
-  /** Bodies that crash nobody and were contained at some time. */
-  containedOthers: number;
+  /** The most runs of one crashing body after `PROPAGATION_MS`. */
+  maxLateRuns: number;
+  harmless: number;
+  servedHarmless: number;
+  /** Bodies that crash no server and were contained at some time. */
+  containedHarmless: number;
 }
 
 const STEP_MS = 10;
 const HEARTBEAT_MS = 250;
 const RUN_MS = 1_000;
 const CRASH_AFTER_MS = 50;
-const BACK_AFTER_MS = 2_500;
-/** Servers that one id may be sent to. */
+const RESTART_MS = 2_500;
+/** Servers that one request id may reach. */
 const MAX_ATTEMPTS = 2;
-/** How often a caller comes again with the same body. */
+/** How often a caller resends the same body. */
 const CALLER_RETRIES = 1;
-/** What is known is known to all by then. */
-const KNOWN_AFTER_MS = 1_000;
+/** From the third crash until all nodes know of it. */
+const PROPAGATION_MS = 1_000;
 
 interface Node {
   incarnation: string;
@@ -56,7 +53,7 @@
 
 interface Run {
   body: string;
-  isBad: boolean;
+  isCrashing: boolean;
   node: Node;
   endsAtMs: number;
   attemptsLeft: number;
@@ -65,12 +62,11 @@
 
 interface Server {
   name: number;
-  life: number;
-  upAtMs: number;
+  incarnation: number;
+  readyAtMs: number;
   runs: Run[];
 }
 
-/** Plays until the time is over. */
 export class VirtualFleet {
   private readonly clock = new ManualClock();
   private readonly nodes: Node[];
@@ -79,10 +75,10 @@
   private nextBody = 0;
   private crashes = 0;
   private readonly lateRuns = new Map<string, number>();
-  private others = 0;
-  private servedOthers = 0;
+  private harmless = 0;
+  private servedHarmless = 0;
 
-  constructor(private readonly options: FleetPlay) {
+  constructor(private readonly options: FleetScenario) {
     this.nodes = Array.from({length: options.nodes}, (_, at) => {
       const {clock} = this;
       const incarnation = `n${at}`;
@@ -94,15 +90,15 @@
       return {incarnation, containment, exchange, logger};
     });
     this.servers = Array.from({length: options.servers}, (_, name) => ({
-      ...{name, life: 1, upAtMs: 0, runs: []},
+      ...{name, incarnation: 1, readyAtMs: 0, runs: []},
     }));
   }
 
-  play(): FleetOutcome {
+  simulate(): FleetOutcome {
     const {durationMs} = this.options;
     for (let atMs = 0; atMs < durationMs; atMs += STEP_MS) this.step(atMs);
-    const {crashes, others, servedOthers} = this;
-    const mostLateRuns = Math.max(0, ...this.lateRuns.values());
+    const {crashes, harmless, servedHarmless} = this;
+    const maxLateRuns = Math.max(0, ...this.lateRuns.values());
     const contained = new Set(
       this.nodes.flatMap(({logger}) =>
         logger
@@ -112,24 +108,26 @@
           ),
       ),
     );
-    const containedOthers = [...contained].filter(
+    const containedHarmless = [...contained].filter(
       body => !body.startsWith('bad'),
     ).length;
-    return {crashes, mostLateRuns, others, servedOthers, containedOthers};
+    return {crashes, maxLateRuns, harmless, servedHarmless, containedHarmless};
   }
 
   private step(atMs: number): void {
-    const {otherGapMs, badGapMs, badBodies} = this.options;
-    if (atMs % HEARTBEAT_MS === 0) this.greet();
+    const {harmlessGapMs, crashingGapMs, crashingBodies} = this.options;
+    if (atMs % HEARTBEAT_MS === 0) this.exchangeHeartbeats();
     this.servers.forEach(server => this.advance(server, atMs));
-    if (atMs % otherGapMs === 0) this.arriveOther();
-    if (atMs % badGapMs === 0) {
-      Array.from({length: badBodies}, (_, at) => this.arriveBad(`bad${at}`));
+    if (atMs % harmlessGapMs === 0) this.submitHarmless();
+    if (atMs % crashingGapMs === 0) {
+      Array.from({length: crashingBodies}, (_, at) =>
+        this.submitCrashing(`bad${at}`),
+      );
     }
     this.clock.advance(STEP_MS);
   }
 
-  private greet(): void {
+  private exchangeHeartbeats(): void {
     const [holder] = this.nodes;
     if (!holder) return;
     this.nodes.slice(1).forEach(({exchange}) => {
@@ -141,7 +139,7 @@
 
   private advance(server: Server, atMs: number): void {
     const crash = server.runs.find(
-      ({isBad, endsAtMs}) => isBad && endsAtMs <= atMs,
+      ({isCrashing, endsAtMs}) => isCrashing && endsAtMs <= atMs,
     );
     if (crash) {
       this.crash(server, crash, atMs);
@@ -150,29 +148,29 @@
     const done = server.runs.filter(({endsAtMs}) => endsAtMs <= atMs);
     server.runs = server.runs.filter(({endsAtMs}) => endsAtMs > atMs);
     done.forEach(({body, node}) => {
-      this.servedOthers += 1;
+      this.servedHarmless += 1;
       node.containment.noteServed(body);
     });
   }
 
   private crash(server: Server, {body}: Run, atMs: number): void {
-    const {name, life, runs} = server;
+    const {name, incarnation, runs} = server;
     this.crashes += 1;
     this.crashesOf.set(body, [...(this.crashesOf.get(body) ?? []), atMs]);
     Object.assign(server, {
-      ...{life: life + 1, upAtMs: atMs + BACK_AFTER_MS, runs: []},
+      ...{incarnation: incarnation + 1, readyAtMs: atMs + RESTART_MS, runs: []},
     });
     runs.forEach(run =>
-      run.node.containment.noteCut(run.body, `${name}.${life}`),
+      run.node.containment.noteCut(run.body, `${name}.${incarnation}`),
     );
-    runs.forEach(run => this.goOn(run));
+    runs.forEach(run => this.retry(run));
   }
 
-  /** Another server, or the caller once more; a bad one comes by itself. */
-  private goOn(run: Run): void {
-    const {attemptsLeft, retriesLeft, isBad} = run;
+  /** Retries at another server, then resends as the caller if harmless. */
+  private retry(run: Run): void {
+    const {attemptsLeft, retriesLeft, isCrashing} = run;
     if (attemptsLeft > 0) this.send({...run, attemptsLeft: attemptsLeft - 1});
-    else if (retriesLeft > 0 && !isBad) {
+    else if (retriesLeft > 0 && !isCrashing) {
       this.send({
         ...{...run, node: this.pickNode(), retriesLeft: retriesLeft - 1},
         attemptsLeft: MAX_ATTEMPTS - 1,
@@ -180,19 +178,19 @@
     }
   }
 
-  private arriveOther(): void {
+  private submitHarmless(): void {
     this.nextBody += 1;
-    this.others += 1;
-    this.arrive(`other${this.nextBody}`, false);
+    this.harmless += 1;
+    this.submit(`other${this.nextBody}`, false);
   }
 
-  private arriveBad(body: string): void {
-    this.arrive(body, true);
+  private submitCrashing(body: string): void {
+    this.submit(body, true);
   }
 
-  private arrive(body: string, isBad: boolean): void {
+  private submit(body: string, isCrashing: boolean): void {
     this.send({
-      ...{body, isBad, node: this.pickNode(), endsAtMs: 0},
+      ...{body, isCrashing, node: this.pickNode(), endsAtMs: 0},
       ...{attemptsLeft: MAX_ATTEMPTS - 1, retriesLeft: CALLER_RETRIES},
     });
   }
@@ -202,23 +200,24 @@
     const {containment} = run.node;
     if (containment.isContained(run.body)) return;
     const free = this.servers.filter(
-      ({upAtMs, runs}) => upAtMs <= nowMs && runs.length < this.options.batch,
+      ({readyAtMs, runs}) =>
+        readyAtMs <= nowMs && runs.length < this.options.batch,
     );
     const {random} = this.options;
     const server = free[random.nextInt(0, Math.max(0, free.length - 1))];
     if (!server) return;
-    const thirdMs = this.crashesOf.get(run.body)?.[2] ?? Infinity;
-    if (nowMs > thirdMs + KNOWN_AFTER_MS) {
+    const thirdCrashAtMs = this.crashesOf.get(run.body)?.[2] ?? Infinity;
+    if (nowMs > thirdCrashAtMs + PROPAGATION_MS) {
       this.lateRuns.set(run.body, (this.lateRuns.get(run.body) ?? 0) + 1);
     }
-    const forMs = run.isBad ? CRASH_AFTER_MS : RUN_MS;
-    server.runs.push({...run, endsAtMs: nowMs + forMs});
+    const runMs = run.isCrashing ? CRASH_AFTER_MS : RUN_MS;
+    server.runs.push({...run, endsAtMs: nowMs + runMs});
   }
 
   private pickNode(): Node {
     const {random} = this.options;
     const node = this.nodes[random.nextInt(0, this.nodes.length - 1)];
-    if (!node) throw new Error('a fleet has nodes');
+    if (!node) throw new Error('The fleet has no nodes.');
     return node;
   }
 }
