--- a/packages/serve-requests/src/answer_relay.ts
+++ b/packages/serve-requests/src/answer_relay.ts
@@ -71,11 +71,9 @@
 
   onEnd(): TypedError | null {
     if (this.isEventStream && this.boundary.hasPartialEvent) {
-      return new TypedError(
-        'backend-failed',
-        'The stream ended inside an event.',
-        {run: 'unknown'},
-      );
+      return new TypedError('backend-failed', 'The stream broke off.', {
+        run: 'unknown',
+      });
     }
     this.flush();
     this.options.sink.end();
--- a/packages/serve-requests/src/attempt.ts
+++ b/packages/serve-requests/src/attempt.ts
@@ -224,7 +224,7 @@
 function makeMismatchError(): TypedError {
   return new TypedError(
     'backend-failed',
-    'The response does not belong to this request.',
+    'An answer came that is not to this request.',
     {run: 'unknown'},
   );
 }
--- a/packages/serve-requests/src/final_error.ts
+++ b/packages/serve-requests/src/final_error.ts
@@ -25,14 +25,10 @@
 /** Reports only a request that has not run as retryable. */
 export function makeTimeoutError(mayHaveRun: boolean): TypedError {
   return mayHaveRun
-    ? new TypedError(
-        'deadline-exceeded',
-        'No response arrived before the deadline.',
-        {run: 'unknown'},
-      )
-    : new TypedError(
-        'overloaded',
-        'No backend server accepted the request before the deadline.',
-        {...{run: 'not-run', retryAfterMs: RETRY_AFTER_MS}},
-      );
+    ? new TypedError('deadline-exceeded', 'No answer came in time.', {
+        run: 'unknown',
+      })
+    : new TypedError('overloaded', 'No server took it in time.', {
+        ...{run: 'not-run', retryAfterMs: RETRY_AFTER_MS},
+      });
 }
--- a/packages/serve-requests/src/least_loaded_chooser.ts
+++ b/packages/serve-requests/src/least_loaded_chooser.ts
@@ -66,14 +66,10 @@
     }
     return {
       status: 'refused',
-      error: new TypedError(
-        'overloaded',
-        'No backend server can serve the request.',
-        {
-          run: 'not-run',
-          retryAfterMs: RETRY_AFTER_MS,
-        },
-      ),
+      error: new TypedError('overloaded', 'No backend server can serve it.', {
+        run: 'not-run',
+        retryAfterMs: RETRY_AFTER_MS,
+      }),
     };
   }
 
--- a/packages/serve-requests/src/request_pipeline.ts
+++ b/packages/serve-requests/src/request_pipeline.ts
@@ -146,18 +146,14 @@
  * configuration may not have received the route yet.
  */
 function makeNotConfiguredError(): TypedError {
-  return new TypedError(
-    'platform-unavailable',
-    'The node has no current serving configuration.',
-    {
-      run: 'not-run',
-      retryAfterMs: NOT_CONFIGURED_RETRY_MS,
-    },
-  );
+  return new TypedError('platform-unavailable', 'Not configured yet.', {
+    run: 'not-run',
+    retryAfterMs: NOT_CONFIGURED_RETRY_MS,
+  });
 }
 
 function makeNoRouteError(host: string, path: string): TypedError {
-  return new TypedError('not-found', `No route matches ${host}${path}.`, {
+  return new TypedError('not-found', `No route takes ${host}${path}.`, {
     run: 'not-run',
   });
 }
--- a/packages/serve-requests/src/stall_failover.ts
+++ b/packages/serve-requests/src/stall_failover.ts
@@ -104,7 +104,7 @@
 }
 
 function makeStalledError(): TypedError {
-  return new TypedError('backend-failed', 'The response stalled.', {
+  return new TypedError('backend-failed', 'The answer has stalled.', {
     run: 'unknown',
   });
 }
