--- a/packages/schedule-service/src/ask_terms.ts
+++ b/packages/schedule-service/src/ask_payload.ts
@@ -1,20 +1,20 @@
-/** Turns requests into what is told of them, and back. */
+/** Converts requests to and from the `ask` message of the scheduling node. */
 import {type ScheduledRequest} from '@mimosatack/schedule-models';
 import {type ServerAsk} from '@mimosatack/serve-requests';
-import {type AskTerms} from './messages.js';
+import {type AskPayload} from './messages.js';
 
-/** The output of a request that gives no estimate, as part of its most. */
-const USUAL_OUTPUT_PART = 0.5;
-const MIN_PATIENCE_MS = 2_000;
-const PATIENCE_TARGETS = 4;
-const PATIENCE_GAPS = 8;
+/** Share of the output limit that is assumed when a request has no estimate. */
+const DEFAULT_OUTPUT_FRACTION = 0.5;
+const MIN_CALLER_TIMEOUT_MS = 2_000;
+const TIMEOUT_PER_TARGET_LATENCY = 4;
+const TIMEOUT_PER_TARGET_GAP = 8;
 
-/** Null for a request that asks nothing of a model. */
-export function toAskTerms(
+/** Null for a request that needs no model. */
+export function toAskPayload(
   askId: string,
   ask: ServerAsk,
   nowMs: number,
-): AskTerms | null {
+): AskPayload | null {
   const {request, route, service, excluded, allowed, hasBegun} = ask;
   const {charge, priority} = ask;
   const {generation} = request;
@@ -28,16 +28,16 @@
     adapter: generation.adapter,
     promptTokens: generation.promptTokens,
     outputTokens: Math.round(
-      expectedOutputTokens ?? maxOutputTokens * USUAL_OUTPUT_PART,
+      expectedOutputTokens ?? maxOutputTokens * DEFAULT_OUTPUT_FRACTION,
     ),
     priority,
-    // A caller in the middle of a stream waits for its next event.
+    // Once the answer has begun, the caller waits for its next event only.
     waitedMs: hasBegun ? 0 : nowMs - request.receivedAtMs,
     dueInMs: hasBegun
       ? (route.targetGapMs ?? 0)
       : request.receivedAtMs + route.targetLatencyMs - nowMs,
     gapMs: route.targetGapMs,
-    endsInMs: findPatienceEndMs(ask, nowMs) - nowMs,
+    endsInMs: findCallerTimeoutAtMs(ask, nowMs) - nowMs,
     excluded: [...excluded],
     allowed: allowed && [...allowed],
     charge,
@@ -45,31 +45,32 @@
 }
 
 /**
- * Callers leave a stream that is silent for this long, also before its first
- * event: two seconds, four times the time in which it is due or eight times
- * the longest pause, whichever is longest.
+ * When the caller is expected to abandon a stream that sends no events. The
+ * timeout is the longest of two seconds, four times the target latency and
+ * eight times the target gap between events.
  */
-function findPatienceEndMs(ask: ServerAsk, nowMs: number): number {
+function findCallerTimeoutAtMs(ask: ServerAsk, nowMs: number): number {
   const {request, route, endsAtMs, hasBegun} = ask;
   if (route.kind !== 'streaming') return endsAtMs;
-  const patienceMs = Math.max(
-    MIN_PATIENCE_MS,
-    PATIENCE_TARGETS * route.targetLatencyMs,
-    PATIENCE_GAPS * (route.targetGapMs ?? 0),
+  const callerTimeoutMs = Math.max(
+    MIN_CALLER_TIMEOUT_MS,
+    TIMEOUT_PER_TARGET_LATENCY * route.targetLatencyMs,
+    TIMEOUT_PER_TARGET_GAP * (route.targetGapMs ?? 0),
   );
-  // A caller that has a part of the answer counts from its last event.
-  const sinceMs = hasBegun ? nowMs : request.receivedAtMs;
-  return Math.min(endsAtMs, sinceMs + patienceMs);
+  // Once the answer has begun, the timeout counts from the last event: now.
+  const silentSinceMs = hasBegun ? nowMs : request.receivedAtMs;
+  return Math.min(endsAtMs, silentSinceMs + callerTimeoutMs);
 }
 
 export function toScheduledRequest(
-  terms: AskTerms,
+  payload: AskPayload,
   nodeId: string,
   nowMs: number,
 ): ScheduledRequest {
-  const {service, model, adapter, promptTokens, outputTokens, priority} = terms;
-  const {askId, waitedMs, dueInMs, gapMs, endsInMs} = terms;
-  const {excluded, allowed} = terms;
+  const {service, model, adapter, promptTokens, outputTokens, priority} =
+    payload;
+  const {askId, waitedMs, dueInMs, gapMs, endsInMs} = payload;
+  const {excluded, allowed} = payload;
   return {
     ...{askId, service, model, adapter},
     ...{promptTokens, outputTokens, priority},
--- a/packages/schedule-service/src/engine_orders.ts
+++ b/packages/schedule-service/src/engine_orders.ts
@@ -1,4 +1,4 @@
-/** How engines are given orders and asked for their state. */
+/** The interface through which engines get orders and report their state. */
 import {
   type EngineReport,
   type OrderOutcome,
@@ -7,35 +7,35 @@
 import {type TypedError} from '@mimosatack/errors';
 import {type BackendServerEntry, type BackendServerId} from '@mimosatack/types';
 
-/** How long ago an engine was ordered last. */
+/** Time since the last order to an engine. */
 export interface EngineOrderAge {
   engineId: BackendServerId;
   ageMs: number;
 }
 
-/** In whose name an order is sent. */
+/** The scheduling node that sends an order, and its fencing token. */
 export interface OrderAuthority {
   holder: string;
   fencingToken: number;
 }
 
-/** `fenced`: a later holder has given orders already. */
+/** `fenced`: the engine has taken an order with a higher fencing token. */
 export type SentOrderOutcome = OrderOutcome | 'fenced';
 
-/** What became of an order, and for the log what the engine said of it. */
+/** The result of an order. */
 export interface SentOrder {
   outcome: SentOrderOutcome;
-  /** Null where the outcome says all. */
+  /** The reason, for the log; null when the outcome is self-explanatory. */
   cause: string | null;
 }
 
-/** The orders side of the engines. */
+/** Sends orders to engines and reads their state. */
 export interface EngineOrders {
   send(
     server: BackendServerEntry,
     order: PlannedOrder,
     authority: OrderAuthority,
   ): Promise<SentOrder>;
-  /** An error when the engine did not tell its state. */
+  /** Resolves with an error when the engine's state could not be read. */
   readReport(server: BackendServerEntry): Promise<EngineReport | TypedError>;
 }
--- a/packages/schedule-service/src/messages.ts
+++ b/packages/schedule-service/src/messages.ts
@@ -1,4 +1,4 @@
-/** What nodes and the node that schedules say to each other. */
+/** Messages between the nodes and the scheduling node. */
 import * as z from 'zod';
 
 const chargeSchema = z.object({
@@ -9,7 +9,7 @@
 
 const askSchema = z.object({
   askId: z.string(),
-  /** The caller's id, so that both nodes' log lines can be found by it. */
+  /** The caller's request id, which correlates the log lines of both nodes. */
   requestId: z.string(),
   service: z.string(),
   model: z.string(),
@@ -17,15 +17,15 @@
   promptTokens: z.number(),
   outputTokens: z.number(),
   priority: z.number(),
-  /** Times are told as spans, since the clocks of two nodes differ. */
+  /** Times are durations, since the clocks of two nodes differ. */
   waitedMs: z.number(),
   dueInMs: z.number(),
-  /** The longest pause between events that is on time; null for none. */
+  /** The longest pause between events that is on time; null for no limit. */
   gapMs: z.number().nullable(),
   endsInMs: z.number(),
   excluded: z.array(z.string()),
   allowed: z.array(z.string()).nullable(),
-  /** What it takes out of its team's quota; null from the release before. */
+  /** The charge to the team's quota; the previous release sends none. */
   charge: chargeSchema.nullable().default(null),
 });
 
@@ -38,7 +38,7 @@
   'neutral',
 ]);
 
-/** From a node to the node that schedules. */
+/** From a node to the scheduling node. */
 export const toHolderSchema = z.discriminatedUnion('type', [
   z.object({type: z.literal('ask'), ask: askSchema}),
   z.object({type: z.literal('withdraw'), askId: z.string()}),
@@ -47,18 +47,18 @@
     askId: z.string(),
     engineId: z.string(),
     result: runResultSchema,
-    /** Until the answer began; null if it did not. */
+    /** Time until the answer began; null if it did not. */
     headMs: z.number().nullable(),
-    /** Whether it was not sent to the engine at all. */
+    /** Whether the request was never sent to the engine. */
     isUnsent: z.boolean().default(false),
   }),
-  /** A plain request that its own node must not charge by itself. */
+  /** A charge that exceeds the unsettled share of the sending node. */
   z.object({
     type: z.literal('charge'),
     askId: z.string(),
     charge: chargeSchema,
   }),
-  /** All that a node has under way, for a node that has just taken over. */
+  /** A node's pending asks and running requests, for a new scheduling node. */
   z.object({
     type: z.literal('under-way'),
     asks: z.array(askSchema),
@@ -66,7 +66,7 @@
   }),
 ]);
 
-/** From the node that schedules to one node. */
+/** From the scheduling node to one node. */
 export const fromHolderSchema = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('assigned'),
@@ -84,7 +84,7 @@
     ]),
     retryAfterMs: z.number(),
   }),
-  /** The answer to `charge`; null when it is charged. */
+  /** The answer to `charge`; `refusal` is null when the quota was charged. */
   z.object({
     type: z.literal('charged'),
     askId: z.string(),
@@ -97,11 +97,11 @@
       })
       .nullable(),
   }),
-  /** This node does not schedule, whatever the other one has heard. */
+  /** The ask or charge reached a node that is not the scheduling node. */
   z.object({type: z.literal('not-scheduling'), askId: z.string()}),
 ]);
 
-/** A request as it is told to the node that schedules. */
-export type AskTerms = z.infer<typeof askSchema>;
+/** A request as it is described to the scheduling node. */
+export type AskPayload = z.infer<typeof askSchema>;
 export type ToHolder = z.infer<typeof toHolderSchema>;
 export type FromHolder = z.infer<typeof fromHolderSchema>;
--- a/packages/schedule-service/src/open_ask.ts
+++ b/packages/schedule-service/src/pending_ask.ts
@@ -1,20 +1,19 @@
-/** A request that waits for its server. */
+/** A request that waits for a backend server to be chosen. */
 import {TypedError} from '@mimosatack/errors';
 import {type ServerAsk, type ServerChoice} from '@mimosatack/serve-requests';
 import {type BackendServerId} from '@mimosatack/types';
 
-/** What an open ask tells. */
-export interface OpenAskEvents {
+export interface PendingAskEvents {
   onSettled: () => void;
-  /** The request no longer waits, by its caller or its time. */
+  /** The signal of the ask was aborted. */
   onWithdrawn: () => void;
 }
 
-/** Settles once, with whichever choice comes first. */
-export class OpenAsk {
+/** Settles once, with the first choice that is made. */
+export class PendingAsk {
   readonly choice: Promise<ServerChoice>;
-  /** Whether a node that schedules knows of it. */
-  isHeard = false;
+  /** Whether the ask was sent to the current scheduling node. */
+  isSubmitted = false;
   private resolve!: (choice: ServerChoice) => void;
   private isSettled = false;
   private readonly onAbort = () => this.withdraw();
@@ -22,7 +21,7 @@
   constructor(
     readonly askId: string,
     private current: ServerAsk,
-    private readonly events: OpenAskEvents,
+    private readonly events: PendingAskEvents,
   ) {
     this.choice = new Promise(resolve => (this.resolve = resolve));
     current.signal.addEventListener('abort', this.onAbort, {once: true});
@@ -33,13 +32,12 @@
     return this.current;
   }
 
-  /** Leaves one more server out. */
   exclude(id: BackendServerId): void {
     const excluded = new Set([...this.current.excluded, id]);
     this.current = {...this.current, excluded};
   }
 
-  /** False when another choice came first. */
+  /** Returns false when the ask was settled before. */
   settle(choice: ServerChoice): boolean {
     if (this.isSettled) return false;
     this.isSettled = true;
@@ -52,12 +50,14 @@
   private withdraw(): void {
     if (this.isSettled) return;
     this.events.onWithdrawn();
-    this.settle({status: 'refused', error: makeWithdrawn()});
+    this.settle({status: 'refused', error: makeWithdrawnError()});
   }
 }
 
-function makeWithdrawn(): TypedError {
-  return new TypedError('deadline-exceeded', 'The request no longer waits.', {
-    run: 'not-run',
-  });
+function makeWithdrawnError(): TypedError {
+  return new TypedError(
+    'deadline-exceeded',
+    'The request was canceled or its deadline has passed.',
+    {run: 'not-run'},
+  );
 }
--- a/packages/schedule-service/src/scheduled_chooser.test.ts
+++ b/packages/schedule-service/src/scheduled_chooser.test.ts
@@ -12,7 +12,7 @@
 import {type ToHolder} from './messages.js';
 import {ScheduledChooser} from './scheduled_chooser.js';
 
-const test = suite('what a choice takes out of a quota');
+const test = suite('quota charges of the scheduled chooser');
 
 const CHARGE: QuotaCharge = {team: 'link', amount: 30, isForced: false};
 
@@ -23,12 +23,11 @@
   near: {inHostMemory: [], onDisk: []},
 };
 
-/** Chooses always the same server, or none. */
 class FixedChooser implements ServerChooser {
   hasServer = true;
 
   choose(): Promise<ServerChoice> {
-    const error = new Error('none') as never;
+    const error = new Error('no server') as never;
     return Promise.resolve(
       this.hasServer
         ? {
@@ -45,7 +44,7 @@
   noteDone(): void {}
 }
 
-function makeAsk(isForEngine: boolean): ServerAsk {
+function makeAsk(isEngineRequest: boolean): ServerAsk {
   const generation = {
     ...{model: 'm0', adapter: null, promptTokens: 10, maxOutputTokens: 20},
     ...{expectedOutputTokens: null, promptParts: []},
@@ -55,7 +54,7 @@
       ...{requestId: 'r1', host: 'h', method: 'POST', path: '/a', headers: []},
       ...{body: new Uint8Array(), receivedAtMs: 0, deadlineMs: null},
       ...{lastEventId: null, keyHashes: [], tokenCount: 30},
-      generation: isForEngine ? generation : null,
+      generation: isEngineRequest ? generation : null,
     },
     route: {
       ...{name: 'a', host: 'h', pathPrefix: '/a/', kind: 'streaming'},
@@ -63,7 +62,7 @@
       ...{priority: 1, maxAttempts: 2, traffic: [], hasSessionAffinity: true},
       ...{isResumable: true, isPublic: false},
     },
-    service: isForEngine
+    service: isEngineRequest
       ? makeEngineService()
       : {name: 'p', healthPath: '/', maxConnections: 9, engine: null},
     ...{excluded: new Set<string>(), allowed: null, endsAtMs: 5_000},
@@ -72,22 +71,22 @@
   };
 }
 
-function startChooser(room: number) {
+function startChooser(limit: number) {
   const sent: ToHolder[] = [];
   const local = new FixedChooser();
-  const state = {charged: 0, isHeld: true, isUnsettled: false};
+  const state = {charged: 0, hasHolder: true, isUnsettled: false};
   const clock = new ManualClock();
   const refused: string[] = [];
   const chooser = new ScheduledChooser({
     ...{clock, askPrefix: 'n1', local},
     findServer: () => SERVER,
     sendToHolder: message => {
-      if (state.isHeld) sent.push(message);
-      return state.isHeld;
+      if (state.hasHolder) sent.push(message);
+      return state.hasHolder;
     },
     quotas: {
       charge: ({amount}) => {
-        const level = room - state.charged;
+        const level = limit - state.charged;
         if (level < amount) {
           return {
             ...{level, retryAfterMs: 400, isUnsettled: state.isUnsettled},
@@ -109,7 +108,7 @@
   return choice;
 }
 
-test('a plain request is charged here, and refused beyond the quota', async () => {
+test('a request without a model is charged locally', async () => {
   const {chooser, state, refused} = startChooser(50);
   expectChosen(await chooser.choose(makeAsk(false)));
   const second = await chooser.choose(makeAsk(false));
@@ -119,20 +118,20 @@
   assert.is(second.status === 'refused' && second.error.retryAfterMs, 400);
 });
 
-// Guards against the second of two requests that is refused though there is enough.
-test('what this node may not spend by itself the holder is asked for', async () => {
+// Guards against refusing a team's second request while it has quota left.
+test('a charge beyond the unsettled share is sent to the holder', async () => {
   const {chooser, sent, state} = startChooser(0);
   state.isUnsettled = true;
-  const choosing = chooser.choose(makeAsk(false));
+  const pendingChoice = chooser.choose(makeAsk(false));
   const [message] = sent;
-  if (message?.type !== 'charge') throw new Error('The holder was not asked.');
+  if (message?.type !== 'charge') throw new Error('No charge was sent.');
   assert.equal(message.charge, CHARGE);
   const {askId} = message;
   chooser.receive({type: 'charged', askId, refusal: null});
-  expectChosen(await choosing);
+  expectChosen(await pendingChoice);
 });
 
-test('the holder refuses, or says nothing in time', async () => {
+test('a charge is refused by the holder, or after a timeout', async () => {
   const {chooser, clock, sent, state} = startChooser(0);
   state.isUnsettled = true;
   const refusal = {
@@ -144,14 +143,14 @@
   chooser.receive({type: 'charged', askId, refusal});
   const first = await refused;
   assert.is(first.status === 'refused' && first.error.retryAfterMs, 900);
-  const unheard = chooser.choose(makeAsk(false));
+  const unanswered = chooser.choose(makeAsk(false));
   clock.advance(1_000);
-  const second = await unheard;
+  const second = await unanswered;
   assert.is(second.status === 'refused' && second.error.retryAfterMs, 400);
 });
 
-// Guards against quotas that are used up by requests which never ran.
-test('what has not run is given back', async () => {
+// Guards against quotas that are used up by requests that never ran.
+test('the charge of a request that has not run is refunded', async () => {
   const {chooser, local, state} = startChooser(100);
   const results = ['not-taken', 'not-held', 'unreachable'] as const;
   for (const result of results) {
@@ -164,7 +163,7 @@
   assert.is(state.charged, 0);
 });
 
-test('what may have run is not given back', async () => {
+test('the charge of a request that may have run is kept', async () => {
   const {chooser, state} = startChooser(100);
   const results = ['answered', 'failed', 'neutral'] as const;
   for (const result of results) {
@@ -174,7 +173,7 @@
   assert.is(state.charged, 90);
 });
 
-test('a request for an engine is charged by the node that schedules', async () => {
+test('a request for an engine is charged by the scheduling node', async () => {
   const {chooser, sent, state} = startChooser(100);
   void chooser.choose(makeAsk(true));
   assert.is(state.charged, 0);
@@ -182,24 +181,24 @@
   assert.equal(ask?.type === 'ask' && ask.ask.charge, CHARGE);
 });
 
-test('while nobody schedules it is charged here', async () => {
+test('a request is charged locally without a scheduling node', async () => {
   const {chooser, state} = startChooser(100);
-  state.isHeld = false;
+  state.hasHolder = false;
   expectChosen(await chooser.choose(makeAsk(true)));
   await settle();
   assert.is(state.charged, 30);
 });
 
-// Guards against a refusal that does not tell the caller's quota from want of room.
-test('a refusal for the quota is told as one', async () => {
+// Guards against reporting an exceeded quota as a lack of capacity.
+test('an over-quota refusal becomes a rate-limited error', async () => {
   const {chooser, sent} = startChooser(100);
-  const choosing = chooser.choose(makeAsk(true));
+  const pendingChoice = chooser.choose(makeAsk(true));
   const [ask] = sent;
   const askId = ask?.type === 'ask' ? ask.ask.askId : '';
   chooser.receive({
     ...{type: 'refused', askId, reason: 'over-quota', retryAfterMs: 250},
   });
-  const choice = await choosing;
+  const choice = await pendingChoice;
   assert.is(choice.status === 'refused' && choice.error.kind, 'rate-limited');
   assert.is(choice.status === 'refused' && choice.error.retryAfterMs, 250);
 });
--- a/packages/schedule-service/src/scheduled_chooser.ts
+++ b/packages/schedule-service/src/scheduled_chooser.ts
@@ -1,7 +1,7 @@
 /**
- * Chooses a server by asking the node that schedules. While there is none the
- * node chooses by itself among the engines that hold the model; what needs a
- * load waits a little for the next node that schedules.
+ * Chooses a backend server by asking the scheduling node. Without a scheduling
+ * node, this node chooses among the engines that hold the model, and a request
+ * that needs a model load waits briefly for the next scheduling node.
  */
 import {type Clock} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
@@ -16,24 +16,23 @@
 } from '@mimosatack/serve-requests';
 import {type BackendServerEntry, type BackendServerId} from '@mimosatack/types';
 import {type QuotaCharge, type QuotaRefusal} from '@mimosatack/team-quotas';
-import {toAskTerms} from './ask_terms.js';
-import {Charging} from './charging.js';
-import {type AskTerms, type FromHolder, type ToHolder} from './messages.js';
-import {OpenAsk} from './open_ask.js';
-import {saysNotRun} from './says_not_run.js';
+import {toAskPayload} from './ask_payload.js';
+import {ChargeClient} from './charge_client.js';
+import {type AskPayload, type FromHolder, type ToHolder} from './messages.js';
+import {PendingAsk} from './pending_ask.js';
+import {isKnownNotRun} from './is_known_not_run.js';
 
-/** What the chooser is built from. */
 export interface ScheduledChooserOptions {
   clock: Clock;
-  /** Unique among all nodes and their lives; begins every ask's id. */
+  /** Prefix of ask ids, unique to this process among all nodes. */
   askPrefix: string;
-  /** Chooses what is not scheduled, and all while nobody schedules. */
+  /** Chooses for unscheduled requests, and for all if no node schedules. */
   local: ServerChooser;
   findServer: (id: BackendServerId) => BackendServerEntry | undefined;
-  /** False when nobody schedules just now. */
+  /** Returns false when no scheduling node is known. */
   sendToHolder: (message: ToHolder) => boolean;
   quotas: LocalQuotas;
-  /** Told of a request that this node found beyond its team's quota. */
+  /** Called when a request that is charged locally exceeds its team's quota. */
   onQuotaRefused: (
     requestId: string,
     charge: QuotaCharge,
@@ -41,17 +40,17 @@
   ) => void;
 }
 
-/** Charges requests that the node that schedules is not asked for. */
+/** Quota accounting for requests that the scheduling node does not charge. */
 export interface LocalQuotas {
   charge(charge: QuotaCharge): QuotaRefusal | null;
   giveBack(charge: QuotaCharge): void;
 }
 
 /**
- * A request that needs a load waits this long for a node that schedules: the
- * next one takes over about two seconds after the last one was heard.
+ * How long a request that no local choice can serve waits for the next
+ * scheduling node, which takes over about 2 s after the previous one is lost.
  */
-const ORPHAN_WAIT_MS = 1_500;
+const TAKEOVER_WAIT_MS = 1_500;
 const RETRY_AFTER_MS = 1_000;
 
 interface Run {
@@ -60,78 +59,80 @@
   engineId: BackendServerId;
 }
 
-/** Keeps what this node has asked for and runs. */
+/** Tracks this node's pending asks and the requests that were assigned. */
 export class ScheduledChooser implements ServerChooser {
-  private readonly open = new Map<string, OpenAsk>();
+  private readonly pendingAsks = new Map<string, PendingAsk>();
   private readonly runs = new Map<string, Run>();
-  private readonly charging: Charging;
-  private nextNumber = 1;
+  private readonly chargeClient: ChargeClient;
+  private nextAskNumber = 1;
 
   constructor(private readonly options: ScheduledChooserOptions) {
-    this.charging = new Charging(options);
+    this.chargeClient = new ChargeClient(options);
   }
 
-  /** Requests that wait for an answer of the node that schedules. */
+  /** Requests that wait for a server to be chosen. */
   get openCount(): number {
-    return this.open.size;
+    return this.pendingAsks.size;
   }
 
   async choose(ask: ServerAsk): Promise<ServerChoice> {
     const {clock, askPrefix, sendToHolder} = this.options;
-    const askId = `${askPrefix}.${this.nextNumber++}`;
-    const terms = ask.service.engine
-      ? toAskTerms(askId, ask, clock.monotonicMs())
+    const askId = `${askPrefix}.${this.nextAskNumber++}`;
+    const payload = ask.service.engine
+      ? toAskPayload(askId, ask, clock.monotonicMs())
       : null;
-    if (!terms) return this.chooseCharged(ask);
-    const opened = this.openAsk(askId, ask);
-    opened.isHeard = sendToHolder({type: 'ask', ask: terms});
-    if (!opened.isHeard) this.chooseHere(opened);
-    return opened.choice;
+    if (!payload) return this.chargeAndChooseLocally(ask);
+    const pending = this.addPendingAsk(askId, ask);
+    pending.isSubmitted = sendToHolder({type: 'ask', ask: payload});
+    if (!pending.isSubmitted) this.chooseLocally(pending);
+    return pending.choice;
   }
 
-  /** Takes an answer of the node that schedules. */
+  /** Handles a message of the scheduling node. */
   receive(message: FromHolder): void {
-    if (this.charging.take(message) || message.type === 'charged') return;
-    const opened = this.open.get(message.askId);
+    if (this.chargeClient.settle(message) || message.type === 'charged') return;
+    const pending = this.pendingAsks.get(message.askId);
     if (message.type === 'refused') {
-      opened?.settle({
+      pending?.settle({
         status: 'refused',
-        error: makeRefusal(message, opened.ask.charge),
+        error: makeRefusalError(message, pending.ask.charge),
       });
       return;
     }
     if (message.type === 'not-scheduling') {
-      if (opened) this.orphan(opened);
+      if (pending) this.fallBackToLocal(pending);
       return;
     }
     const {askId, engineId} = message;
     const server = this.options.findServer(engineId);
-    if (opened && server) return this.assign(opened, server);
-    const result = opened ? 'unreachable' : 'neutral';
-    this.tellEnd(askId, engineId, result, null, true);
-    if (opened) this.askAgain(opened, engineId);
+    if (pending && server) return this.assign(pending, server);
+    const result = pending ? 'unreachable' : 'neutral';
+    this.sendRunEnded(askId, engineId, result, null, true);
+    if (pending) this.resubmit(pending, engineId);
   }
 
-  /** Nobody schedules any more: what waits is chosen for here. */
+  /** Chooses locally for all pending asks when the scheduling node is lost. */
   loseHolder(): void {
-    [...this.open.values()].forEach(opened => this.orphan(opened));
+    [...this.pendingAsks.values()].forEach(pending =>
+      this.fallBackToLocal(pending),
+    );
   }
 
-  /** Tells a node that has just taken over what is under way here. */
+  /** Sends all pending asks and running requests to a new scheduling node. */
   greetHolder(): void {
-    const asks = [...this.open.values()].flatMap(({askId, ask}) =>
-      this.describe(askId, ask),
+    const asks = [...this.pendingAsks.values()].flatMap(({askId, ask}) =>
+      this.toPayloads(askId, ask),
     );
     const runs = [...this.runs.values()].flatMap(({askId, ask, engineId}) =>
-      this.describe(askId, ask).map(terms => ({ask: terms, engineId})),
+      this.toPayloads(askId, ask).map(payload => ({ask: payload, engineId})),
     );
-    const isHeard = this.options.sendToHolder({type: 'under-way', asks, runs});
-    this.open.forEach(opened => (opened.isHeard ||= isHeard));
+    const isSent = this.options.sendToHolder({type: 'under-way', asks, runs});
+    this.pendingAsks.forEach(pending => (pending.isSubmitted ||= isSent));
   }
 
   release(choice: ChosenServer): void {
     this.options.local.release(choice);
-    this.giveBack(choice);
+    this.refundCharge(choice);
     this.endRun(choice, 'neutral', null, true);
   }
 
@@ -149,7 +150,7 @@
     headMs: number | null,
   ): void {
     this.options.local.noteDone(choice, result, headMs);
-    if (saysNotRun(result)) this.giveBack(choice);
+    if (isKnownNotRun(result)) this.refundCharge(choice);
     this.endRun(choice, result === 'answered' ? 'served' : result, headMs);
   }
 
@@ -160,18 +161,21 @@
     isUnsent = false,
   ): void {
     if (askId === null || !this.runs.delete(askId)) return;
-    this.tellEnd(askId, server.id, result, headMs, isUnsent);
+    this.sendRunEnded(askId, server.id, result, headMs, isUnsent);
   }
 
-  /** By this node's own view; what is beyond the quota goes nowhere. */
-  private async chooseCharged(ask: ServerAsk): Promise<ServerChoice> {
+  /** Refunds the charge when no server can be chosen. */
+  private async chargeAndChooseLocally(ask: ServerAsk): Promise<ServerChoice> {
     const {local, quotas} = this.options;
     const {charge} = ask;
-    const refusal = charge && (await this.charge(charge));
+    const refusal = charge && (await this.chargeQuota(charge));
     if (charge && refusal) {
       const {retryAfterMs} = refusal;
       this.options.onQuotaRefused(ask.request.requestId, charge, refusal);
-      return {status: 'refused', error: makeOverQuota(charge, retryAfterMs)};
+      return {
+        status: 'refused',
+        error: makeOverQuotaError(charge, retryAfterMs),
+      };
     }
     const choice = await local.choose(ask);
     if (choice.status === 'chosen') return {...choice, charge};
@@ -180,36 +184,36 @@
   }
 
   /**
-   * Guards against requests that are refused though their team has enough left:
-   * two of a team that come to one node between two heartbeats. The holder is
-   * asked for those alone.
+   * Asks the holder when only this node's unsettled share is used up. Guards
+   * against refusing a team that has quota left when two of its requests reach
+   * one node between two heartbeats.
    */
-  private async charge(charge: QuotaCharge): Promise<QuotaRefusal | null> {
+  private async chargeQuota(charge: QuotaCharge): Promise<QuotaRefusal | null> {
     const refusal = this.options.quotas.charge(charge);
     if (!refusal?.isUnsettled) return refusal;
-    const askId = `${this.options.askPrefix}.${this.nextNumber++}`;
-    return this.charging.ask(askId, charge, refusal);
+    const askId = `${this.options.askPrefix}.${this.nextAskNumber++}`;
+    return this.chargeClient.requestCharge(askId, charge, refusal);
   }
 
-  private giveBack({charge}: ChosenServer): void {
+  private refundCharge({charge}: ChosenServer): void {
     if (charge) this.options.quotas.giveBack(charge);
   }
 
-  private openAsk(askId: string, ask: ServerAsk): OpenAsk {
-    const opened = new OpenAsk(askId, ask, {
-      onSettled: () => this.open.delete(askId),
+  private addPendingAsk(askId: string, ask: ServerAsk): PendingAsk {
+    const pending = new PendingAsk(askId, ask, {
+      onSettled: () => this.pendingAsks.delete(askId),
       onWithdrawn: () => this.options.sendToHolder({type: 'withdraw', askId}),
     });
-    if (!ask.signal.aborted) this.open.set(askId, opened);
-    return opened;
+    if (!ask.signal.aborted) this.pendingAsks.set(askId, pending);
+    return pending;
   }
 
-  private assign(opened: OpenAsk, server: BackendServerEntry): void {
-    const {ask, askId} = opened;
+  private assign(pending: PendingAsk, server: BackendServerEntry): void {
+    const {ask, askId} = pending;
     const nowMs = this.options.clock.monotonicMs();
     const waitedMs = Math.round(nowMs - ask.request.receivedAtMs);
     this.runs.set(askId, {askId, ask, engineId: server.id});
-    opened.settle({
+    pending.settle({
       status: 'chosen',
       server,
       basis: {by: 'schedule', waitedMs},
@@ -218,41 +222,41 @@
   }
 
   /**
-   * Guards against a request that waits for ever: it was assigned to a server
-   * that this node has seen leave and the node that schedules has not.
+   * Guards against a request that waits forever after it was assigned to a
+   * server that this node has already removed and the scheduling node has not.
    */
-  private askAgain(opened: OpenAsk, engineId: BackendServerId): void {
-    opened.exclude(engineId);
-    const [terms] = this.describe(opened.askId, opened.ask);
-    if (!terms || !this.options.sendToHolder({type: 'ask', ask: terms})) {
-      this.chooseHere(opened);
+  private resubmit(pending: PendingAsk, engineId: BackendServerId): void {
+    pending.exclude(engineId);
+    const [payload] = this.toPayloads(pending.askId, pending.ask);
+    if (!payload || !this.options.sendToHolder({type: 'ask', ask: payload})) {
+      this.chooseLocally(pending);
     }
   }
 
-  private orphan(opened: OpenAsk): void {
-    opened.isHeard = false;
-    this.chooseHere(opened);
+  private fallBackToLocal(pending: PendingAsk): void {
+    pending.isSubmitted = false;
+    this.chooseLocally(pending);
   }
 
-  private chooseHere(opened: OpenAsk): void {
+  private chooseLocally(pending: PendingAsk): void {
     const {clock} = this.options;
-    void this.chooseCharged(opened.ask).then(choice => {
+    void this.chargeAndChooseLocally(pending.ask).then(choice => {
       if (choice.status === 'chosen') {
-        if (!opened.settle(choice)) this.release(choice);
+        if (!pending.settle(choice)) this.release(choice);
         return;
       }
-      clock.setTimer(ORPHAN_WAIT_MS, () => {
-        if (!opened.isHeard) opened.settle(choice);
+      clock.setTimer(TAKEOVER_WAIT_MS, () => {
+        if (!pending.isSubmitted) pending.settle(choice);
       });
     });
   }
 
-  private describe(askId: string, ask: ServerAsk): AskTerms[] {
-    const terms = toAskTerms(askId, ask, this.options.clock.monotonicMs());
-    return terms ? [terms] : [];
+  private toPayloads(askId: string, ask: ServerAsk): AskPayload[] {
+    const payload = toAskPayload(askId, ask, this.options.clock.monotonicMs());
+    return payload ? [payload] : [];
   }
 
-  private tellEnd(
+  private sendRunEnded(
     askId: string,
     engineId: BackendServerId,
     result: RunResult,
@@ -265,19 +269,23 @@
   }
 }
 
-function makeRefusal(
+function makeRefusalError(
   {reason, retryAfterMs}: Extract<FromHolder, {type: 'refused'}>,
   charge: QuotaCharge | null,
 ): TypedError {
-  if (reason === 'over-quota') return makeOverQuota(charge, retryAfterMs);
-  return new TypedError('not-warm', `No engine can serve it now: ${reason}.`, {
-    run: 'not-run',
-    retryAfterMs: Math.max(retryAfterMs, RETRY_AFTER_MS / 2),
-    info: {reason},
-  });
+  if (reason === 'over-quota') return makeOverQuotaError(charge, retryAfterMs);
+  return new TypedError(
+    'not-warm',
+    `No engine can serve the request now: ${reason}.`,
+    {
+      run: 'not-run',
+      retryAfterMs: Math.max(retryAfterMs, RETRY_AFTER_MS / 2),
+      info: {reason},
+    },
+  );
 }
 
-function makeOverQuota(
+function makeOverQuotaError(
   charge: QuotaCharge | null,
   retryAfterMs: number,
 ): TypedError {
--- a/packages/schedule-service/src/scheduling_host.test.ts
+++ b/packages/schedule-service/src/scheduling_host.test.ts
@@ -15,7 +15,7 @@
 import {type FromHolder, type ToHolder} from './messages.js';
 import {type HeldQuotas, SchedulingHost} from './scheduling_host.js';
 
-const test = suite('scheduling for all nodes');
+const test = suite('scheduling host');
 
 const REPORT: EngineReport = {
   startedAtMs: null,
@@ -24,7 +24,7 @@
   residents: [],
 };
 
-/** An engine that holds nothing and answers as it is told. */
+/** An empty engine with configurable answers. */
 class FakeOrders implements EngineOrders {
   report: EngineReport | TypedError = REPORT;
   answer: SentOrder = {outcome: 'accepted', cause: null};
@@ -38,16 +38,16 @@
   }
 }
 
-/** Quotas of one team that has no room for more than an amount. */
+/** The quota of one team, without refill. */
 class FakeQuotas implements HeldQuotas {
   charged = 0;
 
-  constructor(private readonly room: number) {}
+  constructor(private readonly limit: number) {}
 
   chargeAsked({amount}: QuotaCharge): QuotaRefusal | null {
-    if (this.charged + amount > this.room) {
+    if (this.charged + amount > this.limit) {
       return {
-        ...{level: this.room - this.charged, retryAfterMs: 700},
+        ...{level: this.limit - this.charged, retryAfterMs: 700},
         ...{isUnsettled: false, decidedBy: 'holder'},
       };
     }
@@ -90,11 +90,8 @@
   return {clock, logger, host, quotas, sent};
 }
 
-/*
- * Requests for a model are refused for seconds. On call, somebody sees that each
- * order to load it was 'refused' or 'unknown', and not what the engine said.
- */
-test('the line of an order that failed tells why', async () => {
+// Guards against logging a failed order without the engine's reason.
+test('a failed order is logged with its cause', async () => {
   const orders = new FakeOrders();
   orders.answer = {outcome: 'unknown', cause: 'no answer within 400 ms'};
   const {logger, host} = startHost(orders);
@@ -105,13 +102,10 @@
   host.stop();
 });
 
-/*
- * An engine that answers no question about its state gets no orders, so its
- * models are missing, and no line told that it is the cause.
- */
-test('an engine that does not tell its state is logged once, and its return', async () => {
+// Guards against an engine that gets no orders and no log line that says why.
+test('an unresponsive engine and its recovery are logged once', async () => {
   const orders = new FakeOrders();
-  orders.report = new TypedError('backend-unreachable', 'It is silent.');
+  orders.report = new TypedError('backend-unreachable', 'No answer.');
   const {clock, logger, host} = startHost(orders);
   const passTime = async () => {
     for (let step = 0; step < 10; step += 1) {
@@ -129,26 +123,23 @@
   host.stop();
 });
 
-/*
- * A model starts to load twice at once, and the engine falls over. It had been
- * ordered, its entry lapsed and came back, and the node that scheduled gave the
- * duty away: the next one was not told of the order, and did not wait.
- */
-test('an order is remembered though the engine lapses meanwhile', async () => {
+// Guards against a second load order by the next scheduling node to an engine
+// whose entry expired and came back during the first load.
+test('the last order is kept after its engine is removed', async () => {
   const {clock, host} = startHost(new FakeOrders());
   await settle();
   clock.advance(1_000);
   host.dropServer('e1');
-  const [told] = host.listLastOrders();
-  assert.is(told?.engineId, 'e1');
-  assert.is(told?.ageMs, 1_000);
+  const [entry] = host.listLastOrders();
+  assert.is(entry?.engineId, 'e1');
+  assert.is(entry?.ageMs, 1_000);
   clock.advance(60_000);
   assert.equal(host.listLastOrders(), []);
   host.stop();
 });
 
-// Guards against a team beyond its quota that takes waiting room from others.
-test('an ask beyond its quota is refused before it waits', () => {
+// Guards against a team over its quota that takes queue space from other teams.
+test('an ask over its quota is refused before it is queued', () => {
   const {host, sent, logger} = startHost(new FakeOrders());
   const charge = {team: 'link', amount: 80, isForced: false};
   host.receive('n1', makeAsk('a2', charge));
@@ -161,8 +152,8 @@
   host.stop();
 });
 
-// Guards against quotas that are used up by requests which never ran.
-test('what provably has not run is given back, and once', () => {
+// Guards against quotas that are used up by requests that never ran.
+test('the charge of a request that has not run is refunded once', () => {
   const {host, quotas} = startHost(new FakeOrders());
   const charge = {team: 'link', amount: 10, isForced: false};
   const end = (askId: string, result: 'not-taken' | 'served' | 'neutral') =>
--- a/packages/schedule-service/src/scheduling_host.ts
+++ b/packages/schedule-service/src/scheduling_host.ts
@@ -1,4 +1,4 @@
-/** Schedules for all nodes, while this node holds the duty. */
+/** Schedules the requests of all nodes while this node holds the duty. */
 import {type Clock, type Timer} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
 import {type EventLogger} from '@mimosatack/logger';
@@ -14,71 +14,68 @@
   type ServiceSpec,
 } from '@mimosatack/types';
 import {type QuotaCharge, type QuotaRefusal} from '@mimosatack/team-quotas';
-import {toScheduledRequest} from './ask_terms.js';
+import {toScheduledRequest} from './ask_payload.js';
 import {
   type EngineOrderAge,
   type EngineOrders,
   type OrderAuthority,
   type SentOrder,
 } from './engine_orders.js';
-import {type AskTerms, type FromHolder, type ToHolder} from './messages.js';
-import {saysNotRun} from './says_not_run.js';
+import {type AskPayload, type FromHolder, type ToHolder} from './messages.js';
+import {isKnownNotRun} from './is_known_not_run.js';
 
-/** What a host is built from. */
 export interface SchedulingHostOptions {
   clock: Clock;
   logger: EventLogger;
   policy: SwapPolicy;
   orders: EngineOrders;
-  /** Null while this node must not give orders. */
+  /** Returns null while this node must not send orders. */
   authority: () => OrderAuthority | null;
-  /** No order may go to the engine before this time. */
+  /** No order may be sent to the engine before this time. */
   quietUntilMs: (engineId: BackendServerId) => number;
   send: (nodeAddress: string, message: FromHolder) => void;
   quotas: HeldQuotas;
-  /** A later holder gives orders; this one has to stop. */
+  /** Called when an engine has refused this node's fencing token. */
   onFenced: (fencingToken: number) => void;
 }
 
-/** The quotas of all teams, which this node holds with the duty. */
+/** The quotas of all teams, which the scheduling node holds. */
 export interface HeldQuotas {
   chargeAsked(charge: QuotaCharge): QuotaRefusal | null;
   giveBackAsked(charge: QuotaCharge): void;
 }
 
-/** Older orders matter to nobody: leases are some seconds long. */
-const REMEMBERED_ORDERS_MS = 60_000;
-/** The longest sleep between two decisions. */
-const MAX_SLEEP_MS = 250;
+/** Longer than any lease; the next scheduling node needs no older orders. */
+const ORDER_HISTORY_MS = 60_000;
+const MAX_DECISION_INTERVAL_MS = 250;
 
-/** The duty was lost, or the engine left, since the order was planned. */
+/** The duty was lost or the engine removed after the order was planned. */
 const NOT_SENT: SentOrder = {
   outcome: 'refused',
-  cause: 'not sent: no duty, or no such engine any more',
+  cause: 'not sent: this node lost the duty or the engine was removed',
 };
 
-/** What is kept of an ask until its request has ended. */
-interface KnownAsk {
+/** An ask, from its arrival until its request has ended. */
+interface TrackedAsk {
   nodeAddress: string;
   requestId: string;
   model: string;
   adapter: string | null;
   arrivedAtMs: number;
-  /** What it took out of its team's quota. */
   charge: QuotaCharge | null;
 }
 
-/** Owns the scheduler and carries out what it decides. */
+/** Runs the scheduler and carries out its decisions. */
 export class SchedulingHost {
   private readonly scheduler: ModelScheduler;
   private readonly servers = new Map<BackendServerId, BackendServerEntry>();
-  private readonly asks = new Map<string, KnownAsk>();
-  private readonly asking = new Set<BackendServerId>();
-  /** Engines that did not tell their state when they were last asked. */
-  private readonly silent = new Set<BackendServerId>();
-  private readonly orderedAtMs = new Map<BackendServerId, number>();
+  private readonly asks = new Map<string, TrackedAsk>();
+  private readonly pendingReports = new Set<BackendServerId>();
+  /** Engines whose state could not be read at the last attempt. */
+  private readonly unresponsive = new Set<BackendServerId>();
+  private readonly lastOrderAtMs = new Map<BackendServerId, number>();
   private timer: Timer | null = null;
-  private isDecisionDue = false;
+  private isDecisionScheduled = false;
   private isStopped = false;
 
   constructor(private readonly options: SchedulingHostOptions) {
@@ -102,16 +99,16 @@
   }
 
   /**
-   * For the next node that schedules: whom this one has ordered lately, also
-   * engines whose entries have gone meanwhile, since they may come back.
+   * Recent orders, for the next scheduling node. Engines whose entries were
+   * removed are included, since the entries may come back.
    */
   listLastOrders(): EngineOrderAge[] {
     const nowMs = this.nowMs();
-    this.orderedAtMs.forEach((atMs, engineId) => {
-      if (nowMs - atMs < REMEMBERED_ORDERS_MS) return;
-      this.orderedAtMs.delete(engineId);
+    this.lastOrderAtMs.forEach((atMs, engineId) => {
+      if (nowMs - atMs < ORDER_HISTORY_MS) return;
+      this.lastOrderAtMs.delete(engineId);
     });
-    return [...this.orderedAtMs].map(([engineId, atMs]) => ({
+    return [...this.lastOrderAtMs].map(([engineId, atMs]) => ({
       ...{engineId, ageMs: nowMs - atMs},
     }));
   }
@@ -127,25 +124,25 @@
       this.servers.set(server.id, server);
       this.scheduler.putEngine(server, nowMs);
     });
-    this.requestDecision();
+    this.scheduleDecision();
   }
 
   dropServer(id: BackendServerId): void {
     this.servers.delete(id);
-    this.silent.delete(id);
+    this.unresponsive.delete(id);
     this.scheduler.dropEngine(id);
-    this.requestDecision();
+    this.scheduleDecision();
   }
 
   receive(nodeAddress: string, message: ToHolder): void {
     const nowMs = this.nowMs();
     switch (message.type) {
       case 'ask':
-        this.takeAsk(message.ask, nodeAddress, nowMs);
+        this.acceptAsk(message.ask, nodeAddress, nowMs);
         break;
       case 'withdraw':
         this.scheduler.withdraw(message.askId);
-        this.forget(message.askId, false);
+        this.dropAsk(message.askId, false);
         break;
       case 'run-ended':
         this.scheduler.noteEnd(
@@ -155,12 +152,12 @@
           message.headMs,
           nowMs,
         );
-        this.forget(message.askId, hasRun(message));
+        this.dropAsk(message.askId, mayRequestHaveRun(message));
         break;
       case 'charge':
         return this.answerCharge(message, nodeAddress);
       case 'under-way':
-        message.asks.forEach(ask => this.takeAsk(ask, nodeAddress, nowMs));
+        message.asks.forEach(ask => this.acceptAsk(ask, nodeAddress, nowMs));
         message.runs.forEach(({ask, engineId}) =>
           this.scheduler.noteRunning(
             toScheduledRequest(ask, nodeAddress, nowMs),
@@ -169,12 +166,12 @@
           ),
         );
     }
-    this.requestDecision();
+    this.scheduleDecision();
   }
 
-  private takeAsk(ask: AskTerms, nodeAddress: string, nowMs: number): void {
+  private acceptAsk(ask: AskPayload, nodeAddress: string, nowMs: number): void {
     const {askId, requestId, model, adapter, waitedMs, charge} = ask;
-    // One that asks again is charged already.
+    // A repeated ask was charged the first time.
     const isCharged = this.asks.has(askId);
     const arrivedAtMs = nowMs - waitedMs;
     this.asks.set(askId, {
@@ -182,15 +179,15 @@
     });
     const refusal =
       charge && !isCharged ? this.options.quotas.chargeAsked(charge) : null;
-    if (charge && refusal) return this.refuseCharge(askId, charge, refusal);
+    if (charge && refusal) return this.refuseOverQuota(askId, charge, refusal);
     this.scheduler.ask(toScheduledRequest(ask, nodeAddress, nowMs), nowMs);
   }
 
   /**
-   * Guards against a team beyond its quota that takes waiting room and the
-   * scheduler's time from the others: it is refused before anything is decided.
+   * Refuses the ask before it is queued. Guards against a team over its quota
+   * that takes queue space and scheduling time from other teams.
    */
-  private refuseCharge(
+  private refuseOverQuota(
     askId: string,
     {team, amount}: QuotaCharge,
     {level, retryAfterMs, decidedBy}: QuotaRefusal,
@@ -216,18 +213,18 @@
     this.options.send(nodeAddress, {type: 'charged', askId, refusal});
   }
 
-  private forget(askId: string, hasRunIt: boolean): void {
+  private dropAsk(askId: string, mayHaveRun: boolean): void {
     const charge = this.asks.get(askId)?.charge;
-    if (charge && !hasRunIt) this.options.quotas.giveBackAsked(charge);
+    if (charge && !mayHaveRun) this.options.quotas.giveBackAsked(charge);
     this.asks.delete(askId);
   }
 
-  /** Several events in one turn are decided on together. */
-  private requestDecision(): void {
-    if (this.isDecisionDue || this.isStopped) return;
-    this.isDecisionDue = true;
+  /** Coalesces all events of one event loop turn into one decision. */
+  private scheduleDecision(): void {
+    if (this.isDecisionScheduled || this.isStopped) return;
+    this.isDecisionScheduled = true;
     setImmediate(() => {
-      this.isDecisionDue = false;
+      this.isDecisionScheduled = false;
       if (!this.isStopped) this.decide();
     });
   }
@@ -237,19 +234,21 @@
     const mayOrder = this.options.authority() !== null;
     this.scheduler
       .decide(nowMs, mayOrder)
-      .forEach(decision => this.carryOut(decision));
-    this.scheduler.listUnknown(nowMs).forEach(id => void this.askEngine(id));
+      .forEach(decision => this.executeDecision(decision));
+    this.scheduler
+      .listUnknown(nowMs)
+      .forEach(id => void this.readEngineReport(id));
     this.timer?.cancel();
-    const sleepMs = Math.min(
-      MAX_SLEEP_MS,
+    const delayMs = Math.min(
+      MAX_DECISION_INTERVAL_MS,
       this.scheduler.nextDecisionMs(nowMs) - nowMs,
     );
-    this.timer = this.options.clock.setTimer(sleepMs, () =>
-      this.requestDecision(),
+    this.timer = this.options.clock.setTimer(delayMs, () =>
+      this.scheduleDecision(),
     );
   }
 
-  private carryOut(decision: Decision): void {
+  private executeDecision(decision: Decision): void {
     if (decision.kind === 'order') {
       void this.sendOrder(decision.order);
       return;
@@ -267,12 +266,12 @@
     this.options.send(nodeAddress, {
       ...{type: 'refused', askId, reason, retryAfterMs},
     });
-    this.forget(askId, false);
+    this.dropAsk(askId, false);
   }
 
   private logDecision(
     decision: Exclude<Decision, {kind: 'order'}>,
-    {requestId, nodeAddress, model, adapter, arrivedAtMs}: KnownAsk,
+    {requestId, nodeAddress, model, adapter, arrivedAtMs}: TrackedAsk,
   ): void {
     const isAssigned = decision.kind === 'assign';
     this.options.logger.log('ask-decided', {
@@ -292,9 +291,9 @@
     const {orders, onFenced, logger} = this.options;
     const server = this.servers.get(order.engineId);
     const sentAtMs = this.nowMs();
-    this.orderedAtMs.set(order.engineId, sentAtMs);
-    // Asked for at the last moment: a node that was frozen meanwhile may have
-    // lost the duty without having noticed.
+    this.lastOrderAtMs.set(order.engineId, sentAtMs);
+    // Checked right before sending: a node that was suspended may have lost the
+    // duty without noticing.
     const authority = this.options.authority();
     const {outcome, cause} =
       server && authority
@@ -309,34 +308,37 @@
     });
     if (outcome === 'fenced') return onFenced(authority?.fencingToken ?? 0);
     this.scheduler.noteOrderOutcome(order, outcome, this.nowMs());
-    this.requestDecision();
+    this.scheduleDecision();
   }
 
-  private async askEngine(id: BackendServerId): Promise<void> {
+  private async readEngineReport(id: BackendServerId): Promise<void> {
     const server = this.servers.get(id);
-    if (!server || this.asking.has(id)) return;
-    this.asking.add(id);
+    if (!server || this.pendingReports.has(id)) return;
+    this.pendingReports.add(id);
     const report = await this.options.orders.readReport(server);
-    this.asking.delete(id);
+    this.pendingReports.delete(id);
     if (this.isStopped) return;
     if (report instanceof TypedError) {
       this.scheduler.noteReportFailed(id, this.nowMs());
     } else {
       this.scheduler.noteReport(id, report, this.nowMs());
     }
-    this.logSilence(id, report instanceof TypedError ? report : null);
-    this.requestDecision();
+    this.logResponsiveness(id, report instanceof TypedError ? report : null);
+    this.scheduleDecision();
   }
 
-  /** A silent engine is asked again and again; each silence is told once. */
-  private logSilence(id: BackendServerId, error: TypedError | null): void {
+  /** Logs only when an engine stops answering or answers again. */
+  private logResponsiveness(
+    id: BackendServerId,
+    error: TypedError | null,
+  ): void {
     const {logger} = this.options;
-    const wasSilent = this.silent.has(id);
-    if (error && !wasSilent) {
-      this.silent.add(id);
+    const wasUnresponsive = this.unresponsive.has(id);
+    if (error && !wasUnresponsive) {
+      this.unresponsive.add(id);
       logger.log('engine-silent', {backendServerId: id, error});
     }
-    if (!error && this.silent.delete(id)) {
+    if (!error && this.unresponsive.delete(id)) {
       logger.log('engine-heard', {backendServerId: id});
     }
   }
@@ -346,10 +348,10 @@
   }
 }
 
-/** Whether an engine may have run a request that has ended. */
-function hasRun({
+/** Whether the engine may have run a request that has ended. */
+function mayRequestHaveRun({
   result,
   isUnsent,
 }: Extract<ToHolder, {type: 'run-ended'}>): boolean {
-  return !isUnsent && !saysNotRun(result);
+  return !isUnsent && !isKnownNotRun(result);
 }
