--- a/packages/hold-duty/src/decide_claim.ts
+++ b/packages/hold-duty/src/decide_claim.ts
@@ -1,44 +1,40 @@
-/** The rules for claiming a duty. */
+/** Decides when a node claims a duty. */
 
-/** What a node knows of the holder from its own connections. */
+/** The state of the holder as a node's own connections show it. */
 export type HolderContact =
-  /** Heard of a moment ago. */
+  /** A heartbeat was exchanged recently. */
   | 'alive'
-  /** Nothing was heard for some time. */
+  /** No heartbeat was exchanged for some time. */
   | 'silent'
-  /** Nothing listens at its address: its process is gone, or a cut says so. */
+  /** Its address refuses connections: a crash, or a fault of the network. */
   | 'gone'
-  /** Its process has ended: it said so, or another one is in its place. */
+  /** Its process has exited: announced, or replaced at its address. */
   | 'ended';
 
-/** What a claim is decided by. */
 export interface DutyView {
-  /** Null while no record was ever written. */
+  /** Null when no holder was ever recorded. */
   holder: {isSelf: boolean; contact: HolderContact} | null;
-  /** How long `contact` has been what it is. */
+  /** Time since `contact` changed. */
   contactForMs: number;
-  /** How many other live nodes go before this one. */
+  /** Number of live nodes that claim before this one. */
   rank: number;
-  /** Whether any other node still hears the holder. */
+  /** Whether any other node still reaches the holder. */
   isHeardByOthers: boolean;
 }
 
-/** The first claims come at different times, so that one of them is enough. */
-const RANK_DELAY_MS = 150;
-/**
- * A holder that is silent may be frozen or cut off and come back; a holder
- * that is gone can't. Heartbeats come several times a second.
- */
-const SILENCE_MS = 1_200;
+/** Delay per rank, so that the first claim usually succeeds before the next. */
+const CLAIM_STAGGER_MS = 150;
+/** Longer than a short freeze or network fault; several heartbeats long. */
+const SILENCE_TIMEOUT_MS = 1_200;
 
-/** Whether this node claims the duty now. */
+/** Returns whether this node is to claim the duty now. */
 export function decideClaim(view: DutyView): boolean {
   const {holder, contactForMs, rank, isHeardByOthers} = view;
-  const waitMs = rank * RANK_DELAY_MS;
+  const waitMs = rank * CLAIM_STAGGER_MS;
   if (!holder) return contactForMs >= waitMs;
   if (holder.isSelf || holder.contact === 'alive') return false;
   if (holder.contact === 'gone' || holder.contact === 'ended') {
     return contactForMs >= waitMs;
   }
-  return !isHeardByOthers && contactForMs >= SILENCE_MS + waitMs;
+  return !isHeardByOthers && contactForMs >= SILENCE_TIMEOUT_MS + waitMs;
 }
--- a/packages/hold-duty/src/duty_fixture.ts
+++ b/packages/hold-duty/src/duty_fixture.ts
@@ -1,4 +1,4 @@
-/** Nodes that share one duty, on one clock and one topic. */
+/** Test nodes that share one duty, one manual clock and one in-memory topic. */
 import {ManualClock} from '@mimosatack/clock';
 import {settle} from '@mimosatack/fakes';
 import {
@@ -11,12 +11,12 @@
 import {DutyTask, type HolderContact} from './duty_task.js';
 
 export const LEASE_MS = 3_000;
-export const PROMISE_MS = 1_500;
-/** What is ordered. */
+export const GRANT_MS = 1_500;
+/** The target that the test nodes send orders to. */
 export const TARGET = 'e1';
 
-/** One node's way to the topic, which a test cuts. */
-class Way implements KeyedTopic {
+/** One node's connection to the topic, which a test can cut. */
+class CuttableTopic implements KeyedTopic {
   isCut = false;
 
   constructor(private readonly topic: MemoryKeyedTopic) {}
@@ -39,23 +39,22 @@
   }
 
   private failIfCut(): void {
-    if (this.isCut) throw new Error('The way is cut.');
+    if (this.isCut) throw new Error('The connection to the store is cut.');
   }
 }
 
-/** One node with its view of the holder, which a test sets. */
+/** A node whose view of the holder is set by the test. */
 export interface TestNode {
   name: string;
   task: DutyTask;
-  way: Way;
+  storeLink: CuttableTopic;
   contact: HolderContact;
-  /** Whether its heartbeats reach the holder, with its promises. */
-  isPromising: boolean;
-  promiseEndsAtMs: number;
-  /** Its process has ended. */
-  isDead: boolean;
-  /** When it last could order, as the test has looked. */
-  orderedAtMs: number;
+  /** Whether its heartbeats, with its lease grants, reach the holder. */
+  isGranting: boolean;
+  grantEndsAtMs: number;
+  hasCrashed: boolean;
+  /** When the test last observed that the node was allowed to send orders. */
+  lastOrderAtMs: number;
 }
 
 function makeNode(
@@ -69,23 +68,28 @@
   },
 ): TestNode {
   const {clock, topic, isFenced, nodes} = setup;
-  const findGrantEnd = (self: TestNode, sinceMs: number) =>
+  const findGrantsEndMs = (self: TestNode, sinceMs: number) =>
     Math.min(
       ...nodes
         .filter(other => other !== self)
-        .map(({promiseEndsAtMs}) =>
-          promiseEndsAtMs - PROMISE_MS > sinceMs ? promiseEndsAtMs : -Infinity,
+        .map(({grantEndsAtMs}) =>
+          grantEndsAtMs - GRANT_MS > sinceMs ? grantEndsAtMs : -Infinity,
         ),
     );
-  const way = new Way(topic);
+  const storeLink = new CuttableTopic(topic);
   const node: TestNode = {
-    ...{name, way},
+    ...{name, storeLink},
     contact: 'alive',
-    isPromising: false,
-    promiseEndsAtMs: -Infinity,
-    ...{isDead: false, orderedAtMs: -Infinity},
+    isGranting: false,
+    grantEndsAtMs: -Infinity,
+    ...{hasCrashed: false, lastOrderAtMs: -Infinity},
     task: new DutyTask({
-      ...{clock, isFenced, topic: way, random: new SeededRandom(rank + 1)},
+      ...{
+        clock,
+        isFenced,
+        topic: storeLink,
+        random: new SeededRandom(rank + 1),
+      },
       key: 'scheduler',
       self: {nodeName: name, incarnation: `${name}.1`, address: `${name}:1`},
       contactWith: () => (node.task.isHeld ? 'alive' : node.contact),
@@ -93,8 +97,8 @@
       isHeardByOthers: () => false,
       quietUntilMs: () => -Infinity,
       isCountedBy: () => true,
-      promisedUntilMs: () => node.promiseEndsAtMs,
-      grantedUntilMs: (_token, sinceMs) => findGrantEnd(node, sinceMs),
+      promisedUntilMs: () => node.grantEndsAtMs,
+      grantedUntilMs: (_token, sinceMs) => findGrantsEndMs(node, sinceMs),
       leaseMs: LEASE_MS,
       isEligible: () => true,
       onHolder: () => undefined,
@@ -115,31 +119,29 @@
   names.forEach((name, rank) =>
     nodes.push(makeNode(name, rank, {clock, topic, isFenced, nodes})),
   );
-  const sendPromises = () =>
+  const sendGrants = () =>
     nodes
-      .filter(node => node.isPromising && node.contact === 'alive')
-      .filter(node => !node.isDead)
-      .forEach(
-        node => (node.promiseEndsAtMs = clock.monotonicMs() + PROMISE_MS),
-      );
+      .filter(node => node.isGranting && node.contact === 'alive')
+      .filter(node => !node.hasCrashed)
+      .forEach(node => (node.grantEndsAtMs = clock.monotonicMs() + GRANT_MS));
   nodes.forEach(({task}) => task.start());
-  const pass = async (ms: number) => {
+  const passTime = async (ms: number) => {
     for (let passed = 0; passed < ms; passed += 50) {
       clock.advance(50);
-      sendPromises();
+      sendGrants();
       await settle();
     }
   };
-  const mayOrder = ({task, isDead}: TestNode) =>
-    !isDead &&
+  const mayOrder = ({task, hasCrashed}: TestNode) =>
+    !hasCrashed &&
     task.findAuthority() !== null &&
     clock.monotonicMs() >= task.findQuietUntilMs(TARGET);
-  const holders = () => nodes.filter(mayOrder).map(({name}) => name);
+  const listHolders = () => nodes.filter(mayOrder).map(({name}) => name);
   const stop = () => nodes.forEach(({task}) => task.stop());
-  return {clock, topic, nodes, pass, holders, mayOrder, stop};
+  return {clock, topic, nodes, passTime, listHolders, mayOrder, stop};
 }
 
-export function pick(nodes: readonly TestNode[], name: string): TestNode {
+export function findNode(nodes: readonly TestNode[], name: string): TestNode {
   const node = nodes.find(other => other.name === name);
   if (!node) throw new Error(`No node ${name}.`);
   return node;
--- a/packages/hold-duty/src/duty_properties.test.ts
+++ b/packages/hold-duty/src/duty_properties.test.ts
@@ -2,7 +2,7 @@
 import {suite} from 'uvu';
 import {LEASE_MS, TARGET, type TestNode, startNodes} from './duty_fixture.js';
 
-const test = suite('a duty under any order of events');
+const test = suite('duty properties under random events');
 
 const STEP_KINDS = [
   'gone',
@@ -14,46 +14,46 @@
   'lost',
   'late',
   'release',
-  'promise',
-  'mute',
+  'grant',
+  'withhold-grants',
   'suspend',
   'crash',
   'hand-over',
 ] as const;
 
-/** What happens to a node or to the store. */
+/** An event at a node or at the store. */
 type Step = {
   kind: (typeof STEP_KINDS)[number];
-  at: number;
+  nodeIndex: number;
 };
 
-const steps = fc.array(
+const stepLists = fc.array(
   fc.record<Step>({
     kind: fc.constantFrom(...STEP_KINDS),
-    at: fc.nat({max: 2}),
+    nodeIndex: fc.nat({max: 2}),
   }),
   {maxLength: 25},
 );
 
-/** The holder's process ends, and the others hear of it. */
+/** Crashes the holder's process; the other nodes detect the exit. */
 function crashHolder(nodes: readonly TestNode[]): void {
-  const holder = nodes.find(({task, isDead}) => task.isHeld && !isDead);
+  const holder = nodes.find(({task, hasCrashed}) => task.isHeld && !hasCrashed);
   if (!holder) return;
-  holder.isDead = true;
-  holder.way.isCut = true;
+  holder.hasCrashed = true;
+  holder.storeLink.isCut = true;
   holder.task.stop();
   nodes.forEach(node => {
     if (node.task.holder?.nodeName === holder.name) node.contact = 'ended';
   });
 }
 
-/** The holder gives the duty away and tells when it ordered last. */
+/** Hands the duty over, with the time of the last order. */
 async function handOver(
   nodes: readonly TestNode[],
   next: TestNode,
 ): Promise<void> {
-  const holder = nodes.find(({task, isDead}) => task.isHeld && !isDead);
-  if (!holder || holder === next || next.isDead) return;
+  const holder = nodes.find(({task, hasCrashed}) => task.isHeld && !hasCrashed);
+  if (!holder || holder === next || next.hasCrashed) return;
   const {name} = next;
   const isDone = await holder.task.handOver({
     ...{nodeName: name, incarnation: `${name}.1`, address: `${name}:1`},
@@ -62,35 +62,35 @@
   next.contact = 'alive';
   next.task.noteLastOrders({
     incarnation: `${holder.name}.1`,
-    atMsByTarget: new Map([[TARGET, holder.orderedAtMs]]),
+    atMsByTarget: new Map([[TARGET, holder.lastOrderAtMs]]),
   });
 }
 
-async function play(plan: readonly Step[], isFenced: boolean) {
+async function runSteps(steps: readonly Step[], isFenced: boolean) {
   const names = ['a', 'b', 'c'];
   const started = startNodes(names, isFenced);
-  const {topic, nodes, pass, stop} = started;
-  const seen: Array<{name: string; token: number; atMs: number}> = [];
-  const look = () =>
+  const {topic, nodes, passTime, stop} = started;
+  const observed: Array<{name: string; token: number; atMs: number}> = [];
+  const recordOrders = () =>
     nodes.filter(started.mayOrder).forEach(node => {
       const {name, task} = node;
       const authority = task.findAuthority();
       if (!authority) return;
-      node.orderedAtMs = started.clock.monotonicMs();
-      seen.push({
+      node.lastOrderAtMs = started.clock.monotonicMs();
+      observed.push({
         name,
         token: authority.fencingToken,
         atMs: started.clock.monotonicMs(),
       });
     });
-  for (const {kind, at} of plan) {
-    const node = nodes[at];
+  for (const {kind, nodeIndex} of steps) {
+    const node = nodes[nodeIndex];
     if (kind === 'gone' && node) node.contact = 'gone';
     if (kind === 'alive' && node) node.contact = 'alive';
-    if (kind === 'cut' && node) node.way.isCut = true;
-    if (kind === 'heal' && node) node.way.isCut = false;
-    if (kind === 'promise' && node) node.isPromising = true;
-    if (kind === 'mute' && node) node.isPromising = false;
+    if (kind === 'cut' && node) node.storeLink.isCut = true;
+    if (kind === 'heal' && node) node.storeLink.isCut = false;
+    if (kind === 'grant' && node) node.isGranting = true;
+    if (kind === 'withhold-grants' && node) node.isGranting = false;
     if (kind === 'crash') crashHolder(nodes);
     if (kind === 'hand-over' && node) await handOver(nodes, node);
     if (kind === 'suspend') started.clock.suspend(4_000);
@@ -102,24 +102,24 @@
       topic.releaseLate();
     }
     for (let round = 0; round < 8; round += 1) {
-      await pass(100);
-      look();
+      await passTime(100);
+      recordOrders();
     }
   }
   stop();
-  return seen;
+  return observed;
 }
 
-/** A long run takes more runs by this variable; CI has a fixed seed. */
+/** Set the variable for a longer run. */
 const RUNS = Number(process.env['MIMOSATACK_PROPERTY_RUNS'] ?? 25);
 const SEED = 20_261_202;
 
 test('with fences no token is ever used by two nodes', async () => {
   await fc.assert(
-    fc.asyncProperty(steps, async plan => {
-      const seen = await play(plan, true);
+    fc.asyncProperty(stepLists, async steps => {
+      const observed = await runSteps(steps, true);
       const byToken = new Map<number, string>();
-      return seen.every(({token, name}) => {
+      return observed.every(({token, name}) => {
         const user = byToken.get(token) ?? name;
         byToken.set(token, user);
         return user === name;
@@ -131,10 +131,10 @@
 
 test('without fences two nodes never order within a lease of each other', async () => {
   await fc.assert(
-    fc.asyncProperty(steps, async plan => {
-      const seen = await play(plan, false);
-      return seen.every((later, index) =>
-        seen
+    fc.asyncProperty(stepLists, async steps => {
+      const observed = await runSteps(steps, false);
+      return observed.every((later, index) =>
+        observed
           .slice(0, index)
           .every(
             earlier =>
--- a/packages/hold-duty/src/duty_task.ts
+++ b/packages/hold-duty/src/duty_task.ts
@@ -1,12 +1,8 @@
 /**
- * The task that knows who carries out a duty, and claims it when nobody does.
- * The newest record of the duty's key names the holder, and the record's
- * offset is the fencing token: it grows with every change of the holder.
- *
- * Two nodes that claim at once: both append on the condition that the topic
- * ends where they read it, so the store takes one. A claim whose answer is
- * lost: nobody believes it before the record has been read back, and one that
- * is carried out seconds later still holds only if no other came between.
+ * Elects the node that holds a duty. The newest record of the duty's key names
+ * the holder, and the record's offset is the fencing token. Claims are appended
+ * on the condition that the topic has not grown: one of two concurrent claims
+ * succeeds, and a delayed claim fails after any other record.
  */
 import {type Clock} from '@mimosatack/clock';
 import {type TypedError, toTypedError} from '@mimosatack/errors';
@@ -23,24 +19,24 @@
 
 export {type HolderContact} from './decide_claim.js';
 
-/** Who holds a duty. */
+/** The node that holds a duty. */
 export interface DutyHolder {
   nodeName: string;
-  /** One life of its process. */
+  /** Identifies the process; a restarted node has a new incarnation. */
   incarnation: string;
-  /** Where the other nodes reach it. */
+  /** The address at which other nodes reach it. */
   address: string;
-  /** Higher for every later holder. */
+  /** The fencing token, which increases with every record. */
   token: number;
 }
 
-/** Turns the holder into the value of its record and back. */
+/** Encodes a holder as the value of its record. */
 export class DutyHolderCodec {
   static encode({nodeName, incarnation, address}: DutyHolder): Uint8Array {
     return Buffer.from(JSON.stringify({nodeName, incarnation, address}));
   }
 
-  /** Null for a value of an unknown form. */
+  /** Returns null for a malformed value. */
   static decode(value: Uint8Array, offset: number): DutyHolder | null {
     try {
       const {nodeName, incarnation, address} = JSON.parse(
@@ -54,149 +50,148 @@
   }
 }
 
-/** What the task is built from. */
 export interface DutyTaskOptions {
   clock: Clock;
   random: RandomSource;
   topic: KeyedTopic;
   key: string;
   self: Omit<DutyHolder, 'token'>;
-  /** What this node's connections tell of the holder. */
+  /** The state of the holder as this node's connections show it. */
   contactWith: (holder: DutyHolder) => HolderContact;
-  /** How many live nodes claim before this one. */
+  /** Number of live nodes that claim before this one. */
   findRank: () => number;
   isHeardByOthers: () => boolean;
-  /** Until when this node has promised the holder not to claim. */
+  /** When the lease grant of this node ends; the node does not claim before. */
   promisedUntilMs: () => number;
-  /** Until when this process claims nothing, since it has just started. */
+  /** When the startup delay ends; the process does not claim before. */
   quietUntilMs: () => number;
   /**
-   * Whether a holder's process needs this node's promise wherever it relies on
-   * promises, since it has answered one.
+   * Whether a holder's process requires this node's grant when it relies on
+   * lease grants, since it has answered one.
    */
   isCountedBy: (incarnation: string) => boolean;
   /**
-   * Until when all other nodes have promised the holder of a token not to
-   * claim; promises that came before `sinceMs` do not count. Minus infinity
-   * when there is no other node, or one that has not promised.
+   * When the first of the other nodes' lease grants for a token ends; grants
+   * received before `sinceMs` do not count. Minus infinity when there is no
+   * other node, or when a grant is missing.
    */
   grantedUntilMs: (token: number, sinceMs: number) => number;
   /**
-   * Whether those that are ordered refuse an old fencing token. Where they do
-   * not, the holder has to prove its lease again and again.
+   * Whether targets refuse orders with an old fencing token. Otherwise the
+   * holder must have a valid lease for each order.
    */
   isFenced: boolean;
-  /** Orders of two holders must be at least this far apart. */
+  /** Minimum time between orders of two holders, in ms. */
   leaseMs: number;
   /** Whether this node may hold the duty at all. */
   isEligible: () => boolean;
   onHolder: (holder: DutyHolder | null) => void;
+  /** Called when the store can't be reached or a write has failed. */
   onLost: (error: TypedError) => void;
+  /** Called when the store can be reached again. */
   onRegained: () => void;
 }
 
-/** In whose name something is ordered, and with which token. */
+/** The holder on whose behalf orders are sent, and its fencing token. */
 export interface DutyAuthority {
   holder: string;
   fencingToken: number;
 }
 
-const WAIT_MS = 20_000;
-const MIN_INTERVAL_MS = 20;
+const LONG_POLL_MS = 20_000;
+const MIN_POLL_INTERVAL_MS = 20;
 const RETRY_DELAY_MS = 200;
 /**
- * Whoever would claim first has to see soon that the store is back, and so has the
- * holder; the others learn of the next holder from it.
+ * Number of first-ranked nodes that retry the store without backoff, as the
+ * holder does; the other nodes learn of a new holder from its heartbeats.
  */
-const FIRST_CLAIMANTS = 4;
+const FAST_RETRY_RANKS = 4;
 const MAX_RETRY_DELAY_MS = 2_000;
 const TICK_MS = 50;
-/** After a claim without an answer, the record is read back first. */
-const CLAIM_PAUSE_MS = 400;
+/** Leaves time to read the record back after a claim whose answer was lost. */
+const CLAIM_INTERVAL_MS = 400;
 /**
- * How long a renewal lets a holder order, as part of the time by which two
- * holders' orders have to be apart. Shorter means less waiting at a change of
- * the holder and more renewals.
+ * Lease time that a written renewal gives, as a fraction of `leaseMs`. A
+ * smaller fraction shortens the wait after a takeover and needs more renewals.
  */
-const PROVED_PART = 0.5;
+const RENEWED_LEASE_FRACTION = 0.5;
 /**
- * A renewal is written when less than this part of a proof is left, so that one
- * may fail. The promises of all others leave more, and save the write.
+ * A renewal is written when less than this fraction of a renewed lease is left,
+ * which leaves time for one retry.
  */
-const RENEWAL_LEFT_PART = 0.5;
+const RENEWAL_THRESHOLD = 0.5;
 
-/** Follows the record of one duty and claims it when that is due. */
+/** Follows the record of one duty and claims the duty when it is vacant. */
 export class DutyTask {
   private readonly table = new KeyedTable();
   private readonly follower: KeyedFollower;
   private current: DutyHolder | null = null;
   private contact: HolderContact | 'none' = 'none';
   private contactSinceMs: number;
-  private claimAtMs = -Infinity;
-  /** Proved by the store until then; only used without fences. */
+  private nextClaimAtMs = -Infinity;
+  /** End of the lease by the last written renewal; unused with fencing. */
   private leaseEndsAtMs = -Infinity;
-  private leaseProvedAtMs = -Infinity;
-  /** When the newest record of the holder was read or told. */
-  private recordAtMs = -Infinity;
+  private leaseRenewedAtMs = -Infinity;
+  /** When the newest holder record was read, or received from a peer. */
+  private recordSeenAtMs = -Infinity;
   private readonly turnWait: TurnWait;
   private isClaiming = false;
   private isStopped = false;
-  private readonly suspension: SuspensionWatch;
+  private readonly suspensionWatch: SuspensionWatch;
 
   constructor(private readonly options: DutyTaskOptions) {
     const {clock, random, topic} = options;
     this.contactSinceMs = clock.monotonicMs();
-    this.suspension = new SuspensionWatch(clock);
+    this.suspensionWatch = new SuspensionWatch(clock);
     this.turnWait = new TurnWait(options.leaseMs);
     this.follower = new KeyedFollower({
       ...{clock, random, topic, table: this.table},
-      waitMs: () => WAIT_MS,
-      minIntervalMs: MIN_INTERVAL_MS,
+      waitMs: () => LONG_POLL_MS,
+      minIntervalMs: MIN_POLL_INTERVAL_MS,
       retryDelayMs: RETRY_DELAY_MS,
       maxRetryDelayMs: () =>
-        this.isHeld || options.findRank() < FIRST_CLAIMANTS
+        this.isHeld || options.findRank() < FAST_RETRY_RANKS
           ? RETRY_DELAY_MS
           : MAX_RETRY_DELAY_MS,
-      onChanges: changes => this.takeChanges(changes),
+      onChanges: changes => this.applyChanges(changes),
       onLost: error => options.onLost(error),
       onRegained: () => options.onRegained(),
     });
   }
 
-  /** The newest known holder. */
   get holder(): DutyHolder | null {
     return this.current;
   }
 
-  /** Whether this process holds the duty as far as it knows. */
+  /** Whether this process is the newest holder that it knows of. */
   get isHeld(): boolean {
     return this.current?.incarnation === this.options.self.incarnation;
   }
 
   /**
-   * In whose name this node may order now; null when it must not. To be asked
-   * right before each order: after a freeze, timers fire late.
+   * Returns null when this node must not send orders. Call it right before each
+   * order, since timers fire late after a suspension.
    */
   findAuthority(): DutyAuthority | null {
     const {clock, isFenced} = this.options;
     if (!this.current || !this.isHeld) return null;
     const nowMs = clock.monotonicMs();
-    if (!isFenced && nowMs >= this.findProvedUntilMs(this.current)) return null;
+    if (!isFenced && nowMs >= this.findLeaseEndMs(this.current)) return null;
     const {nodeName, token} = this.current;
     return {holder: nodeName, fencingToken: token};
   }
 
   /**
-   * Until when no other node can order. The store proves it by taking a
-   * renewal. While it can't be reached nobody can claim through it either, but
-   * this node alone can't tell that from being cut off; so the other nodes
-   * promise with their heartbeats not to claim for a while. A node that is not
-   * known yet claims only when it hears neither this one nor any that does.
+   * The end of the lease: by the last renewal in the store, or by the grants
+   * that all other nodes send with their heartbeats, whichever is later. Grants
+   * keep the lease valid during a store outage. A node that the holder does not
+   * know, and so gets no grant from, claims only when it reaches neither the
+   * holder nor any node that does.
    */
-  private findProvedUntilMs({token}: DutyHolder): number {
-    const trustedSinceMs = this.suspension.look();
+  private findLeaseEndMs({token}: DutyHolder): number {
+    const trustedSinceMs = this.suspensionWatch.check();
     const leaseEndsAtMs =
-      this.leaseProvedAtMs > trustedSinceMs ? this.leaseEndsAtMs : -Infinity;
+      this.leaseRenewedAtMs > trustedSinceMs ? this.leaseEndsAtMs : -Infinity;
     return Math.max(
       leaseEndsAtMs,
       this.options.grantedUntilMs(token, trustedSinceMs),
@@ -204,21 +199,21 @@
   }
 
   /**
-   * Until when this holder must not order a target, since orders of the last
-   * one may still arrive there or have arrived a moment ago.
+   * Until when this holder must not send orders to a target, since orders of
+   * the previous holder may still arrive or arrived less than a lease ago.
    */
   findQuietUntilMs(target: string): number {
     return this.options.isFenced
       ? -Infinity
-      : this.turnWait.findUntilMs(target);
+      : this.turnWait.findBlockedUntilMs(target);
   }
 
-  /** Takes what a holder that orders no more has told of its last orders. */
-  noteLastOrders(told: LastOrders): void {
-    this.turnWait.noteLastOrders(told);
+  /** Handles the last orders of a holder that sends no more orders. */
+  noteLastOrders(lastOrders: LastOrders): void {
+    this.turnWait.noteLastOrders(lastOrders);
   }
 
-  /** Reads the record at once, since a change may have been missed. */
+  /** Reads the record now, without waiting for the next poll. */
   refresh(): void {
     this.follower.refresh();
   }
@@ -233,16 +228,16 @@
     this.follower.stop();
   }
 
-  /** Takes what a peer knows; an older holder never replaces a newer one. */
+  /** Handles a holder reported by a peer, unless a newer one is known. */
   noteHolder(holder: DutyHolder): void {
     if (this.current && holder.token <= this.current.token) return;
     this.setHolder(holder);
   }
 
   /**
-   * Gives the duty to another node; this one must not order meanwhile. Resolves
-   * with whether the record is known to be written: without an answer it may
-   * be written all the same, and is then read back.
+   * Hands the duty over to another node; the caller must not send orders
+   * meanwhile. Resolves with false when the record is not known to be written;
+   * a record whose answer was lost is read back later.
    */
   async handOver(successor: Omit<DutyHolder, 'token'>): Promise<boolean> {
     if (!this.isHeld) return false;
@@ -274,11 +269,11 @@
   private tick(): void {
     const {clock, findRank, isHeardByOthers, isEligible} = this.options;
     const nowMs = clock.monotonicMs();
-    this.noteContact(nowMs);
+    this.updateContact(nowMs);
     const isReadable = this.follower.isReachable;
-    if (!isReadable || this.isClaiming || nowMs < this.claimAtMs) return;
+    if (!isReadable || this.isClaiming || nowMs < this.nextClaimAtMs) return;
     if (!isEligible()) return;
-    if (this.isBound(nowMs)) return;
+    if (this.isClaimBlocked(nowMs)) return;
     const isDue = decideClaim({
       holder: this.current && {
         isSelf: this.isHeld,
@@ -292,10 +287,10 @@
   }
 
   /**
-   * Whether a promise keeps this node from claiming. One to a process that has
-   * ended binds nobody; where engines check fences, none is relied on.
+   * Whether a lease grant or the startup delay keeps this node from claiming.
+   * Neither applies with fencing, or when the holder's process has exited.
    */
-  private isBound(nowMs: number): boolean {
+  private isClaimBlocked(nowMs: number): boolean {
     const {isFenced, quietUntilMs, promisedUntilMs} = this.options;
     if (isFenced || this.isHeld || !this.current) return false;
     if (this.contact === 'ended') return false;
@@ -306,11 +301,11 @@
   private isRenewalDue(nowMs: number): boolean {
     const {isFenced, leaseMs} = this.options;
     if (isFenced || !this.current || !this.isHeld) return false;
-    const leftMs = this.findProvedUntilMs(this.current) - nowMs;
-    return leftMs < RENEWAL_LEFT_PART * PROVED_PART * leaseMs;
+    const leftMs = this.findLeaseEndMs(this.current) - nowMs;
+    return leftMs < RENEWAL_THRESHOLD * RENEWED_LEASE_FRACTION * leaseMs;
   }
 
-  private noteContact(nowMs: number): void {
+  private updateContact(nowMs: number): void {
     const contact = this.current
       ? this.options.contactWith(this.current)
       : 'none';
@@ -323,15 +318,16 @@
     const {topic, key, self, clock} = this.options;
     const sentAtMs = clock.monotonicMs();
     this.isClaiming = true;
-    this.claimAtMs = sentAtMs + CLAIM_PAUSE_MS;
+    this.nextClaimAtMs = sentAtMs + CLAIM_INTERVAL_MS;
     try {
       const value = DutyHolderCodec.encode({...self, token: 0});
       const outcome = await topic.append([{key, value}], {
         atOffset: this.table.endOffset,
       });
       if (outcome.status === 'appended') {
-        this.leaseProvedAtMs = sentAtMs;
-        this.leaseEndsAtMs = sentAtMs + PROVED_PART * this.options.leaseMs;
+        this.leaseRenewedAtMs = sentAtMs;
+        this.leaseEndsAtMs =
+          sentAtMs + RENEWED_LEASE_FRACTION * this.options.leaseMs;
         this.noteHolder({...self, token: outcome.offset + 1});
       } else {
         this.follower.refresh();
@@ -343,7 +339,7 @@
     }
   }
 
-  private takeChanges(changes: readonly KeyedChange[]): void {
+  private applyChanges(changes: readonly KeyedChange[]): void {
     changes
       .filter(({key}) => key === this.options.key)
       .forEach(({value, offset}) => {
@@ -353,33 +349,38 @@
   }
 
   /**
-   * The latest time at which the last holder can have ordered. It may order
-   * while the store has proved its lease, or while all that it counts promise
-   * not to claim. Its newest record is known when the next one stands, and this
-   * node's promise, if it was counted, ends when the others' do or later.
+   * The latest time at which the previous holder can have sent an order. Its
+   * lease ends with the renewal of its newest record or with its grants, which
+   * include this node's grant when `isCountedBy` says so.
    */
-  private findLastOrderMs({incarnation}: DutyHolder): number {
+  private findLatestOrderMs({incarnation}: DutyHolder): number {
     const {clock, leaseMs, promisedUntilMs, isCountedBy} = this.options;
     const nowMs = clock.monotonicMs();
-    const provedMs = PROVED_PART * leaseMs;
-    const latestMs = nowMs + provedMs;
+    const renewedLeaseMs = RENEWED_LEASE_FRACTION * leaseMs;
+    const upperBoundMs = nowMs + renewedLeaseMs;
     if (this.contact === 'ended') return nowMs;
-    if (!isCountedBy(incarnation)) return latestMs;
-    const knownMs = Math.max(this.recordAtMs + provedMs, promisedUntilMs());
-    return Math.min(latestMs, knownMs);
+    if (!isCountedBy(incarnation)) return upperBoundMs;
+    const knownBoundMs = Math.max(
+      this.recordSeenAtMs + renewedLeaseMs,
+      promisedUntilMs(),
+    );
+    return Math.min(upperBoundMs, knownBoundMs);
   }
 
   private setHolder(holder: DutyHolder): void {
     const {incarnation} = holder;
-    const isTurn = this.current?.incarnation !== incarnation;
-    if (isTurn && this.current) {
-      const last = this.current;
-      this.turnWait.begin(last.incarnation, this.findLastOrderMs(last));
+    const isNewHolder = this.current?.incarnation !== incarnation;
+    if (isNewHolder && this.current) {
+      const previous = this.current;
+      this.turnWait.noteTakeover(
+        previous.incarnation,
+        this.findLatestOrderMs(previous),
+      );
     }
-    this.recordAtMs = this.options.clock.monotonicMs();
+    this.recordSeenAtMs = this.options.clock.monotonicMs();
     this.current = holder;
-    if (!isTurn) return;
-    this.turnWait.forget(incarnation);
+    if (!isNewHolder) return;
+    this.turnWait.discardLastOrders(incarnation);
     this.contact = 'none';
     this.contactSinceMs = this.options.clock.monotonicMs();
     this.options.onHolder(holder);
--- a/packages/hold-duty/src/suspension_watch.ts
+++ b/packages/hold-duty/src/suspension_watch.ts
@@ -1,38 +1,36 @@
-/** Notices that the process, or its whole host, stood still. */
+/** Detects that the host was suspended. */
 import {type Clock} from '@mimosatack/clock';
 
 /**
- * The two clocks drift by far less between two looks; a suspension that
- * matters is longer, since what was proved holds for more than a second.
+ * More than the drift of the two clocks between two checks, and less than a
+ * lease, so that any suspension that outlasts a lease is detected.
  */
 const MAX_DRIFT_MS = 200;
 
 /**
- * Guards against a node that believes in a lease which has long ended: while a
- * host is suspended its monotonic clock stands still, so the lease seems to
- * run on. The time of day goes on, and so the distance between the two clocks
- * grows. A time of day that is set looks the same; the lease is then proved
- * once more, which costs nothing but that.
+ * Compares the wall clock with the monotonic clock, which stands still during a
+ * suspension. Guards against trusting a lease that expired during a suspension.
+ * A change of the wall clock is reported too and costs one lease renewal.
  */
 export class SuspensionWatch {
-  private distanceMs: number;
+  private clockOffsetMs: number;
   private trustedSinceMs = -Infinity;
 
   constructor(private readonly clock: Clock) {
-    this.distanceMs = this.measure();
+    this.clockOffsetMs = this.measureOffset();
   }
 
-  /** What was learnt before this time, on the monotonic clock, is in doubt. */
-  look(): number {
-    const distanceMs = this.measure();
-    if (Math.abs(distanceMs - this.distanceMs) > MAX_DRIFT_MS) {
+  /** Returns the monotonic time before which leases must not be trusted. */
+  check(): number {
+    const offsetMs = this.measureOffset();
+    if (Math.abs(offsetMs - this.clockOffsetMs) > MAX_DRIFT_MS) {
       this.trustedSinceMs = this.clock.monotonicMs();
     }
-    this.distanceMs = distanceMs;
+    this.clockOffsetMs = offsetMs;
     return this.trustedSinceMs;
   }
 
-  private measure(): number {
+  private measureOffset(): number {
     return this.clock.wallMs() - this.clock.monotonicMs();
   }
 }
--- a/packages/hold-duty/src/turn_wait.test.ts
+++ b/packages/hold-duty/src/turn_wait.test.ts
@@ -2,61 +2,66 @@
 import * as assert from 'uvu/assert';
 import {TurnWait} from './turn_wait.js';
 
-const test = suite('the wait between two holders');
+const test = suite('wait after a takeover');
 
 const LEASE_MS = 3_000;
-const ON_THE_WAY_MS = 500;
+const MAX_IN_FLIGHT_MS = 500;
 
-function makeTold(incarnation: string, atMs: number) {
+function makeLastOrders(incarnation: string, atMs: number) {
   return {incarnation, atMsByTarget: new Map([['e1', atMs]])};
 }
 
-test('nothing has to be waited for before the first turn ends', () => {
-  assert.is(new TurnWait(LEASE_MS).findUntilMs('e1'), -Infinity);
+test('there is no wait before the first takeover', () => {
+  assert.is(new TurnWait(LEASE_MS).findBlockedUntilMs('e1'), -Infinity);
 });
 
-/*
- * A node that schedules is restarted as planned while demand moves to another
- * model. Engines that it had not ordered for minutes took no orders from the next
- * one for five seconds, and all users of the new model were refused.
- */
-test('engines that the last holder left alone need no wait', () => {
+// Guards against seconds without orders to idle engines after a planned restart
+// of the holder.
+test('targets without a recent order need no wait', () => {
   const wait = new TurnWait(LEASE_MS);
-  wait.begin('a.1', 10_000);
-  assert.is(wait.findUntilMs('e2'), 10_000 + ON_THE_WAY_MS + LEASE_MS);
-  wait.noteLastOrders(makeTold('a.1', 9_000));
-  assert.is(wait.findUntilMs('e1'), 9_000 + ON_THE_WAY_MS + LEASE_MS);
-  assert.is(wait.findUntilMs('e2'), -Infinity);
+  wait.noteTakeover('a.1', 10_000);
+  assert.is(
+    wait.findBlockedUntilMs('e2'),
+    10_000 + MAX_IN_FLIGHT_MS + LEASE_MS,
+  );
+  wait.noteLastOrders(makeLastOrders('a.1', 9_000));
+  assert.is(wait.findBlockedUntilMs('e1'), 9_000 + MAX_IN_FLIGHT_MS + LEASE_MS);
+  assert.is(wait.findBlockedUntilMs('e2'), -Infinity);
 });
 
-test('what it told may come before its turn is known to have ended', () => {
+test('the last orders may be reported before the takeover is known', () => {
   const wait = new TurnWait(LEASE_MS);
-  wait.noteLastOrders(makeTold('a.1', 9_000));
-  wait.begin('a.1', 10_000);
-  assert.is(wait.findUntilMs('e2'), -Infinity);
+  wait.noteLastOrders(makeLastOrders('a.1', 9_000));
+  wait.noteTakeover('a.1', 10_000);
+  assert.is(wait.findBlockedUntilMs('e2'), -Infinity);
 });
 
-/* It tells only its own orders; those of the one before it may be as young. */
-test('the turn before the last one is waited for too', () => {
+// Guards against ignoring orders of the holder before the previous one, which
+// the report of the previous holder does not contain.
+test('the wait covers the takeover before the last one', () => {
   const wait = new TurnWait(LEASE_MS);
-  wait.begin('a.1', 10_000);
-  wait.begin('b.1', 10_400);
-  wait.noteLastOrders(makeTold('b.1', 10_300));
-  assert.is(wait.findUntilMs('e2'), 10_000 + ON_THE_WAY_MS + LEASE_MS);
+  wait.noteTakeover('a.1', 10_000);
+  wait.noteTakeover('b.1', 10_400);
+  wait.noteLastOrders(makeLastOrders('b.1', 10_300));
+  assert.is(
+    wait.findBlockedUntilMs('e2'),
+    10_000 + MAX_IN_FLIGHT_MS + LEASE_MS,
+  );
 });
 
-/*
- * It got the duty back and has ordered since. What it told when it gave the duty
- * away the first time says nothing of that.
- */
-test('what a holder told counts for that turn only', () => {
+// Guards against using a holder's report of an earlier term after the holder
+// got the duty back and sent more orders.
+test('a report of last orders is used for one term only', () => {
   const wait = new TurnWait(LEASE_MS);
-  wait.noteLastOrders(makeTold('a.1', 1_000));
-  wait.begin('a.1', 1_000);
-  wait.forget('a.1');
-  wait.begin('b.1', 5_000);
-  wait.begin('a.1', 20_000);
-  assert.is(wait.findUntilMs('e1'), 20_000 + ON_THE_WAY_MS + LEASE_MS);
+  wait.noteLastOrders(makeLastOrders('a.1', 1_000));
+  wait.noteTakeover('a.1', 1_000);
+  wait.discardLastOrders('a.1');
+  wait.noteTakeover('b.1', 5_000);
+  wait.noteTakeover('a.1', 20_000);
+  assert.is(
+    wait.findBlockedUntilMs('e1'),
+    20_000 + MAX_IN_FLIGHT_MS + LEASE_MS,
+  );
 });
 
 test.run();
--- a/packages/hold-duty/src/turn_wait.ts
+++ b/packages/hold-duty/src/turn_wait.ts
@@ -1,60 +1,59 @@
-/** How long the next holder of a duty has to wait before it orders. */
+/** Delays the orders of a new holder after a takeover. */
 
-/** When the last holder ordered which targets, on this node's clock. */
+/** The previous holder's last order to each target, on this node's clock. */
 export interface LastOrders {
-  /** The life of the last holder's process, which orders no more. */
+  /** The previous holder's process, which sends no more orders. */
   incarnation: string;
   atMsByTarget: ReadonlyMap<string, number>;
 }
 
-/** What the last holder has sent may be on its way for this long. */
-const ON_THE_WAY_MS = 500;
+/** How long an order of the previous holder may be in flight. */
+const MAX_IN_FLIGHT_MS = 500;
 
 /**
- * Guards against two holders' orders to one target close to each other where
- * no fence keeps the last holder's out. What the last holder sent takes a while
- * to arrive, and then the orders have to be a lease apart. A holder that ends in
- * order tells when it ordered whom: targets that it left alone for longer need
- * no wait. Of a holder that is lost, only the latest time is known at which it
- * can have ordered.
+ * Guards against orders of two holders to one target less than a lease apart,
+ * where targets don't check fencing tokens. A holder that shuts down reports
+ * its last order to each target; for a lost holder only the latest time of any
+ * order is known.
  */
 export class TurnWait {
-  private untilMs = -Infinity;
-  /** Of turns before the last one. */
-  private earlierUntilMs = -Infinity;
-  private lastHolder = '';
-  private told: LastOrders | null = null;
+  private endsAtMs = -Infinity;
+  /** End of the waits after takeovers before the last one. */
+  private earlierEndsAtMs = -Infinity;
+  /** The incarnation of the previous holder. */
+  private previous = '';
+  private lastOrders: LastOrders | null = null;
 
   constructor(private readonly leaseMs: number) {}
 
-  /** A holder's turn ends; it ordered no later than `lastOrderAtMs`. */
-  begin(lastHolder: string, lastOrderAtMs: number): void {
-    this.earlierUntilMs = Math.max(this.earlierUntilMs, this.untilMs);
-    this.lastHolder = lastHolder;
-    this.untilMs = this.findEndMs(lastOrderAtMs);
+  /** @param lastOrderAtMs when the previous holder can have ordered last. */
+  noteTakeover(previousHolder: string, lastOrderAtMs: number): void {
+    this.earlierEndsAtMs = Math.max(this.earlierEndsAtMs, this.endsAtMs);
+    this.previous = previousHolder;
+    this.endsAtMs = this.findWaitEndMs(lastOrderAtMs);
   }
 
-  /** The holder has turned: what it told of an earlier turn is out of date. */
-  forget(incarnation: string): void {
-    if (this.told?.incarnation === incarnation) this.told = null;
+  /** Discards the report of a process that holds the duty again. */
+  discardLastOrders(incarnation: string): void {
+    if (this.lastOrders?.incarnation === incarnation) this.lastOrders = null;
   }
 
-  noteLastOrders(told: LastOrders): void {
-    this.told = told;
+  noteLastOrders(lastOrders: LastOrders): void {
+    this.lastOrders = lastOrders;
   }
 
-  /** Until when no order may go to the target. */
-  findUntilMs(target: string): number {
-    return Math.max(this.earlierUntilMs, this.findLastUntilMs(target));
+  /** The time before which no order may be sent to the target. */
+  findBlockedUntilMs(target: string): number {
+    return Math.max(this.earlierEndsAtMs, this.findLastWaitEndMs(target));
   }
 
-  private findLastUntilMs(target: string): number {
-    if (this.told?.incarnation !== this.lastHolder) return this.untilMs;
-    const atMs = this.told.atMsByTarget.get(target);
-    return atMs === undefined ? -Infinity : this.findEndMs(atMs);
+  private findLastWaitEndMs(target: string): number {
+    if (this.lastOrders?.incarnation !== this.previous) return this.endsAtMs;
+    const atMs = this.lastOrders.atMsByTarget.get(target);
+    return atMs === undefined ? -Infinity : this.findWaitEndMs(atMs);
   }
 
-  private findEndMs(lastOrderAtMs: number): number {
-    return lastOrderAtMs + ON_THE_WAY_MS + this.leaseMs;
+  private findWaitEndMs(lastOrderAtMs: number): number {
+    return lastOrderAtMs + MAX_IN_FLIGHT_MS + this.leaseMs;
   }
 }
