--- a/packages/team-quotas/src/quota_bounds.ts
+++ b/packages/team-quotas/src/quota_bounds.ts
@@ -1,31 +1,31 @@
-/** How far all nodes together may go beyond a quota, and how that is used. */
+/** How far all nodes together may exceed a quota, and how that is divided. */
 import {type TeamQuota} from '@mimosatack/types';
-import {type BucketTerms} from './token_bucket.js';
+import {type BucketLimits} from './token_bucket.js';
 
-/** The bound that must hold in each window of time. */
+/** The limit on what is served in any time window. */
 export interface QuotaBounds {
   windowMs: number;
-  /** What may be served beyond the quota, as a part of it. */
+  /** What may be served beyond the quota, as a fraction of the quota. */
   overage: number;
-  /** What may be served beyond that, in the unit of the quota. */
+  /** What may be served in addition, in the unit of the quota. */
   slack: number;
 }
 
 const MS_PER_SECOND = 1_000;
 /**
- * Part of the tolerance that is in the bucket itself, so that no request within
- * the quota is refused for the order in which nodes' news arrive.
+ * Fraction of the tolerance that is added to the bucket, so that no request
+ * within the quota is refused because of the order in which reports arrive.
  */
-const BUCKET_PART = 0.25;
-/** Part of it that nodes may spend before the holder knows. */
-const UNSETTLED_PART = 0.35;
+const BUCKET_FRACTION = 0.25;
+/** Fraction of the tolerance that nodes may spend before they report it. */
+const UNSETTLED_FRACTION = 0.35;
 /**
- * Part of it with which a process begins that was never told what teams have left:
- * whatever was served before all nodes were lost, this much more is allowed.
+ * Fraction of the tolerance that a team has at a new process. It bounds what is
+ * served in excess after a restart of all nodes, which loses the levels.
  */
-const START_PART = 0.3;
+const INITIAL_FRACTION = 0.3;
 
-/** What may be served in one window beyond the quota. */
+/** Amount that may be served in one window beyond the quota. */
 export function findTolerance(
   {ratePerSecond, burst}: TeamQuota,
   {windowMs, overage, slack}: QuotaBounds,
@@ -37,22 +37,25 @@
 export function findBucketTerms(
   quota: TeamQuota,
   bounds: QuotaBounds,
-): BucketTerms {
-  const spare = BUCKET_PART * findTolerance(quota, bounds);
+): BucketLimits {
+  const extraCapacity = BUCKET_FRACTION * findTolerance(quota, bounds);
   const {ratePerSecond, burst} = quota;
-  return {ratePerSecond, capacity: burst + spare};
+  return {ratePerSecond, capacity: burst + extraCapacity};
 }
 
-/** What a team has at a process that was never told. */
-export function findStartLevel(quota: TeamQuota, bounds: QuotaBounds): number {
-  return START_PART * findTolerance(quota, bounds);
+/** A team's level at a process that has not got a reply of the holder yet. */
+export function findInitialLevel(
+  quota: TeamQuota,
+  bounds: QuotaBounds,
+): number {
+  return INITIAL_FRACTION * findTolerance(quota, bounds);
 }
 
-/** What one of `nodeCount` nodes may spend before the holder knows. */
+/** Amount that one of `nodeCount` nodes may spend before it is reported. */
 export function findUnsettledShare(
   quota: TeamQuota,
   bounds: QuotaBounds,
   nodeCount: number,
 ): number {
-  return (UNSETTLED_PART * findTolerance(quota, bounds)) / nodeCount;
+  return (UNSETTLED_FRACTION * findTolerance(quota, bounds)) / nodeCount;
 }
--- a/packages/team-quotas/src/quota_charge.ts
+++ b/packages/team-quotas/src/quota_charge.ts
@@ -1,26 +1,26 @@
-/** What a request takes out of its team's quota. */
+/** Charges to teams' quotas, and the refusals of such charges. */
 import {type TeamName} from '@mimosatack/types';
 
-/** One request's part of a quota. */
+/** The amount that one request takes from its team's quota. */
 export interface QuotaCharge {
   team: TeamName;
   /** In the unit of the team's quota. */
   amount: number;
-  /** It was admitted before and is sent once more: counted, never refused. */
+  /** Whether this is a retry of an admitted request, which is never refused. */
   isForced: boolean;
 }
 
-/** Why a request is beyond its team's quota. */
+/** Why a charge was refused. */
 export interface QuotaRefusal {
-  /** What the team has left; below 0 when it has overspent. */
+  /** What the team has left; negative when it has overspent. */
   level: number;
-  /** When there is room for this request, after those refused before it. */
+  /** Time until the request fits, after those that were refused before it. */
   retryAfterMs: number;
   /**
-   * Whether the team seems to have enough left, and only this node may not spend
-   * more of it before the holder knows.
+   * Whether the team seems to have enough left, and only the share that this
+   * node may spend before it reports to the holder is used up.
    */
   isUnsettled: boolean;
-  /** The holder of the buckets, or a node by what it was told. */
+  /** The holder of the buckets, or a node by its estimate of the level. */
   decidedBy: 'holder' | 'node';
 }
--- a/packages/team-quotas/src/quota_fleet_fixture.ts
+++ b/packages/team-quotas/src/quota_fleet_fixture.ts
@@ -1,6 +1,6 @@
 /**
- * Nodes in memory that share the quota of one team: heartbeats, holders that are
- * lost and found, nodes that are cut off, restarted or frozen.
+ * Simulates nodes that share the quota of one team, with heartbeats, changes of
+ * the holder, network partitions and restarts.
  */
 import {ManualClock} from '@mimosatack/clock';
 import {type TeamQuota, type TeamSpec} from '@mimosatack/types';
@@ -10,7 +10,7 @@
 
 const TEAM = 'link';
 
-/** What came of one request. */
+/** An admitted request. */
 interface Admission {
   atMs: number;
   amount: number;
@@ -19,42 +19,41 @@
 interface FleetNode {
   quotas: TeamQuotas;
   incarnation: string;
-  isCut: boolean;
+  isPartitioned: boolean;
 }
 
-/** How the fleet is set up. */
 export interface QuotaFleetOptions {
   nodeCount: number;
   quota: TeamQuota;
   bounds: QuotaBounds;
 }
 
-/** Plays what happens, step by step, on one clock. */
+/** Nodes on one manual clock. */
 export class QuotaFleet {
   readonly clock = new ManualClock();
   readonly admitted: Admission[] = [];
   private readonly nodes: FleetNode[];
   private holder: FleetNode | null = null;
-  private lives = 0;
+  private startedCount = 0;
 
   constructor(private readonly options: QuotaFleetOptions) {
     this.nodes = Array.from({length: options.nodeCount}, () => this.makeNode());
   }
 
-  /** Another node holds from now on; null for nobody. */
-  hold(at: number | null): void {
+  /** Makes another node the holder; null for no holder. */
+  setHolder(index: number | null): void {
     if (this.holder) this.holder.quotas.stopHolding();
-    this.holder = at === null ? null : this.nodeAt(at);
+    this.holder = index === null ? null : this.nodeAt(index);
     this.holder?.quotas.startHolding();
   }
 
-  setCut(at: number, isCut: boolean): void {
-    this.nodeAt(at).isCut = isCut;
+  setPartitioned(index: number, isPartitioned: boolean): void {
+    this.nodeAt(index).isPartitioned = isPartitioned;
   }
 
-  /** A node's process ends and starts again; what it held is gone. */
-  restart(at: number): void {
-    const old = this.nodeAt(at);
+  /** Replaces a node by a new process without state. */
+  restart(index: number): void {
+    const old = this.nodeAt(index);
     if (this.holder === old) this.holder = null;
     this.nodes[this.nodes.indexOf(old)] = this.makeNode();
   }
@@ -64,15 +63,15 @@
   }
 
   /**
-   * A heartbeat of each node to the holder.
+   * Sends a heartbeat of each node to the holder.
    *
-   * @param areRepliesLost the holder counts the reports, and nobody hears of it.
+   * @param areRepliesLost whether the nodes get no replies to their reports.
    */
-  greet(areRepliesLost = false): void {
+  sendHeartbeats(areRepliesLost = false): void {
     const {holder} = this;
-    if (!holder || holder.isCut) return;
+    if (!holder || holder.isPartitioned) return;
     this.nodes
-      .filter(node => node !== holder && !node.isCut)
+      .filter(node => node !== holder && !node.isPartitioned)
       .forEach(node => {
         const reply = holder.quotas.answer(
           node.incarnation,
@@ -82,35 +81,35 @@
       });
   }
 
-  /** A request at a node that is charged there. */
-  sendPlain(at: number, amount: number): boolean {
-    const {quotas} = this.nodeAt(at);
+  /** Charges a request at its own node. */
+  sendToNode(index: number, amount: number): boolean {
+    const {quotas} = this.nodeAt(index);
     const isAdmitted = !quotas.charge({team: TEAM, amount, isForced: false});
-    if (isAdmitted) this.note(amount);
+    if (isAdmitted) this.recordAdmission(amount);
     return isAdmitted;
   }
 
-  /** Why a request that is charged at its node is refused there. */
-  findRefusal(at: number, amount: number): QuotaRefusal | null {
+  /** Charges a request at its own node and returns the refusal. */
+  findRefusal(index: number, amount: number): QuotaRefusal | null {
     const charge = {team: TEAM, amount, isForced: false};
-    return this.nodeAt(at).quotas.charge(charge);
+    return this.nodeAt(index).quotas.charge(charge);
   }
 
-  /** A request that asks the holder; at the node while nobody holds. */
-  sendAsking(at: number, amount: number): boolean {
+  /** Charges a request at the holder, or at its own node without a holder. */
+  sendToHolder(index: number, amount: number): boolean {
     const {holder} = this;
-    const node = this.nodeAt(at);
-    if (!holder || holder.isCut || node.isCut) {
-      return this.sendPlain(at, amount);
+    const node = this.nodeAt(index);
+    if (!holder || holder.isPartitioned || node.isPartitioned) {
+      return this.sendToNode(index, amount);
     }
     const charge = {team: TEAM, amount, isForced: false};
     const isAdmitted = !holder.quotas.chargeAsked(charge);
-    if (isAdmitted) this.note(amount);
+    if (isAdmitted) this.recordAdmission(amount);
     return isAdmitted;
   }
 
-  /** The most that was admitted in any window of the bounds. */
-  findMostInWindow(): number {
+  /** The largest amount that was admitted in any time window. */
+  findMaxInWindow(): number {
     const {windowMs} = this.options.bounds;
     return Math.max(
       0,
@@ -122,7 +121,7 @@
     );
   }
 
-  private note(amount: number): void {
+  private recordAdmission(amount: number): void {
     this.admitted.push({atMs: this.clock.monotonicMs(), amount});
   }
 
@@ -134,12 +133,12 @@
       countNodes: () => options.nodeCount,
     });
     quotas.configure([makeTeam(options.quota)]);
-    this.lives += 1;
-    return {quotas, incarnation: `n${this.lives}`, isCut: false};
+    this.startedCount += 1;
+    return {quotas, incarnation: `n${this.startedCount}`, isPartitioned: false};
   }
 
-  private nodeAt(at: number): FleetNode {
-    const node = this.nodes[at % this.nodes.length];
+  private nodeAt(index: number): FleetNode {
+    const node = this.nodes[index % this.nodes.length];
     if (!node) throw new Error('A fleet needs at least one node.');
     return node;
   }
--- a/packages/team-quotas/src/quota_messages.ts
+++ b/packages/team-quotas/src/quota_messages.ts
@@ -1,21 +1,21 @@
-/** What nodes and the holder tell each other of quotas, with heartbeats. */
+/** Quota reports and replies, which are sent with heartbeats. */
 import * as z from 'zod';
 
-/** From a node: what it has spent that the holder does not know of. */
+/** From a node to the holder: spending that is not settled yet. */
 export const quotaReportSchema = z.object({
-  /** Grows with each report of a node. */
+  /** Increases with each report of a node. */
   reportId: z.number(),
-  /** The last report that was answered; what it held is not repeated. */
+  /** The last report that was answered, whose spending is not repeated. */
   answeredId: z.number(),
-  /** Below 0 for what was given back. */
+  /** Amounts are negative for refunds. */
   spent: z.array(z.object({team: z.string(), amount: z.number()})),
 });
 
-/** From the holder. */
+/** From the holder to a node. */
 export const quotaReplySchema = z.object({
-  /** The report that it answers; null when there was none. */
+  /** The report that this reply answers; null when there was none. */
   reportId: z.number().nullable(),
-  /** Teams that have less than half of a full bucket left. */
+  /** Teams whose bucket is less than half full. */
   low: z.array(z.object({team: z.string(), level: z.number()})),
 });
 
--- a/packages/team-quotas/src/team_buckets.ts
+++ b/packages/team-quotas/src/team_buckets.ts
@@ -1,44 +1,44 @@
-/** The buckets of all teams, at the node that holds them. */
+/** The token buckets of all teams, at the holder. */
 import {type NodeIncarnation, type TeamName} from '@mimosatack/types';
 import {type QuotaReply, type QuotaReport} from './quota_messages.js';
-import {type BucketTerms, TokenBucket} from './token_bucket.js';
+import {type BucketLimits, TokenBucket} from './token_bucket.js';
 
-/** What a team has when the buckets are set up. */
-export interface TeamStart {
+/** The initial state of a team's bucket. */
+export interface InitialBucket {
   team: TeamName;
-  terms: BucketTerms;
+  limits: BucketLimits;
   level: number;
 }
 
-/** Teams above this part of a full bucket need not be told of. */
-const LOW_PART = 0.5;
-/** The list is made anew at most this often, however many heartbeats ask. */
-const REMAKE_MS = 20;
-/** Nodes that are gone for good are forgotten once there are so many others. */
+/** A team is listed in replies below this fraction of a full bucket. */
+const LOW_FRACTION = 0.5;
+/** Minimum time between updates of the list, which all replies share. */
+const LOW_LIST_REFRESH_MS = 20;
+/** Bounds the memory for reports of removed nodes; the oldest are dropped. */
 const MAX_REPORTS = 2_000;
 
-/** Charges, and what nodes report that they have spent. */
+/** Keeps the buckets and debits what nodes report. */
 export class TeamBuckets {
   private readonly buckets = new Map<TeamName, TokenBucket>();
-  /** The last report of each node. */
+  /** The last report of each node, in order of arrival. */
   private readonly reports = new Map<NodeIncarnation, QuotaReport>();
   private low: QuotaReply['low'] = [];
   private listedAtMs = -Infinity;
 
-  constructor(starts: readonly TeamStart[], nowMs: number) {
-    this.configure(starts, nowMs);
+  constructor(initialBuckets: readonly InitialBucket[], nowMs: number) {
+    this.configure(initialBuckets, nowMs);
   }
 
-  /** Teams that are known keep what they have. */
-  configure(starts: readonly TeamStart[], nowMs: number): void {
-    const names = new Set(starts.map(({team}) => team));
+  /** Adds, updates and removes buckets; existing ones keep their level. */
+  configure(initialBuckets: readonly InitialBucket[], nowMs: number): void {
+    const names = new Set(initialBuckets.map(({team}) => team));
     [...this.buckets.keys()]
       .filter(team => !names.has(team))
       .forEach(team => this.buckets.delete(team));
-    starts.forEach(({team, terms, level}) => {
+    initialBuckets.forEach(({team, limits, level}) => {
       const known = this.buckets.get(team);
-      if (known) known.retune(terms, nowMs);
-      else this.buckets.set(team, new TokenBucket(terms, level, nowMs));
+      if (known) known.setLimits(limits, nowMs);
+      else this.buckets.set(team, new TokenBucket(limits, level, nowMs));
     });
   }
 
@@ -46,31 +46,31 @@
     return this.buckets.get(team);
   }
 
-  /** Counts what a node has spent, and tells which teams have little left. */
-  answer(
+  /** Debits what a node has spent and lists the teams that have little left. */
+  handleReport(
     node: NodeIncarnation,
     report: QuotaReport | null,
     nowMs: number,
   ): QuotaReply {
-    if (report) this.count(node, report, nowMs);
+    if (report) this.applyReport(node, report, nowMs);
     return {reportId: report?.reportId ?? null, low: this.listLow(nowMs)};
   }
 
   private listLow(nowMs: number): QuotaReply['low'] {
-    if (nowMs - this.listedAtMs < REMAKE_MS) return this.low;
+    if (nowMs - this.listedAtMs < LOW_LIST_REFRESH_MS) return this.low;
     this.listedAtMs = nowMs;
     this.low = [...this.buckets]
       .map(([team, bucket]) => ({team, bucket, level: bucket.levelAt(nowMs)}))
-      .filter(({bucket, level}) => level < LOW_PART * bucket.capacity)
+      .filter(({bucket, level}) => level < LOW_FRACTION * bucket.capacity)
       .map(({team, level}) => ({team, level: Math.floor(level)}));
     return this.low;
   }
 
   /**
-   * Guards against counting twice what a node reports again, since the answer
-   * to its last report was lost.
+   * Guards against debiting spending twice that a node reports again because
+   * the reply to its last report was lost.
    */
-  private count(
+  private applyReport(
     node: NodeIncarnation,
     report: QuotaReport,
     nowMs: number,
@@ -94,7 +94,7 @@
   }
 }
 
-/** What a team surely has of which the holder told nothing. */
-export function findUntoldLevel({capacity}: BucketTerms): number {
-  return LOW_PART * capacity;
+/** The minimum level of a team that is not listed in a reply. */
+export function findUnlistedLevel({capacity}: BucketLimits): number {
+  return LOW_FRACTION * capacity;
 }
--- a/packages/team-quotas/src/team_quotas.test.ts
+++ b/packages/team-quotas/src/team_quotas.test.ts
@@ -4,7 +4,7 @@
 import {type QuotaBounds, findTolerance} from './quota_bounds.js';
 import {QuotaFleet} from './quota_fleet_fixture.js';
 
-const test = suite('quotas over all nodes');
+const test = suite('team quotas across nodes');
 
 const BOUNDS: QuotaBounds = {windowMs: 8_000, overage: 0.1, slack: 17_000};
 const STREAM_TOKENS = 1_100;
@@ -22,171 +22,171 @@
   const quota = makeQuota(ratePerSecond);
   const fleet = new QuotaFleet({nodeCount, quota, bounds: BOUNDS});
   const bound = ratePerSecond * 8 + quota.burst + findTolerance(quota, BOUNDS);
-  /** Streams and plain requests at all nodes in turn, by tokens a second. */
-  const play = (forMs: number, tokensPerSecond: number) => {
+  /** Sends three streams per plain request, to all nodes in turn. */
+  const sendLoad = (durationMs: number, tokensPerSecond: number) => {
     const counts = {sent: 0, served: 0};
-    let due = 0;
-    for (let passed = 0; passed < forMs; passed += 10) {
-      if (passed % HEARTBEAT_MS === 0) fleet.greet();
+    let dueTokens = 0;
+    for (let passed = 0; passed < durationMs; passed += 10) {
+      if (passed % HEARTBEAT_MS === 0) fleet.sendHeartbeats();
       for (
-        due += tokensPerSecond / 100;
-        due >= STREAM_TOKENS;
+        dueTokens += tokensPerSecond / 100;
+        dueTokens >= STREAM_TOKENS;
         counts.sent += 1
       ) {
         const isPlain = counts.sent % 4 === 3;
         const amount = isPlain ? PLAIN_TOKENS : STREAM_TOKENS;
         const isServed = isPlain
-          ? fleet.sendPlain(counts.sent, amount)
-          : fleet.sendAsking(counts.sent, amount);
-        due -= amount;
+          ? fleet.sendToNode(counts.sent, amount)
+          : fleet.sendToHolder(counts.sent, amount);
+        dueTokens -= amount;
         if (isServed) counts.served += 1;
       }
       fleet.clock.advance(10);
     }
     return counts;
   };
-  return {fleet, bound, play};
+  return {fleet, bound, sendLoad};
 }
 
-// Guards against a fair share by node, of which no single request is affordable.
+// Guards against a quota split evenly by node, where no share covers a request.
 test('a small team within its quota is refused nowhere', () => {
-  const {fleet, play} = startFleet(4_200);
+  const {fleet, sendLoad} = startFleet(4_200);
   fleet.clock.advance(3_000);
-  fleet.hold(0);
-  fleet.greet();
-  const {sent, served} = play(20_000, 4_200 / 1.8);
+  fleet.setHolder(0);
+  fleet.sendHeartbeats();
+  const {sent, served} = sendLoad(20_000, 4_200 / 1.8);
   assert.is(served, sent);
 });
 
-// Guards against one team that takes ten times its quota at all nodes at once.
-test('a team that sends far more is served its quota and no more', () => {
+// Guards against serving a team its whole quota at each node.
+test('a team that sends ten times its quota is served only its quota', () => {
   const rate = 4_200;
-  const {fleet, bound, play} = startFleet(rate);
+  const {fleet, bound, sendLoad} = startFleet(rate);
   fleet.clock.advance(3_000);
-  fleet.hold(0);
-  play(20_000, 10 * rate);
-  const most = fleet.findMostInWindow();
+  fleet.setHolder(0);
+  sendLoad(20_000, 10 * rate);
+  const most = fleet.findMaxInWindow();
   assert.ok(most <= bound, `${most} of ${bound}`);
   assert.ok(most >= 8 * rate, `${most}`);
 });
 
-// Guards against a team that is served twice its quota since the holder changed.
-test('a team at its limit stays within it when the holder is lost', () => {
+// Guards against serving a team its quota again after a change of the holder.
+test('a team at its limit keeps to its quota when the holder is lost', () => {
   const rate = 20_000;
-  const {fleet, bound, play} = startFleet(rate);
+  const {fleet, bound, sendLoad} = startFleet(rate);
   fleet.clock.advance(3_000);
-  fleet.hold(0);
-  play(8_000, 5 * rate);
+  fleet.setHolder(0);
+  sendLoad(8_000, 5 * rate);
   fleet.restart(0);
-  play(2_000, 5 * rate);
-  fleet.hold(1);
-  play(8_000, 5 * rate);
-  const most = fleet.findMostInWindow();
+  sendLoad(2_000, 5 * rate);
+  fleet.setHolder(1);
+  sendLoad(8_000, 5 * rate);
+  const most = fleet.findMaxInWindow();
   assert.ok(most <= bound, `${most} of ${bound}`);
 });
 
-// Guards against a full bucket that each life of the fleet begins with.
-test('a team at its limit stays within it when all nodes are lost', () => {
+// Guards against full buckets after a restart of all nodes.
+test('a team at its limit keeps to its quota when all nodes restart', () => {
   const rate = 20_000;
-  const {fleet, bound, play} = startFleet(rate);
+  const {fleet, bound, sendLoad} = startFleet(rate);
   fleet.clock.advance(3_000);
-  fleet.hold(0);
-  play(8_000, 5 * rate);
-  Array.from({length: 87}, (_, at) => fleet.restart(at));
+  fleet.setHolder(0);
+  sendLoad(8_000, 5 * rate);
+  Array.from({length: 87}, (_, index) => fleet.restart(index));
   fleet.clock.advance(1_000);
-  play(1_000, 5 * rate);
-  fleet.hold(5);
-  play(8_000, 5 * rate);
-  const most = fleet.findMostInWindow();
+  sendLoad(1_000, 5 * rate);
+  fleet.setHolder(5);
+  sendLoad(8_000, 5 * rate);
+  const most = fleet.findMaxInWindow();
   assert.ok(most <= bound, `${most} of ${bound}`);
 });
 
-// Guards against callers that come back after a loss of all nodes and are refused.
-test('a team within its quota is served right after all nodes are lost', () => {
-  const {fleet, play} = startFleet(20_000);
+// Guards against refusing teams within their quota after all nodes restart.
+test('a team within its quota is served right after all nodes restart', () => {
+  const {fleet, sendLoad} = startFleet(20_000);
   fleet.clock.advance(3_000);
-  fleet.hold(0);
-  play(4_000, 20_000 / 1.8);
-  Array.from({length: 87}, (_, at) => fleet.restart(at));
+  fleet.setHolder(0);
+  sendLoad(4_000, 20_000 / 1.8);
+  Array.from({length: 87}, (_, index) => fleet.restart(index));
   fleet.clock.advance(600);
-  fleet.hold(5);
-  fleet.greet();
-  const {sent, served} = play(4_000, 20_000);
+  fleet.setHolder(5);
+  fleet.sendHeartbeats();
+  const {sent, served} = sendLoad(4_000, 20_000);
   assert.ok(served >= 0.995 * sent, `${served} of ${sent}`);
 });
 
-// Guards against all requests being refused while nobody holds the buckets.
-test('a team within its quota is served while the holder is lost', () => {
+// Guards against refusing all requests while there is no holder.
+test('a team within its quota is served without a holder', () => {
   const rate = 60_000;
-  const {fleet, play} = startFleet(rate);
+  const {fleet, sendLoad} = startFleet(rate);
   fleet.clock.advance(3_000);
-  fleet.hold(0);
-  play(4_000, rate / 1.8);
-  fleet.greet();
-  fleet.hold(null);
-  const {sent, served} = play(2_000, rate / 1.8);
+  fleet.setHolder(0);
+  sendLoad(4_000, rate / 1.8);
+  fleet.sendHeartbeats();
+  fleet.setHolder(null);
+  const {sent, served} = sendLoad(2_000, rate / 1.8);
   assert.ok(served >= 0.995 * sent, `${served} of ${sent}`);
-  fleet.hold(1);
-  const after = play(4_000, rate / 1.8);
+  fleet.setHolder(1);
+  const after = sendLoad(4_000, rate / 1.8);
   assert.ok(after.served >= 0.995 * after.sent, `${after.served}`);
 });
 
-// Guards against spending that is counted twice, since an answer was lost.
-test('a report that is made again is counted once', () => {
+// Guards against debiting spending twice when a reply was lost.
+test('a repeated report is debited once', () => {
   const {fleet} = startFleet(100_000, 3);
   fleet.clock.advance(10_000);
-  fleet.hold(0);
-  fleet.greet();
-  fleet.sendPlain(1, 1_000);
-  fleet.greet(true);
-  fleet.greet(true);
-  fleet.greet();
-  fleet.greet();
-  // What is left is a full bucket less one charge, and more would be refused.
+  fleet.setHolder(0);
+  fleet.sendHeartbeats();
+  fleet.sendToNode(1, 1_000);
+  fleet.sendHeartbeats(true);
+  fleet.sendHeartbeats(true);
+  fleet.sendHeartbeats();
+  fleet.sendHeartbeats();
+  // A full bucket less one charge is left; more is refused.
   const capacity = 100_000 + 0.25 * findTolerance(makeQuota(100_000), BOUNDS);
-  assert.ok(fleet.sendAsking(2, capacity - 1_000));
-  assert.not(fleet.sendAsking(2, 1_000));
+  assert.ok(fleet.sendToHolder(2, capacity - 1_000));
+  assert.not(fleet.sendToHolder(2, 1_000));
 });
 
-// Guards against spending that is forgotten when its own node takes over.
-test('a new holder counts what it has spent itself', () => {
+// Guards against losing unsettled spending of a node that becomes the holder.
+test('a new holder debits its own unsettled spending', () => {
   const {fleet} = startFleet(100_000, 3);
   fleet.clock.advance(10_000);
-  fleet.hold(0);
-  fleet.greet();
-  fleet.hold(null);
-  fleet.sendPlain(1, 20_000);
+  fleet.setHolder(0);
+  fleet.sendHeartbeats();
+  fleet.setHolder(null);
+  fleet.sendToNode(1, 20_000);
   fleet.clock.advance(10_000);
-  fleet.sendPlain(1, 5_000);
-  fleet.hold(1);
+  fleet.sendToNode(1, 5_000);
+  fleet.setHolder(1);
   const capacity = 100_000 + 0.25 * findTolerance(makeQuota(100_000), BOUNDS);
-  assert.not(fleet.sendAsking(2, capacity - 4_000));
-  assert.ok(fleet.sendAsking(2, capacity - 5_000));
+  assert.not(fleet.sendToHolder(2, capacity - 4_000));
+  assert.ok(fleet.sendToHolder(2, capacity - 5_000));
 });
 
-// Guards against a node that takes its own bound for the team's.
-test('a node tells a team at its limit from a node at its own', () => {
+// Guards against reporting a used-up share of one node as a used-up quota.
+test('a refusal distinguishes a used-up quota from a used-up share', () => {
   const {fleet} = startFleet(4_200);
   fleet.clock.advance(10_000);
-  fleet.hold(0);
-  fleet.greet();
+  fleet.setHolder(0);
+  fleet.sendHeartbeats();
   assert.is(fleet.findRefusal(1, 200), null);
   assert.is(fleet.findRefusal(1, 200)?.isUnsettled, true);
-  while (fleet.sendAsking(2, 1_000));
+  while (fleet.sendToHolder(2, 1_000));
   fleet.clock.advance(HEARTBEAT_MS);
-  fleet.greet();
+  fleet.sendHeartbeats();
   assert.is(fleet.findRefusal(1, 5_000)?.isUnsettled, false);
 });
 
-test('a lower quota is in force at once', () => {
+test('a lower quota takes effect at once', () => {
   const rate = 20_000;
-  const {fleet, play} = startFleet(rate);
+  const {fleet, sendLoad} = startFleet(rate);
   fleet.clock.advance(3_000);
-  fleet.hold(0);
-  play(4_000, rate);
+  fleet.setHolder(0);
+  sendLoad(4_000, rate);
   fleet.setQuota(makeQuota(2_000));
   const before = fleet.admitted.length;
-  play(8_000, rate);
+  sendLoad(8_000, rate);
   const tokens = fleet.admitted
     .slice(before)
     .reduce((sum, {amount}) => sum + amount, 0);
--- a/packages/team-quotas/src/team_quotas.ts
+++ b/packages/team-quotas/src/team_quotas.ts
@@ -1,4 +1,4 @@
-/** The quotas of all teams, at one node, whether it holds the buckets or not. */
+/** The quotas of all teams at one node, which may hold the buckets. */
 import {type Clock} from '@mimosatack/clock';
 import {
   type NodeIncarnation,
@@ -9,57 +9,59 @@
 import {
   type QuotaBounds,
   findBucketTerms,
-  findStartLevel,
+  findInitialLevel,
   findUnsettledShare,
 } from './quota_bounds.js';
 import {type QuotaCharge, type QuotaRefusal} from './quota_charge.js';
 import {type QuotaReply, type QuotaReport} from './quota_messages.js';
-import {TeamBuckets, type TeamStart, findUntoldLevel} from './team_buckets.js';
-import {type BucketTerms, TokenBucket} from './token_bucket.js';
+import {
+  TeamBuckets,
+  type InitialBucket,
+  findUnlistedLevel,
+} from './team_buckets.js';
+import {type BucketLimits, TokenBucket} from './token_bucket.js';
 import {UnsettledSpending} from './unsettled_spending.js';
 
-/** What the quotas are kept with. */
 export interface TeamQuotasOptions {
   clock: Clock;
   bounds: () => QuotaBounds;
-  /** How many nodes share the quotas. */
+  /** Returns the number of nodes that share the quotas. */
   countNodes: () => number;
 }
 
-/** What is known of one team, for operators. */
+/** A team's quota state, for operators. */
 export interface TeamLevel {
   team: TeamName;
   ratePerSecond: number;
-  /** What is left, as far as this node knows. */
+  /** What is left, at the holder or by this node's estimate. */
   level: number;
-  /** Spent here and not yet known to the holder. */
+  /** What this node has spent and the holder has not confirmed. */
   unsettled: number;
 }
 
-/** What a node knows of one team. */
-interface KnownTeam {
+interface TeamState {
   quota: TeamQuota;
-  terms: BucketTerms;
-  /** As the holder told it last. */
-  told: TokenBucket;
-  /** Whether it was far from its limit then. */
-  isAmple: boolean;
+  limits: BucketLimits;
+  /** The level by the holder's last reply. */
+  estimate: TokenBucket;
+  /** Whether the team was above the low mark at the holder's last reply. */
+  isAboveLow: boolean;
 }
 
-/** A holder that has not answered for longer than this charges nothing. */
-const TOLD_LATELY_MS = 1_000;
-/** By then a heartbeat has told the holder what is unsettled. */
-const SETTLED_MS = 400;
-/** Part of what a team had left that nodes spend while nobody holds. */
-const ABSENCE_PART = 0.5;
+/** Without a reply for this long, the node assumes that there is no holder. */
+const REPLY_FRESHNESS_MS = 1_000;
+/** By then a heartbeat has settled the spending of the node. */
+const SETTLEMENT_DELAY_MS = 400;
+/** Fraction of a team's level that all nodes may spend without a holder. */
+const HOLDERLESS_FRACTION = 0.5;
 
-/** Charges requests, here or at the holder's buckets. */
+/** Charges requests by local estimates or, at the holder, by the buckets. */
 export class TeamQuotas {
-  private readonly teams = new Map<TeamName, KnownTeam>();
+  private readonly teams = new Map<TeamName, TeamState>();
   private readonly unsettled = new UnsettledSpending();
   private readonly startedAtMs: number;
-  private toldAtMs = -Infinity;
-  /** Present while this node holds the buckets. */
+  private lastReplyAtMs = -Infinity;
+  /** Null unless this node is the holder. */
   private buckets: TeamBuckets | null = null;
 
   constructor(private readonly options: TeamQuotasOptions) {
@@ -77,16 +79,20 @@
       .filter(team => !names.has(team))
       .forEach(team => this.teams.delete(team));
     limited.forEach(({team, quota}) => {
-      const terms = findBucketTerms(quota, bounds);
+      const limits = findBucketTerms(quota, bounds);
       const known = this.teams.get(team);
-      known?.told.retune(terms, nowMs);
-      const told =
-        known?.told ??
-        new TokenBucket(terms, findStartLevel(quota, bounds), this.startedAtMs);
-      const isAmple = known?.isAmple ?? true;
-      this.teams.set(team, {quota, terms, told, isAmple});
+      known?.estimate.setLimits(limits, nowMs);
+      const estimate =
+        known?.estimate ??
+        new TokenBucket(
+          limits,
+          findInitialLevel(quota, bounds),
+          this.startedAtMs,
+        );
+      const isAboveLow = known?.isAboveLow ?? true;
+      this.teams.set(team, {quota, limits, estimate, isAboveLow});
     });
-    this.buckets?.configure(this.listStarts(), nowMs);
+    this.buckets?.configure(this.listInitialBuckets(), nowMs);
   }
 
   /** Whether any team has a quota. */
@@ -94,80 +100,80 @@
     return this.teams.size > 0;
   }
 
-  /** Of all teams with a quota. */
+  /** Lists all teams with a quota. */
   list(): TeamLevel[] {
     const nowMs = this.nowMs();
-    return [...this.teams].map(([team, {quota, told}]) => ({
+    return [...this.teams].map(([team, {quota, estimate}]) => ({
       ...{team, ratePerSecond: quota.ratePerSecond},
-      level: (this.buckets?.find(team) ?? told).levelAt(nowMs),
-      unsettled: this.unsettled.sum(team),
+      level: (this.buckets?.find(team) ?? estimate).levelAt(nowMs),
+      unsettled: this.unsettled.sumFor(team),
     }));
   }
 
-  /** Begins to hold the buckets, from what the last holder told. */
+  /** Sets up the buckets from the last holder's replies. */
   startHolding(): void {
     if (this.buckets) return;
-    this.buckets = new TeamBuckets(this.listStarts(), this.nowMs());
-    this.settleHere();
+    this.buckets = new TeamBuckets(this.listInitialBuckets(), this.nowMs());
+    this.settleLocally();
   }
 
-  /** Keeps what it knows, as if another holder had told it. */
+  /** Drops the buckets and keeps their levels as estimates. */
   stopHolding(): void {
     const {buckets} = this;
     if (!buckets) return;
     const nowMs = this.nowMs();
     this.teams.forEach((known, team) => {
       const level = buckets.find(team)?.levelAt(nowMs) ?? 0;
-      known.told = new TokenBucket(known.terms, level, nowMs);
-      known.isAmple = level >= findUntoldLevel(known.terms);
+      known.estimate = new TokenBucket(known.limits, level, nowMs);
+      known.isAboveLow = level >= findUnlistedLevel(known.limits);
     });
-    this.toldAtMs = nowMs;
+    this.lastReplyAtMs = nowMs;
     this.buckets = null;
   }
 
-  /** At the holder: charges a request that has asked it. */
+  /** At the holder: charges a request of any node. */
   chargeAsked(charge: QuotaCharge): QuotaRefusal | null {
     const bucket = this.buckets?.find(charge.team);
     return bucket ? this.chargeBucket(bucket, charge) : null;
   }
 
-  /** At the holder: gives back what was charged and has not run. */
+  /** At the holder: refunds the charge of a request that has not run. */
   giveBackAsked({team, amount}: QuotaCharge): void {
-    this.buckets?.find(team)?.giveBack(amount, this.nowMs());
+    this.buckets?.find(team)?.refund(amount, this.nowMs());
   }
 
-  /** Charges a request here, without asking the holder. */
+  /** Charges a request at this node, without asking the holder. */
   charge(charge: QuotaCharge): QuotaRefusal | null {
     if (this.buckets) return this.chargeAsked(charge);
     const {team, amount, isForced} = charge;
     const known = this.teams.get(team);
     if (!known) return null;
     const nowMs = this.nowMs();
-    this.unsettled.forgetBefore(nowMs - this.options.bounds().windowMs);
+    this.unsettled.dropBefore(nowMs - this.options.bounds().windowMs);
     if (!isForced && !this.maySpend(charge, known, nowMs)) {
-      return this.refuse(charge, known, nowMs);
+      return this.makeRefusal(charge, known, nowMs);
     }
-    this.unsettled.note(team, amount, nowMs);
+    this.unsettled.add(team, amount, nowMs);
     return null;
   }
 
-  /** Gives back what `charge` took. */
+  /** Refunds an amount that `charge` took. */
   giveBack(charge: QuotaCharge): void {
     if (this.buckets) return this.giveBackAsked(charge);
     const {team, amount} = charge;
-    if (this.teams.has(team)) this.unsettled.note(team, -amount, this.nowMs());
+    if (this.teams.has(team)) this.unsettled.add(team, -amount, this.nowMs());
   }
 
-  /** What the next heartbeat tells the holder; null when there is nothing. */
+  /** Makes the report for the next heartbeat; null when all is settled. */
   makeReport(): QuotaReport | null {
     return this.unsettled.makeReport();
   }
 
-  /** At the holder: answers a heartbeat; null where nobody has a quota. */
+  /** At the holder: answers a heartbeat; null when no team has a quota. */
   answer(node: NodeIncarnation, report: QuotaReport | null): QuotaReply | null {
     if (!this.buckets || !this.isLimiting) return null;
-    this.settleHere();
-    return this.buckets.answer(node, report, this.nowMs());
+    this.settleLocally();
+    return this.buckets.handleReport(node, report, this.nowMs());
   }
 
   takeReply({reportId, low}: QuotaReply): void {
@@ -175,62 +181,61 @@
     if (reportId !== null) this.unsettled.settle(reportId);
     const levels = new Map(low.map(({team, level}) => [team, level]));
     this.teams.forEach((known, team) => {
-      const level = levels.get(team) ?? findUntoldLevel(known.terms);
-      known.isAmple = !levels.has(team);
-      known.told = new TokenBucket(known.terms, level, nowMs);
+      const level = levels.get(team) ?? findUnlistedLevel(known.limits);
+      known.isAboveLow = !levels.has(team);
+      known.estimate = new TokenBucket(known.limits, level, nowMs);
     });
-    this.toldAtMs = nowMs;
+    this.lastReplyAtMs = nowMs;
   }
 
-  private settleHere(): void {
+  private settleLocally(): void {
     this.unsettled
-      .takeAll()
+      .drain()
       .forEach(({team, amount}) =>
         this.buckets?.find(team)?.take(amount, this.nowMs()),
       );
   }
 
   /**
-   * Guards against nodes that spend one quota many times over, since none of
-   * them knows what the others do: all that they spend unknown to the holder is
-   * within the tolerance. A node may always spend one request before it has told
-   * the holder, or teams with small quotas would be served nowhere.
+   * Guards against nodes that each spend the whole quota: the unsettled
+   * spending of all nodes stays within the tolerance. A node may always have
+   * one unsettled request, since a small quota's share may not cover any.
    */
   private maySpend(
     {team, amount}: QuotaCharge,
-    known: KnownTeam,
+    known: TeamState,
     nowMs: number,
   ): boolean {
-    const unsettled = this.unsettled.sum(team);
-    if (!hasLeft(amount, known, unsettled, nowMs)) return false;
-    // A team at its limit waits for the next holder.
-    const mayBegin = known.isAmple || this.isToldLately(nowMs);
-    if (unsettled <= 0 && mayBegin) return true;
+    const unsettled = this.unsettled.sumFor(team);
+    if (!hasEnoughLeft(amount, known, unsettled, nowMs)) return false;
+    // Without a recent reply, a team that was low has to fit the allowance.
+    const mayStart = known.isAboveLow || this.hasRecentReply(nowMs);
+    if (unsettled <= 0 && mayStart) return true;
     return unsettled + amount <= this.findAllowance(known, nowMs);
   }
 
-  private findAllowance({quota, told}: KnownTeam, nowMs: number): number {
+  private findAllowance({quota, estimate}: TeamState, nowMs: number): number {
     const nodeCount = Math.max(1, this.options.countNodes());
     const share = findUnsettledShare(quota, this.options.bounds(), nodeCount);
-    if (this.isToldLately(nowMs)) return share;
-    const left = Math.max(0, told.levelAt(nowMs));
-    return share + (ABSENCE_PART * left) / nodeCount;
+    if (this.hasRecentReply(nowMs)) return share;
+    const left = Math.max(0, estimate.levelAt(nowMs));
+    return share + (HOLDERLESS_FRACTION * left) / nodeCount;
   }
 
-  private isToldLately(nowMs: number): boolean {
-    return nowMs - this.toldAtMs < TOLD_LATELY_MS;
+  private hasRecentReply(nowMs: number): boolean {
+    return nowMs - this.lastReplyAtMs < REPLY_FRESHNESS_MS;
   }
 
-  private refuse(
+  private makeRefusal(
     {team, amount}: QuotaCharge,
-    known: KnownTeam,
+    known: TeamState,
     nowMs: number,
   ): QuotaRefusal {
-    const unsettled = this.unsettled.sum(team);
-    const level = known.told.levelAt(nowMs) - unsettled;
-    const isUnsettled = hasLeft(amount, known, unsettled, nowMs);
-    const waitMs = known.told.findWaitMs(amount - level);
-    const retryAfterMs = isUnsettled ? SETTLED_MS : waitMs;
+    const unsettled = this.unsettled.sumFor(team);
+    const level = known.estimate.levelAt(nowMs) - unsettled;
+    const isUnsettled = hasEnoughLeft(amount, known, unsettled, nowMs);
+    const waitMs = known.estimate.findWaitMs(amount - level);
+    const retryAfterMs = isUnsettled ? SETTLEMENT_DELAY_MS : waitMs;
     return {level, retryAfterMs, isUnsettled, decidedBy: 'node'};
   }
 
@@ -249,10 +254,10 @@
     return {level, retryAfterMs, isUnsettled: false, decidedBy: 'holder'};
   }
 
-  private listStarts(): TeamStart[] {
+  private listInitialBuckets(): InitialBucket[] {
     const nowMs = this.nowMs();
-    return [...this.teams].map(([team, {terms, told}]) => ({
-      ...{team, terms, level: told.levelAt(nowMs)},
+    return [...this.teams].map(([team, {limits, estimate}]) => ({
+      ...{team, limits, level: estimate.levelAt(nowMs)},
     }));
   }
 
@@ -261,12 +266,14 @@
   }
 }
 
-/** Whether a team seems to have enough left for a request. */
-function hasLeft(
+/** Whether a team has enough left for a request by this node's estimate. */
+function hasEnoughLeft(
   amount: number,
-  {told, terms}: KnownTeam,
+  {estimate, limits}: TeamState,
   unsettled: number,
   nowMs: number,
 ): boolean {
-  return told.levelAt(nowMs) - unsettled >= Math.min(amount, terms.capacity);
+  return (
+    estimate.levelAt(nowMs) - unsettled >= Math.min(amount, limits.capacity)
+  );
 }
--- a/packages/team-quotas/src/token_bucket.ts
+++ b/packages/team-quotas/src/token_bucket.ts
@@ -1,90 +1,93 @@
 /**
- * A token bucket that can be overdrawn and given back to. Those of the registry
- * read the time themselves, and neither take back nor go below zero.
+ * A token bucket that supports refunds and overdrafts and takes the time as an
+ * argument, which the packages on npm do not.
  */
 
-/** What a bucket holds and how fast it fills. */
-export interface BucketTerms {
+export interface BucketLimits {
   ratePerSecond: number;
   capacity: number;
 }
 
 const MS_PER_SECOND = 1_000;
-/** Callers that are told to come back later than this hardly do. */
-const LONGEST_PROMISE_MS = 10_000;
+/** No slot is reserved for a longer wait, since few callers retry that late. */
+const MAX_RESERVED_WAIT_MS = 10_000;
 
-/** All times are on the monotonic clock of one process. */
+/** All times are monotonic times of one process. */
 export class TokenBucket {
-  /** When all that was told to come back will have had room. */
-  private promisedUntilMs = -Infinity;
+  /** The latest time for which a retry slot is reserved. */
+  private lastRetryAtMs = -Infinity;
 
   constructor(
-    private terms: BucketTerms,
+    private limits: BucketLimits,
     private level: number,
-    private atMs: number,
+    private updatedAtMs: number,
   ) {}
 
   get capacity(): number {
-    return this.terms.capacity;
+    return this.limits.capacity;
   }
 
-  /** Below 0 when more was taken than there was. */
+  /** Negative when the bucket is overdrawn. */
   levelAt(nowMs: number): number {
-    const {ratePerSecond, capacity} = this.terms;
-    const earned =
-      (Math.max(0, nowMs - this.atMs) * ratePerSecond) / MS_PER_SECOND;
-    return Math.min(capacity, this.level + earned);
+    const {ratePerSecond, capacity} = this.limits;
+    const refilled =
+      (Math.max(0, nowMs - this.updatedAtMs) * ratePerSecond) / MS_PER_SECOND;
+    return Math.min(capacity, this.level + refilled);
   }
 
-  /** Takes the amount, or takes nothing and returns when there is room. */
+  /** Takes the amount and returns null, or returns the time until a retry. */
   tryTake(amount: number, nowMs: number): number | null {
     const level = this.levelAt(nowMs);
-    // What is larger than the bucket passes when the bucket is full.
-    const needed = Math.min(amount, this.terms.capacity);
+    // An amount above the capacity is taken from a full bucket.
+    const needed = Math.min(amount, this.limits.capacity);
     if (level >= needed) {
       this.take(amount, nowMs);
       return null;
     }
-    return this.promise(needed - level, amount, nowMs);
+    return this.reserveRetrySlot(needed - level, amount, nowMs);
   }
 
-  /** Takes the amount, whether it is there or not. */
+  /** Takes the amount, even if that overdraws the bucket. */
   take(amount: number, nowMs: number): void {
     this.level = this.levelAt(nowMs) - amount;
-    this.atMs = nowMs;
+    this.updatedAtMs = nowMs;
   }
 
-  giveBack(amount: number, nowMs: number): void {
+  refund(amount: number, nowMs: number): void {
     this.take(-amount, nowMs);
   }
 
-  /** How long it takes to earn an amount, and never no time at all. */
+  /** Time to refill an amount, at least 1 ms. */
   findWaitMs(amount: number): number {
-    const {ratePerSecond} = this.terms;
+    const {ratePerSecond} = this.limits;
     return Math.max(1, Math.ceil((amount / ratePerSecond) * MS_PER_SECOND));
   }
 
-  /** A larger bucket is filled up by what it is larger by. */
-  retune(terms: BucketTerms, nowMs: number): void {
+  /** Added capacity is added to the level too. */
+  setLimits(limits: BucketLimits, nowMs: number): void {
     const level = this.levelAt(nowMs);
-    const added = Math.max(0, terms.capacity - this.terms.capacity);
-    this.terms = terms;
-    this.level = Math.min(terms.capacity, level + added);
-    this.atMs = nowMs;
+    const added = Math.max(0, limits.capacity - this.limits.capacity);
+    this.limits = limits;
+    this.level = Math.min(limits.capacity, level + added);
+    this.updatedAtMs = nowMs;
   }
 
   /**
-   * Guards against callers that are told to come back at the same moment, and
-   * find room for one of them: each gets its turn behind those before it.
+   * Spaces out retries. Guards against callers that retry at the same time when
+   * the bucket has enough for one of them.
    */
-  private promise(missing: number, amount: number, nowMs: number): number {
-    const {ratePerSecond} = this.terms;
-    const roomAtMs = nowMs + (missing / ratePerSecond) * MS_PER_SECOND;
-    const turnAtMs =
-      this.promisedUntilMs + (amount / ratePerSecond) * MS_PER_SECOND;
-    const atMs = Math.max(roomAtMs, turnAtMs);
-    const waitMs = Math.ceil(atMs - nowMs);
-    if (waitMs <= LONGEST_PROMISE_MS) this.promisedUntilMs = atMs;
+  private reserveRetrySlot(
+    deficit: number,
+    amount: number,
+    nowMs: number,
+  ): number {
+    const {ratePerSecond} = this.limits;
+    const refilledAtMs = nowMs + (deficit / ratePerSecond) * MS_PER_SECOND;
+    const slotAtMs =
+      this.lastRetryAtMs + (amount / ratePerSecond) * MS_PER_SECOND;
+    const retryAtMs = Math.max(refilledAtMs, slotAtMs);
+    const waitMs = Math.ceil(retryAtMs - nowMs);
+    if (waitMs <= MAX_RESERVED_WAIT_MS) this.lastRetryAtMs = retryAtMs;
     return waitMs;
   }
 }
--- a/packages/team-quotas/src/unsettled_spending.ts
+++ b/packages/team-quotas/src/unsettled_spending.ts
@@ -1,71 +1,70 @@
-/** What a node has spent of teams' quotas that the holder does not know of. */
+/** Spending of a node that the holder has not confirmed yet. */
 import {type TeamName} from '@mimosatack/types';
 import {type QuotaReport} from './quota_messages.js';
 
-interface Spending {
+interface SpendingEntry {
   team: TeamName;
   amount: number;
   atMs: number;
 }
 
-/** A report on its way, and how many of the spendings it holds. */
+/** A report that is not answered yet; `count` is its number of entries. */
 interface SentReport {
   reportId: number;
   count: number;
 }
 
-/** Spendings in the order in which they were made. */
+/** Entries are kept in the order in which they were added. */
 export class UnsettledSpending {
-  private spendings: Spending[] = [];
+  private entries: SpendingEntry[] = [];
   private sent: SentReport | null = null;
-  private nextId = 1;
+  private nextReportId = 1;
   private answeredId = 0;
 
-  note(team: TeamName, amount: number, nowMs: number): void {
-    this.spendings.push({team, amount, atMs: nowMs});
+  add(team: TeamName, amount: number, nowMs: number): void {
+    this.entries.push({team, amount, atMs: nowMs});
   }
 
-  /** Of one team, over all that is not settled. */
-  sum(team: TeamName): number {
-    return this.spendings
-      .filter(spending => spending.team === team)
+  sumFor(team: TeamName): number {
+    return this.entries
+      .filter(entry => entry.team === team)
       .reduce((sum, {amount}) => sum + amount, 0);
   }
 
-  /** Forgets what no window that is still open holds. */
-  forgetBefore(atMs: number): void {
-    const kept = this.spendings.filter(spending => spending.atMs >= atMs);
-    const forgotten = this.spendings.length - kept.length;
-    if (forgotten === 0) return;
-    this.spendings = kept;
-    if (this.sent) this.sent.count = Math.max(0, this.sent.count - forgotten);
+  /** Drops entries that are older than the current quota window. */
+  dropBefore(atMs: number): void {
+    const kept = this.entries.filter(entry => entry.atMs >= atMs);
+    const dropped = this.entries.length - kept.length;
+    if (dropped === 0) return;
+    this.entries = kept;
+    if (this.sent) this.sent.count = Math.max(0, this.sent.count - dropped);
   }
 
-  /** Null when all is settled. */
+  /** Returns null when all spending is settled. */
   makeReport(): QuotaReport | null {
-    if (this.spendings.length === 0) return null;
-    const reportId = this.nextId++;
-    this.sent = {reportId, count: this.spendings.length};
-    const teams = [...new Set(this.spendings.map(({team}) => team))];
+    if (this.entries.length === 0) return null;
+    const reportId = this.nextReportId++;
+    this.sent = {reportId, count: this.entries.length};
+    const teams = [...new Set(this.entries.map(({team}) => team))];
     return {
       ...{reportId, answeredId: this.answeredId},
-      spent: teams.map(team => ({team, amount: this.sum(team)})),
+      spent: teams.map(team => ({team, amount: this.sumFor(team)})),
     };
   }
 
-  /** The holder has counted what this report held. */
+  /** Removes the entries of a report that the holder has answered. */
   settle(reportId: number): void {
     if (this.sent?.reportId !== reportId) return;
-    this.spendings = this.spendings.slice(this.sent.count);
+    this.entries = this.entries.slice(this.sent.count);
     this.answeredId = reportId;
     this.sent = null;
   }
 
-  /** All that is left, for a holder in the same process. */
-  takeAll(): Array<Pick<Spending, 'team' | 'amount'>> {
-    const {spendings} = this;
-    this.spendings = [];
+  /** Removes and returns all entries, for a holder in the same process. */
+  drain(): Array<Pick<SpendingEntry, 'team' | 'amount'>> {
+    const {entries} = this;
+    this.entries = [];
     this.sent = null;
-    return spendings;
+    return entries;
   }
 }
