--- a/packages/schedule-service/src/pending_ask.ts
+++ b/packages/schedule-service/src/pending_ask.ts
@@ -55,9 +55,7 @@
 }
 
 function makeWithdrawnError(): TypedError {
-  return new TypedError(
-    'deadline-exceeded',
-    'The request was canceled or its deadline has passed.',
-    {run: 'not-run'},
-  );
+  return new TypedError('deadline-exceeded', 'The request no longer waits.', {
+    run: 'not-run',
+  });
 }
--- a/packages/schedule-service/src/scheduled_chooser.ts
+++ b/packages/schedule-service/src/scheduled_chooser.ts
@@ -274,15 +274,11 @@
   charge: QuotaCharge | null,
 ): TypedError {
   if (reason === 'over-quota') return makeOverQuotaError(charge, retryAfterMs);
-  return new TypedError(
-    'not-warm',
-    `No engine can serve the request now: ${reason}.`,
-    {
-      run: 'not-run',
-      retryAfterMs: Math.max(retryAfterMs, RETRY_AFTER_MS / 2),
-      info: {reason},
-    },
-  );
+  return new TypedError('not-warm', `No engine can serve it now: ${reason}.`, {
+    run: 'not-run',
+    retryAfterMs: Math.max(retryAfterMs, RETRY_AFTER_MS / 2),
+    info: {reason},
+  });
 }
 
 function makeOverQuotaError(
--- a/packages/schedule-service/src/scheduling_host.ts
+++ b/packages/schedule-service/src/scheduling_host.ts
@@ -52,7 +52,7 @@
 /** The duty was lost or the engine removed after the order was planned. */
 const NOT_SENT: SentOrder = {
   outcome: 'refused',
-  cause: 'not sent: this node lost the duty or the engine was removed',
+  cause: 'not sent: no duty, or no such engine any more',
 };
 
 /** An ask, from its arrival until its request has ended. */
