--- a/packages/steward-orders/src/decide_orders.test.ts
+++ b/packages/steward-orders/src/decide_orders.test.ts
@@ -35,7 +35,7 @@
   ]);
 });
 
-test('stages until the checkpoint is near, then unloads at once', () => {
+test('stages until the checkpoint is cached, then unloads at once', () => {
   const slot = makeStagedSlot();
   const slots = [slot];
   assert.equal(listOrders({slots, nowMs: 10_000}), ['load s1']);
@@ -50,10 +50,9 @@
   assert.equal(listOrders({slots, nowMs: 100_000, engine: gone}), ['load s1']);
 });
 
-test('stages again when the near cache lost the checkpoint, twice at most', () => {
-  // Two staged models do not fit into the near cache together. Each would
-  // push the other out and be fetched again, without end, and the weight
-  // store would have nothing left for anybody else.
+test('stages again when the cache evicted the checkpoint, twice at most', () => {
+  // Guards against two staged models that evict each other from the cache and
+  // are fetched from the weight store again and again.
   const slots = [makeStagedSlot()];
   const first = decideSteward(makeInput({slots, nowMs: 10_000}));
   const again = decideSteward(
@@ -63,7 +62,7 @@
   assert.equal(listOrders({slots, nowMs: 40_000, memory: again.memory}), []);
 });
 
-test('begins earlier when the near cache lost a planned checkpoint', () => {
+test('starts earlier when the cache evicted a staged checkpoint', () => {
   const slots = [makeStagedSlot()];
   const memory = {
     ...EMPTY_STEWARD_MEMORY,
@@ -74,10 +73,9 @@
   assert.equal(listOrders({slots, memory, nowMs: earlyMs}), ['load s1']);
 });
 
-test('begins earlier when the weight store is slow', () => {
-  // The store turns ten times slower after the loads were planned, with the
-  // log down, so that nothing can be planned anew. By plan the load would end
-  // long after the start.
+test('starts earlier when the weight store is slow', () => {
+  // Guards against a load that misses the event's start because the weight
+  // store has slowed down since planning and the log is unavailable.
   const slots = [makeSlot()];
   const outlook = () => ({
     startsAtMs: 102_000,
@@ -89,7 +87,7 @@
   assert.equal(listOrders({slots, outlook, nowMs: 82_000}), ['load s1']);
 });
 
-test('does not begin early in memory that the plan gives to another', () => {
+test('does not load early into memory that is planned for another slot', () => {
   const other = makeSlot({slotId: 's2', model: 'm2', loadAtMs: 90_000});
   const slots = [makeSlot(), other];
   const engine = makeEngine({memoryMib: MODEL_MIB});
@@ -103,9 +101,9 @@
   assert.equal(listOrders({slots, engine, outlook, nowMs}), ['load s2']);
 });
 
-test('does not begin early where an old order may still arrive', () => {
-  // An engine without fencing may carry out an order of the steward before.
-  // The plan keeps that memory; an early load would take it.
+test('does not load early where an outdated order may still arrive', () => {
+  // Guards against an early load into memory that an outdated order may take on
+  // an engine without fencing.
   const slots = [makeSlot()];
   const engine = makeEngine({fencing: 'ignores'});
   const outlook = () => ({
@@ -119,9 +117,9 @@
   assert.equal(listOrders(parts), ['load s1']);
 });
 
-test('waits for the memory of the event before', () => {
-  // The event before has ended, but its replica still answers requests.
-  // Loading the next one beside it would hold more memory than there is.
+test('waits for the memory of the previous event', () => {
+  // Guards against overcommitting memory while the replica of an ended event
+  // still serves requests.
   const old = makeSlot({slotId: 's0', model: 'm0', untilMs: 100_000});
   const slots = [{...old, status: 'ending' as const}, makeSlot()];
   const engine = makeEngine({
@@ -131,7 +129,7 @@
   assert.equal(listOrders({slots, engine, nowMs: 100_000}), []);
 });
 
-test('ends overdue slots and releases those the engine is without', () => {
+test('ends overdue slots and releases ending ones that are unloaded', () => {
   const slots = [
     makeSlot(),
     makeSlot({slotId: 's2', status: 'ending'}),
@@ -144,7 +142,7 @@
   assert.equal(step.released, ['s2']);
 });
 
-test('says when to look again', () => {
+test('reports the time of the next decision', () => {
   const lookAgain = (nowMs: number) =>
     decideSteward(makeInput({slots: [makeStagedSlot()], nowMs})).lookAgainAtMs;
   assert.is(lookAgain(0), 10_000);
--- a/packages/steward-orders/src/decide_orders.ts
+++ b/packages/steward-orders/src/decide_orders.ts
@@ -1,84 +1,86 @@
-/**
- * What the steward of one model engine does next. Pure: the same slots, the
- * same engine state and the same time give the same orders.
- */
+/** Decides which orders the node that controls an engine sends next. */
 import {type Slot} from '@mimosatack/agreed-state';
 import {type EngineState} from '@mimosatack/types';
 import {
-  findSlotTier,
-  hasPlannedRoom,
-  listParts,
+  findSlowestTier,
+  fitsAlongsidePlan,
+  listLoadedParts,
   readBaseSlotId,
 } from './engine_view.js';
-import {type AdapterMemory, type WantedSlot, listLoads} from './list_loads.js';
-import {type DrainLimits, type Unloads, listUnloads} from './list_unloads.js';
+import {
+  type FindAdapterMemory,
+  type SlotToLoad,
+  listLoadOrders,
+} from './list_loads.js';
+import {
+  type DrainLimits,
+  type UnloadOrders,
+  listUnloadOrders,
+} from './list_unloads.js';
 import {type LoadOutlook, findLoadDueMs} from './load_due.js';
 import {type OrderIntent} from './order_intent.js';
 
-/** What the steward remembers between two decisions. */
+/** State that is carried from one decision to the next. */
 export interface StewardMemory {
-  /** How often a slot's staging load was ordered. */
+  /** Number of staging loads ordered so far, by slot. */
   stagingLoads: ReadonlyMap<string, number>;
-  /** When a loaded replica was first seen without being wanted. */
+  /** When each loaded slot was first found to be no longer wanted. */
   unwantedSinceMs: ReadonlyMap<string, number>;
 }
 
-/** The memory of a steward that has just begun. */
+/** The state before the first decision. */
 export const EMPTY_STEWARD_MEMORY: StewardMemory = {
   stagingLoads: new Map(),
   unwantedSinceMs: new Map(),
 };
 
-/** All that one decision looks at. */
 export interface StewardInput {
   slots: readonly Slot[];
   engine: EngineState;
   memory: StewardMemory;
-  /** Engine slots with an order whose answer was lost and may still arrive. */
+  /** Engine slots with an unanswered order that may still be executed. */
   unresolved: ReadonlySet<string>;
-  /** Whether orders of a former steward may still arrive. */
+  /** Whether orders of a previous controlling node may still arrive. */
   hasDoubts: boolean;
-  memoryOfAdapter: AdapterMemory;
+  memoryOfAdapter: FindAdapterMemory;
   drain: DrainLimits;
   outlook(slot: Slot): LoadOutlook;
   nowMs: number;
-  /** Memory that a late order may still take. */
+  /** Memory for orders that may still arrive late. */
   reservedMib: number;
 }
 
-/** What to do next. */
 export interface StewardStep {
   orders: OrderIntent[];
-  /** Slots that are past their end and should be ended in the log. */
+  /** Slots past their end, whose end is to be recorded in the log. */
   overdue: string[];
-  /** Ending slots that the engine has been seen without. */
+  /** Ending slots of which the engine holds nothing any more. */
   released: string[];
-  /** What to hand to the next decision. */
+  /** The state for the next decision. */
   memory: StewardMemory;
-  /** When to look again at the latest; null when only a new slot matters. */
+  /** Latest time of the next decision; null if only a new slot requires one. */
   lookAgainAtMs: number | null;
 }
 
 /**
- * Guards against two staged slots that push each other out of a near cache
- * that is too small for both: without a bound they would take turns for ever
- * at the cost of the weight store. After this many loads a slot is loaded
- * from the store in time instead.
+ * Guards against staged slots that endlessly evict each other from a cache that
+ * is too small for both. After this many staging loads, a slot is loaded from
+ * the weight store at its load time.
  */
 const MAX_STAGING_LOADS = 2;
-/** How soon to look again while the engine loads or unloads. */
-const BUSY_LOOK_MS = 100;
+/** Interval between decisions while the engine loads or unloads. */
+const BUSY_POLL_MS = 100;
 
-/** Decides the next step for one engine. */
+/** Deterministic: the same input always gives the same orders. */
 export function decideSteward(input: StewardInput): StewardStep {
   const {slots, engine, nowMs} = input;
-  const wanted = slots.flatMap(slot => findWanted(slot, input));
-  const unloads = listUnloads({
+  const wanted = slots.flatMap(slot => listIfDue(slot, input));
+  const unloads = listUnloadOrders({
     ...input,
     wantedIds: new Set(wanted.map(want => want.slot.slotId)),
     unwantedSinceMs: input.memory.unwantedSinceMs,
   });
-  const loads = listLoads({
+  const loads = listLoadOrders({
     wanted,
     engine,
     memoryOfAdapter: input.memoryOfAdapter,
@@ -90,7 +92,7 @@
       .filter(slot => slot.status === 'decided' && nowMs >= slot.untilMs)
       .map(slot => slot.slotId),
     released: slots
-      .filter(slot => slot.status === 'ending' && isAbsent(slot, input))
+      .filter(slot => slot.status === 'ending' && isReleased(slot, input))
       .map(slot => slot.slotId),
     memory: {
       stagingLoads: countStagingLoads(
@@ -100,60 +102,63 @@
       unwantedSinceMs: unloads.unwantedSinceMs,
     },
   };
-  return {...step, lookAgainAtMs: findLookAgainMs(step.orders, unloads, input)};
+  return {
+    ...step,
+    lookAgainAtMs: findNextDecisionMs(step.orders, unloads, input),
+  };
 }
 
-/** Whether a slot should be loaded now, as a list of one or none. */
-function findWanted(slot: Slot, input: StewardInput): WantedSlot[] {
+/** The slot if it should be loaded now, else an empty list. */
+function listIfDue(slot: Slot, input: StewardInput): SlotToLoad[] {
   const {nowMs} = input;
   if (slot.status !== 'decided' || nowMs >= slot.untilMs) return [];
-  if (nowMs >= slot.loadAtMs) return [{slot, isPlannedNow: true}];
-  if (isDueEarly(slot, input)) return [{slot, isPlannedNow: false}];
+  if (nowMs >= slot.loadAtMs) return [{slot, isMemoryPlanned: true}];
+  if (canLoadEarly(slot, input)) return [{slot, isMemoryPlanned: false}];
   if (!isStagingDue(slot, input)) return [];
-  return [{slot, isPlannedNow: nowMs < (slot.stage?.untilMs ?? 0)}];
+  return [{slot, isMemoryPlanned: nowMs < (slot.stage?.untilMs ?? 0)}];
 }
 
 /**
- * A load may begin before its time if the plan leaves its memory free, and if
- * no order that the plan does not show can still claim that memory.
+ * A load may start before its planned time if no planned slot and no order that
+ * may still arrive needs its memory.
  */
-function isDueEarly(slot: Slot, input: StewardInput): boolean {
+function canLoadEarly(slot: Slot, input: StewardInput): boolean {
   const {engine, nowMs} = input;
   if (nowMs < findDueMs(slot, input)) return false;
-  if (mayTakeOldOrders(input)) return false;
-  return hasPlannedRoom(slot, input.slots, engine.memoryMib, {
+  if (mayReceiveOldOrders(input)) return false;
+  return fitsAlongsidePlan(slot, input.slots, engine.memoryMib, {
     fromMs: nowMs,
     untilMs: slot.loadAtMs,
   });
 }
 
-function mayTakeOldOrders(input: StewardInput): boolean {
+function mayReceiveOldOrders(input: StewardInput): boolean {
   const {engine, hasDoubts, unresolved} = input;
   return engine.fencing === 'ignores' && (hasDoubts || unresolved.size > 0);
 }
 
 function findDueMs(slot: Slot, input: StewardInput): number {
-  const tier = findSlotTier(slot, input.engine);
+  const tier = findSlowestTier(slot, input.engine);
   return findLoadDueMs(slot, tier, input.outlook(slot));
 }
 
 /**
- * A staged model is loaded once, ahead of time, until its checkpoint lies in
- * the near cache; if the cache loses it, it is loaded again. A transfer that
- * takes longer than planned goes on as long as the plan leaves it room.
+ * A staging load puts the checkpoint into the engine's cache ahead of time and
+ * is repeated if the cache evicts the checkpoint. A transfer that overruns its
+ * planned time continues while no other planned slot needs the memory.
  */
 function isStagingDue(slot: Slot, input: StewardInput): boolean {
   const {stage} = slot;
   const {engine, nowMs, memory} = input;
   if (!stage || nowMs < stage.fromMs) return false;
-  if (findSlotTier(slot, engine) !== 'remote') return false;
-  const isUnderWay = listParts(slot.slotId, engine).length > 0;
+  if (findSlowestTier(slot, engine) !== 'remote') return false;
+  const isLoading = listLoadedParts(slot.slotId, engine).length > 0;
   const loads = memory.stagingLoads.get(slot.slotId) ?? 0;
-  if (!isUnderWay && loads >= MAX_STAGING_LOADS) return false;
+  if (!isLoading && loads >= MAX_STAGING_LOADS) return false;
   if (nowMs < stage.untilMs) return true;
-  return hasPlannedRoom(slot, input.slots, engine.memoryMib, {
+  return fitsAlongsidePlan(slot, input.slots, engine.memoryMib, {
     fromMs: nowMs,
-    untilMs: nowMs + (isUnderWay ? BUSY_LOOK_MS : input.outlook(slot).remoteMs),
+    untilMs: nowMs + (isLoading ? BUSY_POLL_MS : input.outlook(slot).remoteMs),
   });
 }
 
@@ -174,17 +179,17 @@
   );
 }
 
-/** Whether the engine holds nothing of a slot and nothing is on its way. */
-function isAbsent(slot: Slot, input: StewardInput): boolean {
+/** Whether the engine holds no part of a slot and no order may still load one. */
+function isReleased(slot: Slot, input: StewardInput): boolean {
   return (
-    listParts(slot.slotId, input.engine).length === 0 &&
+    listLoadedParts(slot.slotId, input.engine).length === 0 &&
     ![...input.unresolved].some(id => readBaseSlotId(id) === slot.slotId)
   );
 }
 
-function findLookAgainMs(
+function findNextDecisionMs(
   orders: readonly OrderIntent[],
-  unloads: Unloads,
+  unloads: UnloadOrders,
   input: StewardInput,
 ): number | null {
   const {engine, nowMs} = input;
@@ -192,7 +197,7 @@
     orders.length > 0 ||
     unloads.unwantedSinceMs.size > 0 ||
     engine.replicas.some(replica => replica.status !== 'warm');
-  if (isBusy) return nowMs + BUSY_LOOK_MS;
+  if (isBusy) return nowMs + BUSY_POLL_MS;
   const laterMs = input.slots
     .filter(slot => slot.status === 'decided')
     .flatMap(slot => [
--- a/packages/steward-orders/src/engine_view.ts
+++ b/packages/steward-orders/src/engine_view.ts
@@ -1,4 +1,4 @@
-/** Questions about an engine's report and the plan for it. */
+/** Helpers that read an engine's report and its planned slots. */
 import {
   type MemoryHold,
   type Slot,
@@ -14,18 +14,18 @@
 
 const ADAPTER_SEPARATOR = '/';
 
-/** The engine's slot id of an adapter on top of a decided replica. */
+/** The slot id under which an engine lists an adapter of a planned slot. */
 export function formatAdapterSlotId(slotId: string, adapter: string): string {
   return `${slotId}${ADAPTER_SEPARATOR}${adapter}`;
 }
 
-/** The decided replica that an engine's slot belongs to. */
+/** The id of the planned slot to which an engine's slot belongs. */
 export function readBaseSlotId(engineSlotId: string): string {
   return engineSlotId.split(ADAPTER_SEPARATOR, 1)[0] ?? engineSlotId;
 }
 
-/** The base and the adapters of one decided replica, as far as loaded. */
-export function listParts(
+/** The base model and the adapters of a planned slot that the engine lists. */
+export function listLoadedParts(
   slotId: string,
   engine: EngineState,
 ): LoadedReplica[] {
@@ -34,8 +34,8 @@
   );
 }
 
-/** The farthest tier of the base and the adapters of a slot. */
-export function findSlotTier(slot: Slot, engine: EngineState): CacheTier {
+/** The slowest cache tier among the base model and the adapters of a slot. */
+export function findSlowestTier(slot: Slot, engine: EngineState): CacheTier {
   const tiers = mapCachedTiers(engine);
   const parts = [null, ...slot.adapters].map(
     adapter => tiers.get(formatModelRef({...slot, adapter})) ?? 'remote',
@@ -44,7 +44,7 @@
   return parts.includes('disk') ? 'disk' : 'memory';
 }
 
-/** Every slot of a decision asks the same report; it is read once. */
+/** Caches the index of each report, which is looked up for every slot. */
 const cachedTiers = new WeakMap<EngineState, Map<string, CacheTier>>();
 
 function mapCachedTiers(engine: EngineState): Map<string, CacheTier> {
@@ -57,14 +57,14 @@
   return tiers;
 }
 
-/** Whether the plan leaves room for a slot outside its own stretches. */
-export function hasPlannedRoom(
+/** Whether a slot fits beside all other planned slots during an interval. */
+export function fitsAlongsidePlan(
   slot: Slot,
   slots: readonly Slot[],
   memoryMib: number,
-  stretch: Pick<MemoryHold, 'fromMs' | 'untilMs'>,
+  interval: Pick<MemoryHold, 'fromMs' | 'untilMs'>,
 ): boolean {
   const others = slots.filter(other => other !== slot).flatMap(listSlotHolds);
-  const peakMib = findPeakMib(others, stretch.fromMs, stretch.untilMs);
+  const peakMib = findPeakMib(others, interval.fromMs, interval.untilMs);
   return peakMib + slot.memoryMib <= memoryMib;
 }
--- a/packages/steward-orders/src/fencing_number.ts
+++ b/packages/steward-orders/src/fencing_number.ts
@@ -1,24 +1,21 @@
 /**
- * Fencing numbers. A number is made of the claim's epoch, the rank of the
- * holder under that claim, and a count of orders. A later claim is above
- * every successor of an earlier one, a successor above the holder before it,
- * and each order above the one before: an engine that refuses old numbers
- * turns down every order that was overtaken on the way.
+ * Fencing numbers, ordered by the epoch of the claim, then by the rank of the
+ * node under that claim, then by a count of orders. An engine that rejects
+ * lower numbers than the last one therefore rejects every outdated order.
  */
 
-/** Rank 0 is the holder itself, 1 to 15 its successors. */
+/** Rank 0 is the controlling node, ranks 1 to 15 are its standbys. */
 const RANKS = 16;
-/** Orders that one holder may send under one claim. */
+/** Maximum number of orders that one node may send under one claim. */
 export const ORDERS_PER_HOLDER = 65_536;
 
-/** The parts of a fencing number. */
 export interface FencingParts {
   epoch: number;
   rank: number;
   orderCount: number;
 }
 
-/** Builds a fencing number; throws a RangeError for parts out of range. */
+/** Throws a RangeError when a part or the resulting number is out of range. */
 export function makeFencingNumber(parts: FencingParts): number {
   const {epoch, rank, orderCount} = parts;
   const isInRange =
@@ -28,7 +25,9 @@
     orderCount < ORDERS_PER_HOLDER;
   const number = (epoch * RANKS + rank) * ORDERS_PER_HOLDER + orderCount;
   if (!isInRange || !Number.isSafeInteger(number)) {
-    throw new RangeError(`No fencing number for ${JSON.stringify(parts)}.`);
+    throw new RangeError(
+      `Fencing number parts out of range: ${JSON.stringify(parts)}.`,
+    );
   }
   return number;
 }
--- a/packages/steward-orders/src/list_loads.ts
+++ b/packages/steward-orders/src/list_loads.ts
@@ -1,68 +1,64 @@
-/** The loads that fit into the memory that an engine has free now. */
+/** Lists the load orders that fit into an engine's free memory. */
 import {type Slot} from '@mimosatack/agreed-state';
 import {type EngineState, type LoadedReplica} from '@mimosatack/types';
 import {formatAdapterSlotId} from './engine_view.js';
 import {type LoadIntent} from './order_intent.js';
 
-/** A slot that should be loaded, and how firmly the plan backs it now. */
-export interface WantedSlot {
+/** A slot whose load is due. */
+export interface SlotToLoad {
   slot: Slot;
-  /** Whether the plan holds memory for the slot at this moment. */
-  isPlannedNow: boolean;
+  /** Whether the plan reserves memory for the slot at this time. */
+  isMemoryPlanned: boolean;
 }
 
-/** The memory of an adapter on top of its base model. */
-export type AdapterMemory = (model: string, adapter: string) => number;
+/** Memory of an adapter in MiB, without its base model. */
+export type FindAdapterMemory = (model: string, adapter: string) => number;
 
-/** What the loads are decided from. */
-export interface LoadInput {
-  wanted: readonly WantedSlot[];
+export interface LoadOrdersInput {
+  wanted: readonly SlotToLoad[];
   engine: EngineState;
-  memoryOfAdapter: AdapterMemory;
-  /** Memory that a late order may still take. */
+  memoryOfAdapter: FindAdapterMemory;
+  /** Memory for orders that may still arrive late. */
   reservedMib: number;
 }
 
 /**
- * Missing parts that fit. Loads that the plan holds memory for come first, in
- * the order of their times. Loads ahead of the plan take only what those do
- * not need, so that they never stand in the way of a planned one.
+ * Loads with reserved memory come first, by load time. Early loads get only the
+ * memory that those leave free, so that an early load never delays a planned
+ * one.
  */
-export function listLoads(input: LoadInput): LoadIntent[] {
+export function listLoadOrders(input: LoadOrdersInput): LoadIntent[] {
   const {engine, memoryOfAdapter} = input;
-  const listFor = (isPlannedNow: boolean) =>
+  const listFor = (isMemoryPlanned: boolean) =>
     input.wanted
-      .filter(want => want.isPlannedNow === isPlannedNow)
+      .filter(want => want.isMemoryPlanned === isMemoryPlanned)
       .map(want => want.slot)
       .toSorted((a, b) => a.loadAtMs - b.loadAtMs)
-      .map(slot => listParts(slot, engine, memoryOfAdapter));
+      .map(slot => listMissingParts(slot, engine, memoryOfAdapter));
   const freeMib =
     engine.memoryMib - sumMib(engine.replicas) - input.reservedMib;
   const planned = listFor(true);
-  const taken = takeFitting(
+  const plannedOrders = selectFitting(
     planned.flatMap(parts => parts.loadable),
     freeMib,
   );
-  const spokenForMib = planned.reduce(
-    (sum, {missingMib}) => sum + missingMib,
-    0,
-  );
-  const ahead = listFor(false).flatMap(parts => parts.loadable);
-  return [...taken, ...takeFitting(ahead, freeMib - spokenForMib)];
+  const plannedMib = planned.reduce((sum, {missingMib}) => sum + missingMib, 0);
+  const earlyLoads = listFor(false).flatMap(parts => parts.loadable);
+  return [...plannedOrders, ...selectFitting(earlyLoads, freeMib - plannedMib)];
 }
 
-interface SlotParts {
-  /** What may be ordered now: adapters wait until their base is warm. */
+interface MissingParts {
+  /** Loads that can be ordered now; adapters require a warm base model. */
   loadable: LoadIntent[];
-  /** The memory of all that is not loaded yet. */
+  /** Memory of all parts that are not loaded yet. */
   missingMib: number;
 }
 
-function listParts(
+function listMissingParts(
   slot: Slot,
   engine: EngineState,
-  memoryOfAdapter: AdapterMemory,
-): SlotParts {
+  memoryOfAdapter: FindAdapterMemory,
+): MissingParts {
   const {model, version, slotId} = slot;
   const present = new Map<string, LoadedReplica>(
     engine.replicas.map(replica => [replica.slotId, replica]),
@@ -97,7 +93,7 @@
   return {loadable: [load], missingMib: sumMib([load, ...adapters])};
 }
 
-function takeFitting(
+function selectFitting(
   intents: readonly LoadIntent[],
   freeMib: number,
 ): LoadIntent[] {
--- a/packages/steward-orders/src/list_unloads.test.ts
+++ b/packages/steward-orders/src/list_unloads.test.ts
@@ -13,8 +13,8 @@
 
 const END_MS = 200_000;
 
-/** Looks every 100 ms until the unload is ordered; null when it never is. */
-function findUnloadMs(parts: Partial<StewardInput>): number | null {
+/** Decides every 100 ms; null if no unload is ordered. */
+function findUnloadDelayMs(parts: Partial<StewardInput>): number | null {
   let {memory} = makeInput();
   for (let nowMs = END_MS; nowMs < END_MS + 120_000; nowMs += 100) {
     const step = decideSteward(makeInput({...parts, memory, nowMs}));
@@ -25,22 +25,21 @@
 }
 
 test('waits for requests that were sent just before the end', () => {
-  // A router with a clock that is a little behind sends a request at the end
-  // of the slot; the engine's report does not show it yet. An unload at once
-  // would cut it off.
+  // Guards against interrupting a request from a router whose clock is behind,
+  // which the engine's report does not show yet.
   const slot = makeSlot();
   const engine = makeEngine({replicas: [makeReplica(slot)]});
-  assert.is(findUnloadMs({slots: [slot], engine}), DRAIN.clockSkewMs);
+  assert.is(findUnloadDelayMs({slots: [slot], engine}), DRAIN.clockSkewMs);
 });
 
-test('waits until routers have learnt of an end in the log', () => {
+test('waits until routers have applied an end from the log', () => {
   const slot = makeSlot({status: 'ending', untilMs: END_MS + 600_000});
   const engine = makeEngine({replicas: [makeReplica(slot)]});
-  assert.is(findUnloadMs({slots: [slot], engine}), DRAIN.foldLagMs);
-  assert.is(findUnloadMs({slots: [], engine}), DRAIN.foldLagMs);
+  assert.is(findUnloadDelayMs({slots: [slot], engine}), DRAIN.foldLagMs);
+  assert.is(findUnloadDelayMs({slots: [], engine}), DRAIN.foldLagMs);
 });
 
-test('waits for what runs on an adapter before it unloads the base', () => {
+test('waits for requests on an adapter before it unloads the base', () => {
   const slot = makeSlot({adapters: ['a']});
   const adapter = makeReplica(slot, {
     slotId: 's1/a',
@@ -49,7 +48,7 @@
   });
   const engine = makeEngine({replicas: [makeReplica(slot), adapter]});
   const nowMs = END_MS + DRAIN.maxRequestMs;
-  assert.is(findUnloadMs({slots: [slot], engine}), DRAIN.maxRequestMs);
+  assert.is(findUnloadDelayMs({slots: [slot], engine}), DRAIN.maxRequestMs);
   const {orders} = decideSteward(
     makeInput({
       slots: [slot],
@@ -67,14 +66,14 @@
   );
 });
 
-test('unloads at once what never served a request', () => {
+test('unloads a slot at once when it has not served requests yet', () => {
   const slot = makeSlot({
     status: 'ending',
     loadAtMs: END_MS + 300_000,
     untilMs: END_MS + 600_000,
   });
   const engine = makeEngine({replicas: [makeReplica(slot)]});
-  assert.is(findUnloadMs({slots: [slot], engine}), 0);
+  assert.is(findUnloadDelayMs({slots: [slot], engine}), 0);
 });
 
 test.run();
--- a/packages/steward-orders/src/list_unloads.ts
+++ b/packages/steward-orders/src/list_unloads.ts
@@ -1,47 +1,45 @@
-/** The unloads that cut off no request. */
+/** Lists the unload orders that interrupt no request. */
 import {type Slot} from '@mimosatack/agreed-state';
 import {type EngineState, type LoadedReplica} from '@mimosatack/types';
 import {readBaseSlotId} from './engine_view.js';
 import {type UnloadIntent} from './order_intent.js';
 
-/** How long an unload waits for requests. */
+/** How long an unload waits for requests in flight. */
 export interface DrainLimits {
-  /** After the planned end: how far the clocks of nodes may differ. */
+  /** Maximum clock difference between nodes; applies after a planned end. */
   clockSkewMs: number;
-  /** After an end that routers learn from the log: how long that may take. */
+  /** Maximum time until routers have applied an end that the log records. */
   foldLagMs: number;
-  /** The longest deadline of a request; nothing waits longer for an answer. */
+  /** The longest request deadline; no caller waits longer for an answer. */
   maxRequestMs: number;
 }
 
-/** What the unloads are decided from. */
-export interface UnloadInput {
+export interface UnloadOrdersInput {
   engine: EngineState;
   slots: readonly Slot[];
-  /** The decided replicas that stay or are being loaded. */
+  /** Planned slots that are to be loaded or kept. */
   wantedIds: ReadonlySet<string>;
-  /** When a decided replica was first seen without being wanted. */
+  /** When each loaded slot was first found to be no longer wanted. */
   unwantedSinceMs: ReadonlyMap<string, number>;
   drain: DrainLimits;
   nowMs: number;
 }
 
-/** The unloads, and the replicas that still wait for theirs. */
-export interface Unloads {
+export interface UnloadOrders {
   orders: UnloadIntent[];
+  /** When each loaded slot was first found to be no longer wanted. */
   unwantedSinceMs: Map<string, number>;
 }
 
 /**
- * Guards against cutting off a request in flight. Routers stop using a slot at
- * its end, but one may have sent a request just before, which the engine's
- * report does not show yet. So an unload waits until routers have surely
- * stopped and then until nothing runs on the base or an adapter; after the
- * longest deadline nobody waits for an answer any more.
+ * Guards against interrupting a request that a router sent just before the end
+ * of a slot and that the engine's report does not show yet. An unload waits
+ * until all routers have stopped using the slot and no request runs on the base
+ * model or an adapter, but not longer than the longest request deadline.
  */
-export function listUnloads(input: UnloadInput): Unloads {
+export function listUnloadOrders(input: UnloadOrdersInput): UnloadOrders {
   const {engine, nowMs} = input;
-  const groups = groupUnwanted(engine, input.wantedIds);
+  const groups = groupUnwantedParts(engine, input.wantedIds);
   const unwantedSinceMs = new Map(
     [...groups.keys()].map(slotId => [
       slotId,
@@ -59,7 +57,7 @@
   return {orders, unwantedSinceMs};
 }
 
-function groupUnwanted(
+function groupUnwantedParts(
   engine: EngineState,
   wantedIds: ReadonlySet<string>,
 ): Map<string, LoadedReplica[]> {
@@ -76,18 +74,21 @@
   slotId: string,
   parts: readonly LoadedReplica[],
   sinceMs: number,
-  input: UnloadInput,
+  input: UnloadOrdersInput,
 ): boolean {
   const {nowMs, drain} = input;
   if (nowMs - sinceMs >= drain.maxRequestMs) return true;
   if (parts.some(part => part.activeRequests > 0)) return false;
   if (parts.every(part => part.status !== 'warm')) return true;
   const slot = input.slots.find(other => other.slotId === slotId);
-  return nowMs - sinceMs >= findSettleMs(slot, input);
+  return nowMs - sinceMs >= findRoutingDelayMs(slot, input);
 }
 
-/** How long routers may still send requests to a slot that has ended. */
-function findSettleMs(slot: Slot | undefined, input: UnloadInput): number {
+/** How long routers may keep sending requests to a slot that has ended. */
+function findRoutingDelayMs(
+  slot: Slot | undefined,
+  input: UnloadOrdersInput,
+): number {
   const {nowMs, drain} = input;
   if (!slot) return drain.foldLagMs;
   if (nowMs < slot.loadAtMs - drain.clockSkewMs) return 0;
--- a/packages/steward-orders/src/load_due.ts
+++ b/packages/steward-orders/src/load_due.ts
@@ -1,28 +1,27 @@
-/** When a decided load must begin so that it is done in time. */
+/** Computes when a planned load must start to finish in time. */
 import {type Slot} from '@mimosatack/agreed-state';
 import {type CacheTier} from '@mimosatack/types';
 
-/** What is known of the loads of one slot now; hints from all engines. */
+/** Current load times of one slot, estimated from the reports of all engines. */
 export interface LoadOutlook {
-  /** When the slot's event starts; null for loads on demand. */
+  /** Start time of the slot's event; null for on-demand loads. */
   startsAtMs: number | null;
-  /** A whole load, adapters too, when the store runs at its usual speed. */
+  /** Load time, with adapters, from the weight store at its usual speed. */
   remoteMs: number;
-  /** A whole load from a near cache, by its tier. */
+  /** Load time, with adapters, from each tier of the engine's cache. */
   nearMs: Record<'memory' | 'disk', number>;
-  /** How many times slower than usual the weight store is now; at least 1. */
+  /** Current slowdown factor of the weight store; at least 1. */
   slowdown: number;
 }
 
 /**
- * The latest time at which the load that stays should begin. It is the
- * planned time unless the plan relied on something that no longer holds:
+ * The latest start time of a slot's final load. This is the planned time unless
+ * an assumption of the plan no longer holds:
  *
- * - the plan counted on the near cache, which has lost the checkpoint since
- *   or moved it to disk;
- * - the weight store is slower than planned. Then the lead of every planned
- *   load is stretched by the same factor, which keeps their order and gives
- *   each as much of the store as the plan did.
+ * - The engine's cache has evicted the checkpoint or moved it to disk.
+ * - The weight store is slower than planned. The lead time of every planned
+ *   load is then scaled by the same factor, which keeps the order of the loads
+ *   and their share of the store's bandwidth.
  */
 export function findLoadDueMs(
   slot: Slot,
@@ -30,7 +29,7 @@
   outlook: LoadOutlook,
 ): number {
   const {startsAtMs, remoteMs, nearMs, slowdown} = outlook;
-  if (isPlannedNear(slot)) {
+  if (isPlannedFromNearCache(slot)) {
     const loadMs = tier === 'remote' ? remoteMs * slowdown : nearMs[tier];
     return slot.loadAtMs - Math.max(0, loadMs - nearMs.memory);
   }
@@ -39,7 +38,7 @@
   return slot.loadAtMs - (Math.max(1, slowdown) - 1) * leadMs;
 }
 
-/** Whether the plan counts on the checkpoint being near at the load. */
-function isPlannedNear(slot: Slot): boolean {
+/** Whether the plan assumes that the engine's cache holds the checkpoint. */
+function isPlannedFromNearCache(slot: Slot): boolean {
   return slot.stage !== null || slot.storeMs === 0;
 }
--- a/packages/steward-orders/src/order_intent.ts
+++ b/packages/steward-orders/src/order_intent.ts
@@ -1,6 +1,4 @@
-/** Orders without their id and fencing number. */
-
-/** An order to load a base model, or an adapter on top of one. */
+/** Loads a base model, or an adapter onto one. */
 export interface LoadIntent {
   order: 'load';
   slotId: string;
@@ -10,11 +8,10 @@
   memoryMib: number;
 }
 
-/** An order to unload a base model or an adapter. */
 export interface UnloadIntent {
   order: 'unload';
   slotId: string;
 }
 
-/** An order without its id and fencing number. */
+/** An order before it is given an id and a fencing number. */
 export type OrderIntent = LoadIntent | UnloadIntent;
--- a/packages/steward-orders/src/steward_loop.test.ts
+++ b/packages/steward-orders/src/steward_loop.test.ts
@@ -39,13 +39,13 @@
     };
   });
 
-interface Run {
+interface RunResult {
   engine: EngineStandIn;
-  cutOff: number;
+  interrupted: number;
 }
 
-/** Steps a steward against an engine that takes whatever it is told. */
-function run(slots: readonly Slot[], slowdown: number): Run {
+/** Runs decisions against an engine that accepts every order. */
+function runSteward(slots: readonly Slot[], slowdown: number): RunResult {
   const clock = new ManualClock();
   const engine = new EngineStandIn(
     {memoryMib: ENGINE_MIB, checksMemory: false, memoryCheckpoints: 1},
@@ -82,11 +82,13 @@
     clock.advance(STEP_MS);
   }
   const {requests} = engine.observe();
-  const cutOff = requests.filter(each => each.outcome === 'cut-off').length;
-  return {engine, cutOff};
+  const interrupted = requests.filter(
+    each => each.outcome === 'cut-off',
+  ).length;
+  return {engine, interrupted};
 }
 
-/** Routers send to slots that serve, and stop at their end. */
+/** Sends one request to each warm slot that has not ended. */
 function sendRequests(
   engine: EngineStandIn,
   slots: readonly Slot[],
@@ -117,25 +119,27 @@
   );
 }
 
-test('never holds more memory than there is, and cuts off nothing', () => {
-  // Whatever is decided, also plans that do not fit together: a load goes out
-  // only into memory that the engine shows as free, and an unload only once
-  // the requests on the replica have ended.
+test('never overcommits memory and interrupts no request', () => {
+  // Guards against loads into occupied memory and unloads of replicas in use,
+  // also for plans whose slots do not fit together.
   fc.assert(
     fc.property(
       fc.array(slotArbitrary, {minLength: 1, maxLength: 6}),
       drawn => {
         const slots = makeSlots(drawn.map(({plan}) => plan));
-        const {engine, cutOff} = run(slots, drawn[0]?.slowdown ?? 1);
+        const {engine, interrupted} = runSteward(
+          slots,
+          drawn[0]?.slowdown ?? 1,
+        );
         assert.equal(engine.observe().overcommits, []);
-        assert.is(cutOff, 0);
+        assert.is(interrupted, 0);
       },
     ),
     {seed: 3, numRuns: 30},
   );
 });
 
-test('loads every slot of a plan that fits, whatever the order', () => {
+test('loads every slot of a plan that fits, in any order', () => {
   fc.assert(
     fc.property(fc.tuple(slotArbitrary, slotArbitrary), drawn => {
       const plans = drawn.map(({plan}) => ({
@@ -143,7 +147,7 @@
         adapters: [],
         memoryMib: MODEL_MIB,
       }));
-      const {engine} = run(makeSlots(plans), 1);
+      const {engine} = runSteward(makeSlots(plans), 1);
       const served = engine.observe().replicas.filter(each => each.warmMs);
       const missing = plans.filter(
         (plan, index) =>
--- a/packages/steward-orders/src/succession.test.ts
+++ b/packages/steward-orders/src/succession.test.ts
@@ -23,16 +23,15 @@
   }).isNeglected;
 }
 
-test('steps in when a due load was not ordered', () => {
-  // The steward dies a second before the start of an event, when the late
-  // loads are due. Its death shows only after some seconds, so without a look
-  // at the engine the event would begin cold.
+test('takes over when a due load was not ordered', () => {
+  // Guards against an event that starts without its model because the
+  // controlling node has crashed and its failure is not detected yet.
   assert.ok(isNeglected({}));
   assert.not(isNeglected({nowMs: DUE_MS + WATCH_PATIENCE_MS - 1}));
   assert.not(isNeglected({rank: 2}));
 });
 
-test('leaves a load alone that is under way or waits for memory', () => {
+test('does not take over while a load is running or waits for memory', () => {
   const slot = makeSlot();
   const replicas = [makeReplica(slot, {status: 'loading'})];
   assert.not(isNeglected({engine: makeEngine({replicas})}));
@@ -40,7 +39,7 @@
   assert.not(isNeglected({engine: makeEngine({memoryMib})}));
 });
 
-test('steps in for adapters that are still missing at the next look', () => {
+test('takes over when an adapter is still missing at the next check', () => {
   const slot = makeSlot({adapters: ['a']});
   const engine = makeEngine({replicas: [makeReplica(slot)]});
   const parts = {slots: [slot], engine};
@@ -48,12 +47,12 @@
   assert.ok(isNeglected({...parts, unfinishedBefore: new Set(['s1'])}));
 });
 
-test('never steps in where the engine would not cut the holder off', () => {
-  // Two stewards would send orders to an engine that takes both.
+test('does not take over an engine that ignores fencing numbers', () => {
+  // Guards against two nodes that both send orders to one engine.
   assert.not(isNeglected({engine: makeEngine({fencing: 'ignores'})}));
 });
 
-test('looks when a load is due, not in between', () => {
+test('checks when a load is due, not in between', () => {
   const slots = [makeSlot()];
   assert.is(findNextWatchMs(slots, 1, 0), DUE_MS + WATCH_PATIENCE_MS);
   assert.is(findNextWatchMs(slots, 1, DUE_MS + 10_000), null);
--- a/packages/steward-orders/src/succession.ts
+++ b/packages/steward-orders/src/succession.ts
@@ -1,48 +1,44 @@
 /**
- * When a successor steps in for the steward that holds an engine. Nodes notice
- * a dead steward only after seconds, which is longer than a late load leaves.
- * So successors look at the engine themselves when a load is due, and carry it
- * out if the engine shows nothing of it.
+ * Decides when a standby node takes over an engine from its controlling node.
+ * Failure detection takes seconds, too long for a load that is due, so standbys
+ * read the engine's state themselves and order a due load that is missing.
  *
- * Only for engines that refuse old fencing numbers: the successor's rank is
- * part of its number, so once it has sent an order the engine turns down
- * whatever the holder sends late. A successor carries decided slots out and
- * decides nothing.
+ * This requires an engine that rejects outdated fencing numbers: the rank is
+ * part of the number, so the engine rejects orders of the controlling node once
+ * it has accepted one from a standby. Standbys execute planned slots only.
  */
 import {type Slot} from '@mimosatack/agreed-state';
 import {type EngineState} from '@mimosatack/types';
-import {listParts} from './engine_view.js';
+import {listLoadedParts} from './engine_view.js';
 
-/** How long each rank leaves a due load to the one before it. */
+/** How long each rank waits for the rank before it to order a due load. */
 export const WATCH_PATIENCE_MS = 300;
 
-/** What a successor looks at. */
 export interface WatchInput {
   slots: readonly Slot[];
   engine: EngineState;
-  /** 1 for the first successor. */
+  /** 1 for the first standby. */
   rank: number;
   nowMs: number;
-  /** Slots that wanted an adapter at the last look already. */
+  /** Slots that lacked an adapter at the previous check. */
   unfinishedBefore: ReadonlySet<string>;
 }
 
-/** What a successor saw. */
 export interface WatchResult {
-  /** Whether the successor should step in now. */
+  /** Whether the standby should take over now. */
   isNeglected: boolean;
-  /** Hand this to the next look. */
+  /** The `unfinishedBefore` of the next check. */
   unfinished: Set<string>;
 }
 
-/** When a successor of this rank should look next; null for never. */
+/** When a standby of this rank should check next; null if no load is ahead. */
 export function findNextWatchMs(
   slots: readonly Slot[],
   rank: number,
   nowMs: number,
 ): number | null {
   const waitMs = rank * WATCH_PATIENCE_MS;
-  const looksMs = slots
+  const checkTimesMs = slots
     .filter(slot => slot.status === 'decided')
     .flatMap(({loadAtMs}) => [
       loadAtMs + waitMs,
@@ -50,10 +46,10 @@
       loadAtMs + 4 * waitMs,
     ])
     .filter(atMs => atMs > nowMs);
-  return looksMs.length === 0 ? null : Math.min(...looksMs);
+  return checkTimesMs.length === 0 ? null : Math.min(...checkTimesMs);
 }
 
-/** Judges whether the holder neglects a load that is due. */
+/** Checks whether the controlling node has failed to order a due load. */
 export function watchEngine(input: WatchInput): WatchResult {
   const {engine, rank, nowMs, unfinishedBefore} = input;
   if (engine.fencing === 'ignores') {
@@ -66,11 +62,11 @@
       nowMs < slot.untilMs,
   );
   const unfinished = due
-    .filter(slot => wantsAdapter(slot, engine))
+    .filter(slot => lacksAdapter(slot, engine))
     .map(slot => slot.slotId);
   const isMissing = due.some(
     slot =>
-      listParts(slot.slotId, engine).length === 0 &&
+      listLoadedParts(slot.slotId, engine).length === 0 &&
       hasFreeMemory(slot, engine),
   );
   return {
@@ -79,14 +75,14 @@
   };
 }
 
-/** Whether a base is warm and an adapter is not even being loaded. */
-function wantsAdapter(slot: Slot, engine: EngineState): boolean {
-  const parts = listParts(slot.slotId, engine);
+/** Whether the base model is warm and the engine does not list an adapter. */
+function lacksAdapter(slot: Slot, engine: EngineState): boolean {
+  const parts = listLoadedParts(slot.slotId, engine);
   const base = parts.find(part => part.slotId === slot.slotId);
   return base?.status === 'warm' && parts.length < 1 + slot.adapters.length;
 }
 
-/** A holder that waits for memory does not neglect the load. */
+/** Guards against a takeover while the load is waiting for memory. */
 function hasFreeMemory(slot: Slot, engine: EngineState): boolean {
   const usedMib = engine.replicas.reduce((sum, r) => sum + r.memoryMib, 0);
   return usedMib + slot.memoryMib <= engine.memoryMib;
--- a/packages/steward-orders/src/test_fixtures.ts
+++ b/packages/steward-orders/src/test_fixtures.ts
@@ -1,4 +1,4 @@
-/** Builds slots, engine states and steward inputs for tests. */
+/** Builds slots, engine states and decision inputs for tests. */
 import {type Slot} from '@mimosatack/agreed-state';
 import {type EngineState, type LoadedReplica} from '@mimosatack/types';
 import {
@@ -15,7 +15,7 @@
   maxRequestMs: 60_000,
 };
 
-/** A slot that is loaded from 100 s to 200 s. */
+/** A slot that is planned to be loaded from 100 s to 200 s. */
 export function makeSlot(parts: Partial<Slot> = {}): Slot {
   return {
     slotId: 's1',
@@ -37,13 +37,13 @@
   };
 }
 
-/** A staged slot: fetched from 10 s to 20 s, loaded from 100 s on. */
+/** A slot that is staged from 10 s to 20 s and loaded from 100 s on. */
 export function makeStagedSlot(parts: Partial<Slot> = {}): Slot {
   const stage = {fromMs: 10_000, untilMs: 20_000};
   return makeSlot({stage, ...parts});
 }
 
-/** A replica of a slot as its engine reports it. */
+/** The loaded base model of a slot as the engine reports it. */
 export function makeReplica(
   slot: Slot,
   parts: Partial<LoadedReplica> = {},
@@ -61,13 +61,12 @@
   };
 }
 
-/** The checkpoint of a slot's base model in the near cache. */
+/** A checkpoint of a slot in the engine's memory cache. */
 export function makeCached(slot: Slot, adapter: string | null = null) {
   const {model, version} = slot;
   return {model, version, adapter, tier: 'memory' as const};
 }
 
-/** An engine's report. */
 export function makeEngine(parts: Partial<EngineState> = {}): EngineState {
   return {
     backendServerId: 'r1',
@@ -89,7 +88,7 @@
   };
 }
 
-/** An input with usual load times and an event that starts at 102 s. */
+/** A decision input with an event that starts at 102 s. */
 export function makeInput(parts: Partial<StewardInput> = {}): StewardInput {
   return {
     slots: [],
@@ -111,7 +110,7 @@
   };
 }
 
-/** The orders of one decision as short texts. */
+/** The orders of one decision, each as `load SLOT` or `unload SLOT`. */
 export function listOrders(parts: Partial<StewardInput>): string[] {
   return decideSteward(makeInput(parts)).orders.map(
     order => `${order.order} ${order.slotId}`,
