--- a/packages/schedule-models/src/adapter_plan.ts
+++ b/packages/schedule-models/src/adapter_plan.ts
@@ -1,7 +1,7 @@
 /** Loads the adapters that waiting requests need. */
 import {type AdapterName, type ModelName} from '@mimosatack/types';
 import {type EngineView} from './engine_view.js';
-import {type LoadedAdapter} from './residency.js';
+import {type LoadedAdapter} from './resident_model.js';
 import {type ScheduledRequest, mayReach} from './scheduled_request.js';
 
 /** One order for an adapter. */
--- a/packages/schedule-models/src/engine_index.test.ts
+++ b/packages/schedule-models/src/engine_index.test.ts
@@ -6,7 +6,7 @@
 import {type EngineView} from './engine_view.js';
 import {EngineViews} from './engine_views.js';
 import {ModelCatalogue} from './model_catalogue.js';
-import {ReadingSpeed} from './reading_speed.js';
+import {ReadingSpeed} from './prefill_speed.js';
 import {makeEngine} from './scheduler_fixture.js';
 
 const test = suite('index of engines by model');
--- a/packages/schedule-models/src/engine_memory.ts
+++ b/packages/schedule-models/src/engine_memory.ts
@@ -5,7 +5,7 @@
   type ModelSpec,
 } from '@mimosatack/types';
 import {type PlannedOrder} from './scheduled_request.js';
-import {type Residency} from './residency.js';
+import {type Residency} from './resident_model.js';
 
 /** What is counted; all of it changes while the engine lives. */
 export interface EngineMemoryContext {
--- a/packages/schedule-models/src/engine_reading.ts
+++ b/packages/schedule-models/src/engine_prefill.ts
@@ -5,7 +5,7 @@
   PromptPacing,
   findPacingLimits,
 } from './prompt_pacing.js';
-import {type ReadingSpeed} from './reading_speed.js';
+import {type ReadingSpeed} from './prefill_speed.js';
 import {type ScheduledRequest} from './scheduled_request.js';
 
 /** Paces prompts by how fast the engine reads, and learns that from answers. */
--- a/packages/schedule-models/src/engine_view.ts
+++ b/packages/schedule-models/src/engine_view.ts
@@ -9,13 +9,13 @@
   compareLives,
 } from '@mimosatack/types';
 import {EngineMemory} from './engine_memory.js';
-import {EngineReading} from './engine_reading.js';
+import {EngineReading} from './engine_prefill.js';
 import {type ModelCatalogue} from './model_catalogue.js';
-import {NearModels, type WeightTier} from './near_models.js';
+import {NearModels, type WeightTier} from './cached_weights.js';
 import {NO_ENGINE} from './no_engine.js';
 import {OrderGate} from './order_gate.js';
-import {type ReadingSpeed} from './reading_speed.js';
-import {Residency} from './residency.js';
+import {type ReadingSpeed} from './prefill_speed.js';
+import {Residency} from './resident_model.js';
 import {
   type EngineReport,
   type OrderOutcome,
--- a/packages/schedule-models/src/engine_views.ts
+++ b/packages/schedule-models/src/engine_views.ts
@@ -6,7 +6,7 @@
 } from '@mimosatack/types';
 import {EngineView} from './engine_view.js';
 import {type ModelCatalogue} from './model_catalogue.js';
-import {type ReadingSpeed} from './reading_speed.js';
+import {type ReadingSpeed} from './prefill_speed.js';
 import {type EngineReport, type PlannedOrder} from './scheduled_request.js';
 
 /** What the views are built from. */
--- a/packages/schedule-models/src/find_refusal.ts
+++ b/packages/schedule-models/src/find_refusal.ts
@@ -1,5 +1,5 @@
 /** Which requests are not worth waiting on, and when to come back. */
-import {findOutlook, type OutlookContext} from './outlook.js';
+import {findOutlook, type OutlookContext} from './start_estimate.js';
 import {
   type RefusalReason,
   type ScheduledRequest,
--- a/packages/schedule-models/src/find_store_load.ts
+++ b/packages/schedule-models/src/find_store_load.ts
@@ -2,10 +2,10 @@
 import {type ModelName, type ServiceName} from '@mimosatack/types';
 import {toModelKey} from './model_key.js';
 import {type EngineView} from './engine_view.js';
-import {type Residency} from './residency.js';
+import {type Residency} from './resident_model.js';
 import {canOrder, findLoss, isIdle} from './swap_options.js';
 import {type SwapChoice, type SwapContext} from './swap_policy.js';
-import {findWantedCopies} from './wanted_copies.js';
+import {findWantedCopies} from './target_copies.js';
 
 /**
  * Requests a second from which a model near no engine is fetched: one request
--- a/packages/schedule-models/src/order_gate.ts
+++ b/packages/schedule-models/src/order_gate.ts
@@ -1,5 +1,5 @@
 /** When orders may go to one engine, and what became of the last one. */
-import {OrdersOnWay} from './orders_on_way.js';
+import {OrdersOnWay} from './in_flight_orders.js';
 import {
   type EngineReport,
   type OrderOutcome,
--- a/packages/schedule-models/src/reading_speed.test.ts
+++ b/packages/schedule-models/src/prefill_speed.test.ts
@@ -1,6 +1,6 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {ReadingSpeed} from './reading_speed.js';
+import {ReadingSpeed} from './prefill_speed.js';
 
 const test = suite('how fast engines read');
 
--- a/packages/schedule-models/src/missed_models.test.ts
+++ b/packages/schedule-models/src/refusal_counts.test.ts
@@ -1,6 +1,6 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {MissedModels} from './missed_models.js';
+import {MissedModels} from './refusal_counts.js';
 
 const test = suite('models that were refused');
 
--- a/packages/schedule-models/src/scheduler.ts
+++ b/packages/schedule-models/src/scheduler.ts
@@ -20,8 +20,8 @@
 import {EngineIndex} from './engine_index.js';
 import {type EngineView} from './engine_view.js';
 import {EngineViews} from './engine_views.js';
-import {HeldBack} from './held_back.js';
-import {MissedModels} from './missed_models.js';
+import {HeldBack} from './deferred_requests.js';
+import {MissedModels} from './refusal_counts.js';
 import {ModelCatalogue} from './model_catalogue.js';
 import {
   type Decision,
@@ -36,7 +36,7 @@
   type SwapContext,
   type SwapPolicy,
 } from './swap_policy.js';
-import {ReadingSpeed} from './reading_speed.js';
+import {ReadingSpeed} from './prefill_speed.js';
 import {makeSwapContext} from './swap_context.js';
 import {groupBatches} from './waiting_batches.js';
 import {WaitingRequests} from './waiting_requests.js';
--- a/packages/schedule-models/src/swap_context.ts
+++ b/packages/schedule-models/src/swap_context.ts
@@ -3,12 +3,12 @@
 import {type DemandRates} from './demand.js';
 import {type EngineIndex} from './engine_index.js';
 import {type EngineView} from './engine_view.js';
-import {type MissedModels} from './missed_models.js';
+import {type MissedModels} from './refusal_counts.js';
 import {type ModelCatalogue} from './model_catalogue.js';
-import {type ReadingSpeed} from './reading_speed.js';
+import {type ReadingSpeed} from './prefill_speed.js';
 import {type StoreLoads} from './store_loads.js';
 import {type SwapContext} from './swap_policy.js';
-import {findWantedCopies} from './wanted_copies.js';
+import {findWantedCopies} from './target_copies.js';
 
 /** What a context reads from. */
 export interface SwapContextSources {
--- a/packages/schedule-models/src/swap_options.ts
+++ b/packages/schedule-models/src/swap_options.ts
@@ -1,7 +1,7 @@
 /** The swaps that are possible now. */
 import {type ServiceName} from '@mimosatack/types';
 import {type EngineView} from './engine_view.js';
-import {type Residency} from './residency.js';
+import {type Residency} from './resident_model.js';
 import {mayReach} from './scheduled_request.js';
 import {type Batch, type SwapChoice, type SwapContext} from './swap_policy.js';
 
--- a/packages/schedule-models/src/swap_policy.ts
+++ b/packages/schedule-models/src/swap_policy.ts
@@ -2,7 +2,7 @@
 import {type ModelName, type ServiceName} from '@mimosatack/types';
 import {type AskedModel} from './demand.js';
 import {type EngineView} from './engine_view.js';
-import {type Residency} from './residency.js';
+import {type Residency} from './resident_model.js';
 import {type ScheduledRequest} from './scheduled_request.js';
 
 /** The requests that wait for one model. */
