--- a/packages/schedule-models/src/adapter_plan.ts
+++ b/packages/schedule-models/src/adapter_plan.ts
@@ -1,10 +1,9 @@
-/** Loads the adapters that waiting requests need. */
+/** Plans load and unload orders for the adapters that waiting requests need. */
 import {type AdapterName, type ModelName} from '@mimosatack/types';
 import {type EngineView} from './engine_view.js';
 import {type LoadedAdapter} from './resident_model.js';
-import {type ScheduledRequest, mayReach} from './scheduled_request.js';
+import {type ScheduledRequest, isEngineAllowed} from './scheduled_request.js';
 
-/** One order for an adapter. */
 export interface AdapterPlan {
   engine: EngineView;
   operation: 'load' | 'unload';
@@ -12,14 +11,14 @@
   adapter: AdapterName;
 }
 
-/** An adapter with the model that it belongs to. */
 interface PlacedAdapter extends LoadedAdapter {
   model: ModelName;
 }
 
 /**
- * The next order towards the adapter of a request; null when it is on its way
- * already, or when no engine that holds the model can take one now.
+ * The next order required to load the adapter of a request. Null if the adapter
+ * is already loaded or loading, or if no engine that holds the model can accept
+ * an order now.
  */
 export function planAdapter(
   request: ScheduledRequest,
@@ -29,17 +28,17 @@
   const {adapter, model} = request;
   if (adapter === null) return null;
   const holders = engines.filter(engine => holdsModel(engine, request, nowMs));
-  const isComing = holders.some(engine =>
+  const isLoading = holders.some(engine =>
     engine.residents.get(model)?.adapters.has(adapter),
   );
-  if (isComing) return null;
-  // An engine that loads a model refuses orders for adapters meanwhile.
-  const able = holders.filter(
-    engine => engine.orders.isOpen(nowMs) && !engine.hasOrderUnderWay(nowMs),
+  if (isLoading) return null;
+  // An engine rejects adapter orders while it loads a model.
+  const available = holders.filter(
+    engine => engine.orders.canSend(nowMs) && !engine.hasOrderInProgress(nowMs),
   );
-  const roomy = able.find(engine => hasPlace(engine, model));
-  if (roomy) return {engine: roomy, operation: 'load', model, adapter};
-  return planEviction(able);
+  const withRoom = available.find(engine => hasRoomForAdapter(engine, model));
+  if (withRoom) return {engine: withRoom, operation: 'load', model, adapter};
+  return planEviction(available);
 }
 
 function holdsModel(
@@ -48,21 +47,21 @@
   nowMs: number,
 ): boolean {
   return (
-    engine.isOpenAt(nowMs) &&
+    engine.acceptsWorkAt(nowMs) &&
     engine.entry.service === request.service &&
-    mayReach(request, engine.id) &&
+    isEngineAllowed(request, engine.id) &&
     engine.residents.get(request.model)?.isReady(nowMs) === true
   );
 }
 
-function hasPlace(engine: EngineView, model: ModelName): boolean {
+function hasRoomForAdapter(engine: EngineView, model: ModelName): boolean {
   return (
     engine.memory.adapterCount < engine.spec.adapterSlots &&
     engine.memory.freeMb >= engine.memory.adapterMb(model)
   );
 }
 
-/** Takes out the idle adapter that was used least lately. */
+/** Unloads the least recently used adapter among the idle ones. */
 function planEviction(engines: readonly EngineView[]): AdapterPlan | null {
   const idle = engines.flatMap(engine =>
     listAdapters(engine)
--- a/packages/schedule-models/src/cached_weights.ts
+++ b/packages/schedule-models/src/cached_weights.ts
@@ -1,11 +1,14 @@
-/** The models whose weights one engine has near. */
+/** The models whose weights an engine caches in host memory or on disk. */
 import {type ModelName, type NearWeights} from '@mimosatack/types';
 
-/** The nearest place where the weights of a model lie, from fast to slow. */
+/**
+ * Where the weights of a model are stored, from the fastest tier to the
+ * slowest.
+ */
 export type WeightTier = 'host-memory' | 'disk' | 'store';
 
-/** What an entry tells of them, looked up by model. */
-export class NearModels {
+/** Indexes the cached weights that an engine's entry lists. */
+export class CachedWeights {
   private readonly inHostMemory: ReadonlySet<ModelName>;
   private readonly all: ReadonlySet<ModelName>;
 
@@ -19,11 +22,11 @@
     return this.all.has(model) ? 'disk' : 'store';
   }
 
-  /** Whether an entry tells the same as the one before. */
-  isSameAs({inHostMemory, onDisk}: NearWeights): boolean {
-    const told = new Set([...inHostMemory, ...onDisk]);
+  /** Whether an entry lists the same cached weights. */
+  matches({inHostMemory, onDisk}: NearWeights): boolean {
+    const reported = new Set([...inHostMemory, ...onDisk]);
     return (
-      told.size === this.all.size &&
+      reported.size === this.all.size &&
       inHostMemory.length === this.inHostMemory.size &&
       inHostMemory.every(model => this.inHostMemory.has(model)) &&
       onDisk.every(model => this.all.has(model))
@@ -34,13 +37,13 @@
     return this.all;
   }
 
-  /** These and others, each once. */
-  listWith(others: Iterable<ModelName>): Set<ModelName> {
+  /** The cached models together with others, without duplicates. */
+  unionWith(others: Iterable<ModelName>): Set<ModelName> {
     return new Set([...this.all, ...others]);
   }
 
-  /** How many models these and others are. */
-  countWith(others: Iterable<ModelName>): number {
+  /** The number of models that `unionWith` would return. */
+  countUnionWith(others: Iterable<ModelName>): number {
     const added = new Set([...others].filter(model => !this.all.has(model)));
     return this.all.size + added.size;
   }
--- a/packages/schedule-models/src/choose_engine.ts
+++ b/packages/schedule-models/src/choose_engine.ts
@@ -1,49 +1,49 @@
-/** Chooses among the engines that hold a model. */
+/** Selects among the engines that hold a model. */
 import {type EngineView} from './engine_view.js';
-import {type ScheduledRequest, mayReach} from './scheduled_request.js';
+import {type ScheduledRequest, isEngineAllowed} from './scheduled_request.js';
 
 /**
- * Up to this share of its places an engine is filled before the next one gets
- * work: a batch of that size runs hardly slower, and engines that stay idle
- * can load other models.
+ * An engine is filled up to this slot utilization before the next one receives
+ * work. A batch of this size is barely slower, and idle engines can load other
+ * models.
  */
-const PACKED_SHARE = 0.3;
+const PACKED_UTILIZATION = 0.3;
 
-/** Whether an engine that fails is left out for a request. */
+/** Whether requests may be sent to an engine that has failed recently. */
 export type IsUsable = (
   engine: EngineView,
   request: ScheduledRequest,
 ) => boolean;
 
-/** Engines that hold what the request needs and have a place for it. */
+/** Engines that hold what the request needs and have a free slot for it. */
 export function listReadyEngines(
   engines: readonly EngineView[],
   request: ScheduledRequest,
   nowMs: number,
 ): EngineView[] {
   return engines.filter(
-    engine => holds(engine, request, nowMs) && engine.hasRoomFor(request),
+    engine => canServe(engine, request, nowMs) && engine.hasRoomFor(request),
   );
 }
 
-/** Whether the engine holds the model with the adapter and may get work. */
-export function holds(
+/** Whether the engine accepts work and has the model and the adapter loaded. */
+export function canServe(
   engine: EngineView,
   request: ScheduledRequest,
   nowMs: number,
 ): boolean {
   const resident = engine.residents.get(request.model);
   return (
-    engine.isOpenAt(nowMs) &&
+    engine.acceptsWorkAt(nowMs) &&
     engine.entry.service === request.service &&
-    mayReach(request, engine.id) &&
+    isEngineAllowed(request, engine.id) &&
     resident !== undefined &&
     resident.isReady(nowMs) &&
     resident.hasAdapter(request.adapter, nowMs)
   );
 }
 
-/** The engine with the least cost; undefined for an empty list. */
+/** The engine with the lowest cost; undefined for an empty list. */
 export function pickEngine(
   engines: readonly EngineView[],
 ): EngineView | undefined {
@@ -54,7 +54,9 @@
   );
 }
 
-/** Falls while an engine is filled up to the packed share, then rises. */
-function findCost({loadShare}: EngineView): number {
-  return loadShare < PACKED_SHARE ? PACKED_SHARE - loadShare : loadShare;
+/** Decreases up to the packed utilization, then increases. */
+function findCost({slotUtilization}: EngineView): number {
+  return slotUtilization < PACKED_UTILIZATION
+    ? PACKED_UTILIZATION - slotUtilization
+    : slotUtilization;
 }
--- a/packages/schedule-models/src/deferred_requests.ts
+++ b/packages/schedule-models/src/deferred_requests.ts
@@ -1,44 +1,46 @@
-/** Requests that wait though an engine holds what they need. */
+/** Requests that are deferred although an engine holds what they need. */
 import {pickEngine} from './choose_engine.js';
 import {type EngineView} from './engine_view.js';
 import {type ScheduledRequest} from './scheduled_request.js';
 
 /**
- * How long a request is held back at most: a batch of eight long prompts is read
- * within it. Where more comes than an engine can read for, streams pause
- * anyway, and a request that waits on serves nobody.
+ * Maximum deferral of a request, long enough for a batch of eight long prompts.
+ * On an overloaded engine streams stall anyway, so a longer delay has no
+ * benefit.
  */
-const MAX_HELD_BACK_MS = 900;
+const MAX_DEFERRAL_MS = 900;
 
-/** Holds requests back until other prompts are read. */
-export class HeldBack {
-  private readonly sinceMs = new Map<string, number>();
+/** Defers requests until the engine has read the prompts sent before. */
+export class DeferredRequests {
+  private readonly deferredSinceMs = new Map<string, number>();
 
   get isEmpty(): boolean {
-    return this.sinceMs.size === 0;
+    return this.deferredSinceMs.size === 0;
   }
 
   has({askId}: ScheduledRequest): boolean {
-    return this.sinceMs.has(askId);
+    return this.deferredSinceMs.has(askId);
   }
 
-  forget(askId: string): void {
-    this.sinceMs.delete(askId);
+  remove(askId: string): void {
+    this.deferredSinceMs.delete(askId);
   }
 
   /**
-   * The engine to send to now; undefined while the request is held back.
+   * The engine to send the request to; undefined while the request is deferred.
    *
-   * @param engines that hold what it needs and have a place for it.
+   * @param engines that hold what the request needs and have a free slot.
    */
   pickEngine(
     request: ScheduledRequest,
     engines: readonly EngineView[],
     nowMs: number,
   ): EngineView | undefined {
-    const sinceMs = this.sinceMs.get(request.askId) ?? nowMs;
-    if (nowMs - sinceMs >= MAX_HELD_BACK_MS) return pickEngine(engines);
-    if (engines.length > 0) this.sinceMs.set(request.askId, sinceMs);
-    return pickEngine(engines.filter(engine => engine.mayRead(request, nowMs)));
+    const sinceMs = this.deferredSinceMs.get(request.askId) ?? nowMs;
+    if (nowMs - sinceMs >= MAX_DEFERRAL_MS) return pickEngine(engines);
+    if (engines.length > 0) this.deferredSinceMs.set(request.askId, sinceMs);
+    return pickEngine(
+      engines.filter(engine => engine.hasPrefillCapacity(request, nowMs)),
+    );
   }
 }
--- a/packages/schedule-models/src/demand.ts
+++ b/packages/schedule-models/src/demand.ts
@@ -1,21 +1,24 @@
-/** How often each model is asked for. */
+/** Tracks the request rate of each model. */
 import {type ModelName, type ServiceName} from '@mimosatack/types';
 import {toModelKey} from './model_key.js';
 import {type ScheduledRequest} from './scheduled_request.js';
 
 /**
- * Requests fade out of the rate with this time constant. Demand moves to other
- * models within some seconds; a shorter time would take a pause between two
- * requests for the end of the demand.
+ * Time constant of the exponential decay of rates. Demand shifts between models
+ * within seconds; a shorter time would treat a short pause as the end of
+ * demand.
  */
-const MEMORY_MS = 8_000;
+const DECAY_TIME_MS = 8_000;
 const MS_PER_SECOND = 1_000;
 
-/** What is asked of one model. */
+/** Decayed request rates of one model. */
 export interface Demand {
   requestsPerSecond: number;
   promptTokensPerSecond: number;
-  /** The longest pause that the last request bears; null for none. */
+  /**
+   * The longest acceptable pause between stream events, as of the last request;
+   * null if it has none.
+   */
   gapMs: number | null;
 }
 
@@ -25,47 +28,47 @@
   gapMs: null,
 };
 
-/** A model with what is asked of it. */
-export interface AskedModel extends Demand {
+export interface ModelDemand extends Demand {
   service: ServiceName;
   model: ModelName;
 }
 
-interface RatedModel extends AskedModel {
+interface StoredDemand extends ModelDemand {
   atMs: number;
 }
 
-/** One request has faded to this after 40 s. */
-const FORGOTTEN_RATE = 0.001;
+/** Models below this rate are dropped; one request decays to it after 40 s. */
+const MIN_RATE = 0.001;
 
-/** Fading rates of requests, by service and model. */
+/** Exponentially decaying request rates, by service and model. */
 export class DemandRates {
-  private readonly rates = new Map<string, RatedModel>();
+  private readonly rates = new Map<string, StoredDemand>();
 
-  note(
+  record(
     {service, model, promptTokens, gapMs}: ScheduledRequest,
     nowMs: number,
   ): void {
-    const faded = this.find(service, model, nowMs);
-    const part = MS_PER_SECOND / MEMORY_MS;
+    const decayed = this.find(service, model, nowMs);
+    const increment = MS_PER_SECOND / DECAY_TIME_MS;
     this.rates.set(toModelKey(service, model), {
       ...{service, model},
-      requestsPerSecond: faded.requestsPerSecond + part,
-      promptTokensPerSecond: faded.promptTokensPerSecond + part * promptTokens,
+      requestsPerSecond: decayed.requestsPerSecond + increment,
+      promptTokensPerSecond:
+        decayed.promptTokensPerSecond + increment * promptTokens,
       gapMs,
       atMs: nowMs,
     });
   }
 
-  /** All that was asked for lately, at its rate now; the rest is forgotten. */
-  listFaded(nowMs: number): AskedModel[] {
-    const asked: AskedModel[] = [];
+  /** All models with recent demand at their current rates. Drops the others. */
+  listCurrent(nowMs: number): ModelDemand[] {
+    const recent: ModelDemand[] = [];
     this.rates.forEach((rate, key) => {
-      const faded = fade(rate, nowMs);
-      if (faded.requestsPerSecond < FORGOTTEN_RATE) this.rates.delete(key);
-      else asked.push({service: rate.service, model: rate.model, ...faded});
+      const decayed = decay(rate, nowMs);
+      if (decayed.requestsPerSecond < MIN_RATE) this.rates.delete(key);
+      else recent.push({service: rate.service, model: rate.model, ...decayed});
     });
-    return asked;
+    return recent;
   }
 
   get modelCount(): number {
@@ -75,12 +78,12 @@
   find(service: ServiceName, model: ModelName, nowMs: number): Demand {
     const rate = this.rates.get(toModelKey(service, model));
     if (!rate) return NO_DEMAND;
-    return fade(rate, nowMs);
+    return decay(rate, nowMs);
   }
 }
 
-function fade({atMs, ...rate}: RatedModel, nowMs: number): Demand {
-  const left = Math.exp((atMs - nowMs) / MEMORY_MS);
+function decay({atMs, ...rate}: StoredDemand, nowMs: number): Demand {
+  const left = Math.exp((atMs - nowMs) / DECAY_TIME_MS);
   return {
     requestsPerSecond: rate.requestsPerSecond * left,
     promptTokensPerSecond: rate.promptTokensPerSecond * left,
--- a/packages/schedule-models/src/engine_health.ts
+++ b/packages/schedule-models/src/engine_health.ts
@@ -1,114 +1,122 @@
-/** Which engines are left out for a while since they fail. */
+/** Excludes engines for a while after they have failed. */
 import {type BackendServerId} from '@mimosatack/types';
 import {type RunResult} from './scheduled_request.js';
 
-/** The first rest of an engine that can't be reached; each next is longer. */
-const FIRST_REST_MS = 400;
-const REST_FACTOR = 2;
-const MAX_REST_MS = 3_200;
-/** Rest of an engine that answers and fails; it may serve some all the same. */
-const FAILING_REST_MS = 2_000;
-/** Share of failures from which an engine counts as failing. */
-const FAILING_SHARE = 0.3;
-/** How much one result counts against those before it. */
-const SHARE_SMOOTHING = 0.25;
-/** This many results at least decide about an engine. */
+/** The first cooldown of an unreachable engine; each further one is longer. */
+const INITIAL_COOLDOWN_MS = 400;
+const COOLDOWN_FACTOR = 2;
+const MAX_COOLDOWN_MS = 3_200;
+/** Cooldown of an engine that responds but fails many requests. */
+const FAILING_COOLDOWN_MS = 2_000;
+/** Failure rate at which an engine counts as failing. */
+const MAX_FAILURE_RATE = 0.3;
+/** Weight of one result in the moving average. */
+const FAILURE_RATE_SMOOTHING = 0.25;
+/** Minimum number of results before an engine can count as failing. */
 const MIN_RESULTS = 3;
-/** Two nodes that lose an engine within this time make it lost for all. */
+/**
+ * Time within which two nodes have to lose an engine for it to count as lost.
+ */
 const AGREEMENT_MS = 1_000;
 
-/** The way from one node to one engine. */
-interface Path {
-  misses: number;
-  missedAtMs: number;
-  restUntilMs: number;
-  failingShare: number;
+/** The health of one engine as one node sees it. */
+interface PathHealth {
+  unreachableCount: number;
+  unreachableAtMs: number;
+  cooldownUntilMs: number;
+  failureRate: number;
   results: number;
 }
 
 /**
- * Guards against work for an engine that is down while its entry still stands
- * in the list, which is for several heartbeats: it has nothing to do then, so
- * it looks like the best choice for everything. An engine may also be out of
- * reach, or fail, for some nodes only, so each node's results count for it;
- * where two nodes agree that it is gone, it rests for all.
+ * Guards against sending work to a crashed engine that is still listed: it is
+ * idle and would therefore be preferred. Results count per node, since an
+ * engine may be unreachable from some nodes only. An engine that two nodes, or
+ * one node twice in a row, cannot reach is excluded for all nodes.
  */
 export class EngineHealth {
-  private readonly engines = new Map<BackendServerId, Map<string, Path>>();
+  private readonly engines = new Map<
+    BackendServerId,
+    Map<string, PathHealth>
+  >();
 
-  note(
+  record(
     id: BackendServerId,
     nodeId: string,
     result: RunResult,
     nowMs: number,
   ): void {
-    const path = this.openPath(id, nodeId);
-    if (result === 'unreachable') return this.noteMiss(path, nowMs);
-    if (result === 'served') return this.noteServed(path);
-    if (result === 'failed') this.noteFailed(path, nowMs);
+    const path = this.getOrAddPath(id, nodeId);
+    if (result === 'unreachable') return this.recordUnreachable(path, nowMs);
+    if (result === 'served') return this.recordSuccess(path);
+    if (result === 'failed') this.recordFailure(path, nowMs);
   }
 
-  /** Whether requests of a node may go to the engine. */
+  /** Whether the node may send requests to the engine. */
   isUsable(id: BackendServerId, nodeId: string, nowMs: number): boolean {
     const paths = this.engines.get(id);
     if (!paths) return true;
     const own = paths.get(nodeId);
-    if (own && own.restUntilMs > nowMs) return false;
+    if (own && own.cooldownUntilMs > nowMs) return false;
     return !this.isLost(id, nowMs);
   }
 
-  /** Whether the engine is gone for all nodes, as far as can be told. */
+  /** Whether the engine counts as unreachable for all nodes. */
   isLost(id: BackendServerId, nowMs: number): boolean {
-    const missing = [...(this.engines.get(id)?.values() ?? [])].filter(
-      ({misses, missedAtMs, restUntilMs}) =>
-        misses > 0 &&
-        restUntilMs > nowMs &&
-        nowMs - missedAtMs < AGREEMENT_MS + MAX_REST_MS,
+    const unreachable = [...(this.engines.get(id)?.values() ?? [])].filter(
+      ({unreachableCount, unreachableAtMs, cooldownUntilMs}) =>
+        unreachableCount > 0 &&
+        cooldownUntilMs > nowMs &&
+        nowMs - unreachableAtMs < AGREEMENT_MS + MAX_COOLDOWN_MS,
+    );
+    return (
+      unreachable.length >= 2 ||
+      unreachable.some(({unreachableCount}) => unreachableCount >= 2)
     );
-    return missing.length >= 2 || missing.some(({misses}) => misses >= 2);
   }
 
-  forget(id: BackendServerId): void {
+  remove(id: BackendServerId): void {
     this.engines.delete(id);
   }
 
-  private noteMiss(path: Path, nowMs: number): void {
-    // Requests that were sent together fail together; they count once.
-    if (path.restUntilMs > nowMs) return;
-    path.misses += 1;
-    path.missedAtMs = nowMs;
-    const restMs = FIRST_REST_MS * REST_FACTOR ** (path.misses - 1);
-    path.restUntilMs = nowMs + Math.min(MAX_REST_MS, restMs);
+  private recordUnreachable(path: PathHealth, nowMs: number): void {
+    // Requests that were sent together and fail together count as one failure.
+    if (path.cooldownUntilMs > nowMs) return;
+    path.unreachableCount += 1;
+    path.unreachableAtMs = nowMs;
+    const cooldownMs =
+      INITIAL_COOLDOWN_MS * COOLDOWN_FACTOR ** (path.unreachableCount - 1);
+    path.cooldownUntilMs = nowMs + Math.min(MAX_COOLDOWN_MS, cooldownMs);
   }
 
-  private noteServed(path: Path): void {
-    path.misses = 0;
-    path.restUntilMs = 0;
-    this.mixIn(path, 0);
+  private recordSuccess(path: PathHealth): void {
+    path.unreachableCount = 0;
+    path.cooldownUntilMs = 0;
+    this.updateFailureRate(path, 0);
   }
 
-  private noteFailed(path: Path, nowMs: number): void {
-    this.mixIn(path, 1);
-    if (path.results >= MIN_RESULTS && path.failingShare >= FAILING_SHARE) {
-      path.restUntilMs = nowMs + FAILING_REST_MS;
+  private recordFailure(path: PathHealth, nowMs: number): void {
+    this.updateFailureRate(path, 1);
+    if (path.results >= MIN_RESULTS && path.failureRate >= MAX_FAILURE_RATE) {
+      path.cooldownUntilMs = nowMs + FAILING_COOLDOWN_MS;
     }
   }
 
-  private mixIn(path: Path, value: number): void {
+  private updateFailureRate(path: PathHealth, value: number): void {
     path.results += 1;
-    path.failingShare += SHARE_SMOOTHING * (value - path.failingShare);
+    path.failureRate += FAILURE_RATE_SMOOTHING * (value - path.failureRate);
   }
 
-  private openPath(id: BackendServerId, nodeId: string): Path {
-    const paths = this.engines.get(id) ?? new Map<string, Path>();
+  private getOrAddPath(id: BackendServerId, nodeId: string): PathHealth {
+    const paths = this.engines.get(id) ?? new Map<string, PathHealth>();
     this.engines.set(id, paths);
     const known = paths.get(nodeId);
     if (known) return known;
-    const added: Path = {
-      misses: 0,
-      missedAtMs: -Infinity,
-      restUntilMs: 0,
-      failingShare: 0,
+    const added: PathHealth = {
+      unreachableCount: 0,
+      unreachableAtMs: -Infinity,
+      cooldownUntilMs: 0,
+      failureRate: 0,
       results: 0,
     };
     paths.set(nodeId, added);
--- a/packages/schedule-models/src/engine_incarnations.test.ts
+++ b/packages/schedule-models/src/engine_incarnations.test.ts
@@ -1,12 +1,12 @@
 import {type BackendServerEntry} from '@mimosatack/types';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {SchedulerPlay, makeEngine} from './scheduler_fixture.js';
+import {SchedulerSimulation, makeEngine} from './scheduler_fixture.js';
 import {type EngineReport} from './scheduled_request.js';
 
-const test = suite('lives of an engine');
+const test = suite('engine incarnations');
 
-const HELD = ['hot', 'warm', 'rare'];
+const RESIDENT = ['hot', 'warm', 'rare'];
 
 function makeReport(change: Partial<EngineReport> = {}): EngineReport {
   return {
@@ -15,130 +15,133 @@
   };
 }
 
-/** An engine that has crashed and started again, as its entries tell. */
-function makeLives(): {old: BackendServerEntry; reborn: BackendServerEntry} {
-  const old = {...makeEngine('e1', HELD), startedAtMs: 1_000};
-  return {old, reborn: {...old, startedAtMs: 9_000, residents: []}};
+/** The entries of an engine before and after a crash and restart. */
+function makeIncarnations(): {
+  old: BackendServerEntry;
+  restarted: BackendServerEntry;
+} {
+  const old = {...makeEngine('e1', RESIDENT), startedAtMs: 1_000};
+  return {old, restarted: {...old, startedAtMs: 9_000, residents: []}};
 }
 
-function listHeld(play: SchedulerPlay): string[] {
-  const [engine] = play.scheduler.listEngines();
+function listResidents(sim: SchedulerSimulation): string[] {
+  const [engine] = sim.scheduler.listEngines();
   return [...(engine?.residents.keys() ?? [])];
 }
 
 /*
- * An engine crashes and starts again under its id. It holds nothing, but its
- * users were sent there for the models of its life before, and each of them was
- * refused. Its orders named the old count, so that none was taken.
+ * Guards against requests and orders that rely on the models and the order
+ * count of an engine before its crash.
  */
-test('a new life holds nothing, runs nothing and counts anew', () => {
-  const {old, reborn} = makeLives();
-  const play = new SchedulerPlay([old]);
-  play.run(1_000, {hot: 5});
-  play.scheduler.putEngine(reborn, 1_000);
-  const [engine] = play.scheduler.listEngines();
-  assert.equal(listHeld(play), []);
+test('a new incarnation starts without models, runs and accepted orders', () => {
+  const {old, restarted} = makeIncarnations();
+  const sim = new SchedulerSimulation([old]);
+  sim.run(1_000, {hot: 5});
+  sim.scheduler.putEngine(restarted, 1_000);
+  const [engine] = sim.scheduler.listEngines();
+  assert.equal(listResidents(sim), []);
   assert.is(engine?.runs.size, 0);
   assert.is(engine?.orders.acceptedCount, 0);
   assert.ok(engine?.orders.needsReport);
 });
 
-test('a report of a new life is enough to know of it', () => {
-  const {old} = makeLives();
-  const play = new SchedulerPlay([old]);
-  play.scheduler.noteReport('e1', makeReport(), 500);
-  assert.equal(listHeld(play), []);
+test('a report of a new incarnation replaces the old state', () => {
+  const {old} = makeIncarnations();
+  const sim = new SchedulerSimulation([old]);
+  sim.scheduler.noteReport('e1', makeReport(), 500);
+  assert.equal(listResidents(sim), []);
 });
 
-test('an old entry does not bring the old life back', () => {
-  const {old, reborn} = makeLives();
-  const play = new SchedulerPlay([old]);
-  play.scheduler.putEngine(reborn, 1_000);
-  play.scheduler.putEngine(old, 1_100);
-  assert.equal(listHeld(play), []);
-  const [engine] = play.scheduler.listEngines();
+test('an outdated entry does not restore the old incarnation', () => {
+  const {old, restarted} = makeIncarnations();
+  const sim = new SchedulerSimulation([old]);
+  sim.scheduler.putEngine(restarted, 1_000);
+  sim.scheduler.putEngine(old, 1_100);
+  assert.equal(listResidents(sim), []);
+  const [engine] = sim.scheduler.listEngines();
   assert.is(engine?.startedAtMs, 9_000);
 });
 
-/* It left before the engine crashed and arrives after the new life is known. */
-test('a late report of the old life changes nothing of the new one', () => {
-  const {old, reborn} = makeLives();
-  const play = new SchedulerPlay([old]);
-  play.scheduler.putEngine(reborn, 1_000);
-  const told = [{model: 'hot', adapters: []}];
+/*
+ * Guards against a report that was sent before the crash and arrives after the
+ * restart.
+ */
+test('a late report of the old incarnation is ignored', () => {
+  const {old, restarted} = makeIncarnations();
+  const sim = new SchedulerSimulation([old]);
+  sim.scheduler.putEngine(restarted, 1_000);
+  const reported = [{model: 'hot', adapters: []}];
   const late = makeReport({
-    ...{startedAtMs: 1_000, orderCount: 7, residents: told},
+    ...{startedAtMs: 1_000, orderCount: 7, residents: reported},
   });
-  play.scheduler.noteReport('e1', late, 1_300);
-  assert.equal(listHeld(play), []);
-  assert.is(play.scheduler.listEngines()[0]?.orders.acceptedCount, 0);
+  sim.scheduler.noteReport('e1', late, 1_300);
+  assert.equal(listResidents(sim), []);
+  assert.is(sim.scheduler.listEngines()[0]?.orders.acceptedCount, 0);
 });
 
-/* The clock of its host was set back while it was down. */
-test('a start that seems earlier is believed when the engine insists', () => {
-  const {old, reborn} = makeLives();
-  const play = new SchedulerPlay([reborn]);
-  play.scheduler.putEngine(old, 1_000);
-  assert.equal(play.scheduler.listUnknown(1_000), ['e1']);
-  const told = [{model: 'warm', adapters: []}];
-  const report = makeReport({startedAtMs: 1_000, residents: told});
-  play.scheduler.noteReport('e1', report, 5_000);
-  assert.equal(listHeld(play), ['warm']);
+/* Guards against ignoring a restarted engine whose host clock was set back. */
+test('an earlier start time is accepted once a report repeats it', () => {
+  const {old, restarted} = makeIncarnations();
+  const sim = new SchedulerSimulation([restarted]);
+  sim.scheduler.putEngine(old, 1_000);
+  assert.equal(sim.scheduler.listUnknown(1_000), ['e1']);
+  const reported = [{model: 'warm', adapters: []}];
+  const report = makeReport({startedAtMs: 1_000, residents: reported});
+  sim.scheduler.noteReport('e1', report, 5_000);
+  assert.equal(listResidents(sim), ['warm']);
 });
 
-test('neither entries nor reports need to tell a start', () => {
-  const play = new SchedulerPlay([makeEngine('e1', HELD)]);
-  play.scheduler.putEngine({...makeEngine('e1', HELD), startedAtMs: 5}, 100);
-  assert.equal(listHeld(play), HELD);
-  const told = HELD.map(model => ({model, adapters: []}));
-  const report = makeReport({startedAtMs: null, residents: told});
-  play.scheduler.noteReport('e1', report, 200);
-  assert.equal(listHeld(play), HELD);
+test('entries and reports may omit the start time', () => {
+  const sim = new SchedulerSimulation([makeEngine('e1', RESIDENT)]);
+  sim.scheduler.putEngine({...makeEngine('e1', RESIDENT), startedAtMs: 5}, 100);
+  assert.equal(listResidents(sim), RESIDENT);
+  const reported = RESIDENT.map(model => ({model, adapters: []}));
+  const report = makeReport({startedAtMs: null, residents: reported});
+  sim.scheduler.noteReport('e1', report, 200);
+  assert.equal(listResidents(sim), RESIDENT);
 });
 
 /*
- * The answer to an order comes after the engine has crashed and begun anew. Taken
- * for the outcome of the order that is under way to the new life, a model would
- * be believed to be there that is not.
+ * Guards against taking the late response to an order of the old incarnation
+ * for the outcome of an order to the new one.
  */
-test('the outcome of an order to the old life says nothing of the new', () => {
-  const {old, reborn} = makeLives();
-  const play = new SchedulerPlay([old]);
+test('the outcome of an order to the old incarnation is ignored', () => {
+  const {old, restarted} = makeIncarnations();
+  const sim = new SchedulerSimulation([old]);
   const order = {
     ...{engineId: 'e1', operation: 'load' as const, model: 'other'},
     ...{adapter: null, expectedCount: 0},
   };
-  play.scheduler.noteOrderSent(order);
-  play.scheduler.putEngine(reborn, 1_000);
-  play.scheduler.noteReport('e1', makeReport(), 1_000);
-  play.scheduler.noteOrderSent({...order, model: 'warm'});
-  play.scheduler.noteOrderOutcome(order, 'accepted', 1_010);
-  assert.equal(listHeld(play), []);
+  sim.scheduler.noteOrderSent(order);
+  sim.scheduler.putEngine(restarted, 1_000);
+  sim.scheduler.noteReport('e1', makeReport(), 1_000);
+  sim.scheduler.noteOrderSent({...order, model: 'warm'});
+  sim.scheduler.noteOrderOutcome(order, 'accepted', 1_010);
+  assert.equal(listResidents(sim), []);
 });
 
 /*
- * An order to load gets no answer, and the engine crashes. Seconds later the
- * order reaches the new life, whose count of orders has come to what it names.
- * With its memory full by then, the engine would crash once more.
+ * Guards against overcommitting memory when a load order for the old
+ * incarnation is executed by the new one.
  */
-test('a place is kept for a load that may still reach the new life', () => {
-  const {old, reborn} = makeLives();
-  const play = new SchedulerPlay([old]);
+test('memory is reserved for a load that may still reach the new incarnation', () => {
+  const {old, restarted} = makeIncarnations();
+  const sim = new SchedulerSimulation([old]);
   const late = {
     ...{engineId: 'e1', operation: 'load' as const, model: 'other'},
     ...{adapter: null, expectedCount: 2},
   };
-  play.scheduler.noteOrderSent(late);
-  play.scheduler.noteOrderOutcome(late, 'unknown', 500);
-  play.scheduler.putEngine(reborn, 1_000);
-  play.scheduler.noteReport('e1', makeReport(), 1_000);
-  const [engine] = play.scheduler.listEngines();
+  sim.scheduler.noteOrderSent(late);
+  sim.scheduler.noteOrderOutcome(late, 'unknown', 500);
+  sim.scheduler.putEngine(restarted, 1_000);
+  sim.scheduler.noteReport('e1', makeReport(), 1_000);
+  const [engine] = sim.scheduler.listEngines();
   const wholeMb = engine?.spec.memoryMb ?? 0;
   assert.is(
     engine?.memory.freeMb,
     wholeMb - (engine?.memory.modelMb('other') ?? 0),
   );
-  play.scheduler.noteReport('e1', makeReport({orderCount: 3}), 9_000);
+  sim.scheduler.noteReport('e1', makeReport({orderCount: 3}), 9_000);
   assert.is(engine?.memory.freeMb, wholeMb);
 });
 
--- a/packages/schedule-models/src/engine_index.test.ts
+++ b/packages/schedule-models/src/engine_index.test.ts
@@ -6,7 +6,7 @@
 import {type EngineView} from './engine_view.js';
 import {EngineViews} from './engine_views.js';
 import {ModelCatalogue} from './model_catalogue.js';
-import {ReadingSpeed} from './prefill_speed.js';
+import {PrefillSpeed} from './prefill_speed.js';
 import {makeEngine} from './scheduler_fixture.js';
 
 const test = suite('index of engines by model');
@@ -38,38 +38,38 @@
   }),
 );
 
-/** Wired as in the scheduler, which forgets holders before it decides. */
+/**
+ * Connected as in the scheduler, which invalidates holders before it decides.
+ */
 function makeIndexed() {
   const views: EngineViews = new EngineViews({
     catalogue: new ModelCatalogue([makeEngineService()]),
-    speed: new ReadingSpeed(),
+    speed: new PrefillSpeed(),
     quietUntilMs: () => -Infinity,
-    onForgotten: () => undefined,
-    onNearChanged: () => index.forgetNear(),
+    onRemoved: () => undefined,
+    onEnginesChanged: () => index.invalidate(),
   });
   const index = new EngineIndex(() => views.list());
   return {views, index};
 }
 
 /*
- * An engine that the index leaves out gets no requests for what it holds, and one
- * that is listed too long is given a load that it has to fetch from the store.
- * Looking at all engines is slow and right; the index has to tell the same after
- * any row of entries, reports, losses and swaps, and in the same order, which
- * settles ties.
+ * Guards against an index that differs from a full scan of the engines, in
+ * content or in order: requests would then be sent to the wrong engines.
  */
-test('it lists what looking at all engines finds', () => {
+test('lists the same engines as a full scan', () => {
   fc.assert(
     fc.property(fc.array(step, {maxLength: 25}), steps => {
       const {views, index} = makeIndexed();
-      const look = (holds: (engine: EngineView, name: string) => boolean) =>
-        MODELS.map(name => views.list().filter(one => holds(one, name)));
+      const filterAll = (
+        holds: (engine: EngineView, name: string) => boolean,
+      ) => MODELS.map(name => views.list().filter(one => holds(one, name)));
       steps.forEach(one => {
         const view = views.get(one.id);
         if (one.kind === 'put') {
           const entry = makeEngine(one.id, one.held, one.near);
           views.put({...entry, startedAtMs: one.startedAtMs}, 0);
-        } else if (one.kind === 'drop') views.drop(one.id);
+        } else if (one.kind === 'drop') views.remove(one.id);
         else if (one.kind === 'swap') {
           if (view) view.swap = {model: one.model, victim: null};
         } else {
@@ -78,21 +78,23 @@
             startedAtMs: view?.startedAtMs ?? null,
             orderCount: 0,
           };
-          views.noteReport(one.id, {...counts, isBusy: false, residents}, 0);
+          views.recordReport(one.id, {...counts, isBusy: false, residents}, 0);
         }
-        index.forgetHolders();
+        index.invalidateHolders();
         const service = makeEngineService().name;
         assert.equal(
-          MODELS.map(name => index.listNear(service, name).map(({id}) => id)),
-          look((engine, name) => engine.findTier(name) !== 'store').map(list =>
-            list.map(({id}) => id),
+          MODELS.map(name =>
+            index.listCaching(service, name).map(({id}) => id),
+          ),
+          filterAll((engine, name) => engine.findTier(name) !== 'store').map(
+            list => list.map(({id}) => id),
           ),
         );
         assert.equal(
           MODELS.map(name =>
             index.listHolders(service, name).map(({id}) => id),
           ),
-          look(
+          filterAll(
             (engine, name) =>
               engine.residents.has(name) || engine.swap?.model === name,
           ).map(list => list.map(({id}) => id)),
--- a/packages/schedule-models/src/engine_index.ts
+++ b/packages/schedule-models/src/engine_index.ts
@@ -1,4 +1,4 @@
-/** Looks engines up by the models that they hold or have near. */
+/** Looks up engines by the models that they hold or cache. */
 import {type ModelName, type ServiceName} from '@mimosatack/types';
 import {type EngineView} from './engine_view.js';
 import {toModelKey} from './model_key.js';
@@ -8,40 +8,37 @@
 const NONE: readonly EngineView[] = [];
 
 /**
- * A model lies near a few engines of many. Found by looking at all of them, each
- * decision costs waiting requests times engines: 8 ms of processor time a request
- * with 82 engines and 688 models.
- *
- * What is held is listed anew for each decision, which costs 0.01 ms for 82
- * engines; what is near only when a heartbeat tells of a change.
+ * Guards against decisions whose cost grows with requests times engines.
+ * Holders are indexed for each decision, cached weights only after an entry has
+ * changed.
  */
 export class EngineIndex {
   private holders: EnginesByModel | null = null;
-  private near: EnginesByModel | null = null;
+  private cachingEngines: EnginesByModel | null = null;
 
-  /** @param listEngines in an order that stays, since it settles ties. */
+  /** @param listEngines in a stable order, which breaks ties. */
   constructor(private readonly listEngines: () => readonly EngineView[]) {}
 
-  /** Engines that hold the model, or make room for it now. */
+  /** Engines that hold the model or have a pending load of it. */
   listHolders(service: ServiceName, model: ModelName): readonly EngineView[] {
-    this.holders ??= this.indexBy(engine => engine.listTaken());
+    this.holders ??= this.indexBy(engine => engine.listResidentAndPending());
     return this.holders.get(toModelKey(service, model)) ?? NONE;
   }
 
-  /** Engines that could load the model without the weight store. */
-  listNear(service: ServiceName, model: ModelName): readonly EngineView[] {
-    this.near ??= this.indexBy(engine => engine.listNear());
-    return this.near.get(toModelKey(service, model)) ?? NONE;
+  /** Engines that can load the model without the weight store. */
+  listCaching(service: ServiceName, model: ModelName): readonly EngineView[] {
+    this.cachingEngines ??= this.indexBy(engine => engine.listCachedModels());
+    return this.cachingEngines.get(toModelKey(service, model)) ?? NONE;
   }
 
-  /** An engine has begun or ended to hold something. */
-  forgetHolders(): void {
+  /** Call after the models that an engine holds have changed. */
+  invalidateHolders(): void {
     this.holders = null;
   }
 
-  /** Engines have come or gone, or have other weights near. */
-  forgetNear(): void {
-    this.near = null;
+  /** Call after engines or their cached weights have changed. */
+  invalidate(): void {
+    this.cachingEngines = null;
     this.holders = null;
   }
 
--- a/packages/schedule-models/src/engine_prefill.ts
+++ b/packages/schedule-models/src/engine_prefill.ts
@@ -1,80 +1,87 @@
-/** The prompts that one engine is given to read. */
+/** Limits the prompts that are sent to one engine. */
 import {type BackendServerId, type ServiceName} from '@mimosatack/types';
 import {
   type PacingLimits,
   PromptPacing,
   findPacingLimits,
 } from './prompt_pacing.js';
-import {type ReadingSpeed} from './prefill_speed.js';
+import {type PrefillSpeed} from './prefill_speed.js';
 import {type ScheduledRequest} from './scheduled_request.js';
 
-/** Paces prompts by how fast the engine reads, and learns that from answers. */
-export class EngineReading {
+/**
+ * Paces prompts by the engine's prefill speed and updates that speed from
+ * responses.
+ */
+export class EnginePrefill {
   private readonly pacing = new PromptPacing();
-  /** Runs whose prompts came when nothing else was being read. */
-  private readonly readAlone = new Set<string>();
-  /** Prompts of the runs that have not ended. */
-  private openTokens = 0;
-  /** How many streams that run here bear which pause. */
-  private readonly gaps = new Map<number, number>();
+  /** Runs whose prompt was sent while no other prompt was being read. */
+  private readonly startedIdle = new Set<string>();
+  /** Prompt tokens of all unfinished runs. */
+  private unfinishedTokens = 0;
+  /** Number of running streams by their longest acceptable pause. */
+  private readonly gapCounts = new Map<number, number>();
 
   constructor(
     private readonly id: BackendServerId,
     private readonly service: ServiceName,
-    private readonly speed: ReadingSpeed,
+    private readonly speed: PrefillSpeed,
   ) {}
 
-  /** Whether reading the prompt would not hold up streams that run. */
-  mayTake(request: ScheduledRequest, nowMs: number): boolean {
+  /** Whether reading the prompt would not stall running streams. */
+  hasCapacity(request: ScheduledRequest, nowMs: number): boolean {
     const limits = this.findLimits(request);
-    return this.pacing.hasRoom(this.findReadingMs(request), limits, nowMs);
+    return this.pacing.hasCapacity(this.findPrefillMs(request), limits, nowMs);
   }
 
-  noteStart(request: ScheduledRequest, nowMs: number): void {
-    if (this.pacing.isIdle(nowMs)) this.readAlone.add(request.askId);
+  recordStart(request: ScheduledRequest, nowMs: number): void {
+    if (this.pacing.isIdle(nowMs)) this.startedIdle.add(request.askId);
     const limits = this.findLimits(request);
-    this.pacing.note(this.findReadingMs(request), limits, nowMs);
-    this.openTokens += request.promptTokens;
-    this.countGap(request, 1);
+    this.pacing.record(this.findPrefillMs(request), limits, nowMs);
+    this.unfinishedTokens += request.promptTokens;
+    this.updateGapCount(request, 1);
   }
 
-  /** @param headMs until the answer began; null if it did not. */
-  noteEnd(
+  /** @param ttfbMs time until the response began; null if it did not. */
+  recordEnd(
     request: ScheduledRequest,
-    headMs: number | null,
+    ttfbMs: number | null,
     nowMs: number,
   ): void {
-    this.countGap(request, -1);
-    this.openTokens -= request.promptTokens;
-    this.learn(request, headMs);
+    this.updateGapCount(request, -1);
+    this.unfinishedTokens -= request.promptTokens;
+    this.updateSpeed(request, ttfbMs);
     const {id, service} = this;
-    const openMs = this.openTokens * this.speed.findMsPerToken(id, service);
-    this.pacing.limitTo(openMs, nowMs);
+    const unfinishedMs =
+      this.unfinishedTokens * this.speed.findMsPerToken(id, service);
+    this.pacing.capPending(unfinishedMs, nowMs);
   }
 
-  private learn(request: ScheduledRequest, headMs: number | null): void {
-    const wasAlone = this.readAlone.delete(request.askId);
-    if (headMs === null) return;
+  private updateSpeed(request: ScheduledRequest, ttfbMs: number | null): void {
+    const wasIdle = this.startedIdle.delete(request.askId);
+    if (ttfbMs === null) return;
     const {id, service} = this;
     const {promptTokens} = request;
-    if (wasAlone) this.speed.note(id, service, promptTokens, headMs);
-    else this.speed.noteAtMost(id, service, promptTokens, headMs);
+    if (wasIdle) this.speed.record(id, service, promptTokens, ttfbMs);
+    else this.speed.recordUpperBound(id, service, promptTokens, ttfbMs);
   }
 
-  /** Of the stream that bears the shortest pause, with the new one. */
+  /**
+   * Limits for the stream with the shortest acceptable pause, including the new
+   * one.
+   */
   private findLimits({gapMs}: ScheduledRequest): PacingLimits {
-    const gaps = [...this.gaps.keys(), ...(gapMs === null ? [] : [gapMs])];
+    const gaps = [...this.gapCounts.keys(), ...(gapMs === null ? [] : [gapMs])];
     return findPacingLimits(gaps.length === 0 ? null : Math.min(...gaps));
   }
 
-  private countGap({gapMs}: ScheduledRequest, change: 1 | -1): void {
+  private updateGapCount({gapMs}: ScheduledRequest, change: 1 | -1): void {
     if (gapMs === null) return;
-    const count = (this.gaps.get(gapMs) ?? 0) + change;
-    if (count > 0) this.gaps.set(gapMs, count);
-    else this.gaps.delete(gapMs);
+    const count = (this.gapCounts.get(gapMs) ?? 0) + change;
+    if (count > 0) this.gapCounts.set(gapMs, count);
+    else this.gapCounts.delete(gapMs);
   }
 
-  private findReadingMs({promptTokens}: ScheduledRequest): number {
+  private findPrefillMs({promptTokens}: ScheduledRequest): number {
     return promptTokens * this.speed.findMsPerToken(this.id, this.service);
   }
 }
--- a/packages/schedule-models/src/engine_replaced.test.ts
+++ b/packages/schedule-models/src/engine_replaced.test.ts
@@ -11,8 +11,10 @@
 
 const test = suite('orders that an engine refuses');
 
-/** Asks for a model that the engine has on its disk; each order ends so. */
-function play(outcome: OrderOutcome, forMs: number) {
+/**
+ * Requests a model that the engine has on disk; all orders have this outcome.
+ */
+function simulate(outcome: OrderOutcome, forMs: number) {
   const scheduler = new ModelScheduler({policy: new BatchWorthPolicy()});
   scheduler.configure([makeEngineService()]);
   const entry = {
@@ -55,22 +57,20 @@
 }
 
 /*
- * An engine crashes and starts again at the same address, under another id. Its
- * old entry stands for some seconds, and the new engine answers for the old one:
- * it tells its state, and refuses orders that name the old one. 48 orders went
- * there within 2 s, while the users' requests waited for their model.
+ * Guards against repeated orders to an engine that was replaced at its address
+ * while its old entry is still listed.
  */
-test('an engine that another has replaced gets no more orders', () => {
-  assert.is(play('replaced', 4_000).orders, 1);
+test('an engine that was replaced receives no more orders', () => {
+  assert.is(simulate('replaced', 4_000).orders, 1);
 });
 
 test('requests do not wait for an engine that was replaced', () => {
-  assert.is(play('replaced', 200).refusals, 1);
+  assert.is(simulate('replaced', 200).refusals, 1);
 });
 
-/* Whatever else it is refused for is not over a moment later. */
+/* Guards against a tight loop of orders that the engine refuses. */
 test('a refused order is not repeated at once', () => {
-  assert.ok(play('refused', 2_000).orders <= 10);
+  assert.ok(simulate('refused', 2_000).orders <= 10);
 });
 
 test.run();
--- a/packages/schedule-models/src/engine_view.ts
+++ b/packages/schedule-models/src/engine_view.ts
@@ -1,4 +1,4 @@
-/** What the scheduler believes of one engine. */
+/** The scheduler's view of one engine. */
 import {
   type AdapterName,
   type BackendServerEntry,
@@ -9,13 +9,13 @@
   compareLives,
 } from '@mimosatack/types';
 import {EngineMemory} from './engine_memory.js';
-import {EngineReading} from './engine_prefill.js';
+import {EnginePrefill} from './engine_prefill.js';
 import {type ModelCatalogue} from './model_catalogue.js';
-import {NearModels, type WeightTier} from './cached_weights.js';
+import {CachedWeights, type WeightTier} from './cached_weights.js';
 import {NO_ENGINE} from './no_engine.js';
 import {OrderGate} from './order_gate.js';
-import {type ReadingSpeed} from './prefill_speed.js';
-import {Residency} from './resident_model.js';
+import {type PrefillSpeed} from './prefill_speed.js';
+import {ResidentModel} from './resident_model.js';
 import {
   type EngineReport,
   type OrderOutcome,
@@ -24,83 +24,83 @@
 } from './scheduled_request.js';
 
 /**
- * A request is sent this long after the load should be over: it is refused
- * while the load still goes on, and timers of both sides are late by some ms.
+ * Delay after the expected end of a load before requests are sent. An engine
+ * rejects requests during a load, and timers on both sides fire late.
  */
 const READY_MARGIN_MS = 15;
-/** An adapter is there after 5 to 10 ms; the load time is not configured. */
+/** Duration of an adapter load, which the configuration does not list. */
 const ADAPTER_LOAD_MS = 15;
-/** After a refusal of a model that should be there, it is tried again then. */
+/** Delay before a model that an engine refused as not ready is tried again. */
 const NOT_READY_DELAY_MS = 40;
 /**
- * An idle model is unloaded 35 to 55 ms after the order, as 400 swaps showed
- * (of one day); a load that is ordered sooner meets a conflict.
+ * Duration of an unload. A load order that is sent earlier meets a conflict.
  */
 const UNLOAD_MS = 46;
 /**
- * The entry of an engine that has ended stands for three heartbeats of 1.2 s;
- * after this time it is asked again, should it live after all.
+ * Time until a replaced engine is queried again; longer than the three
+ * heartbeats of 1.2 s for which its entry stays listed.
  */
-const REPLACED_REST_MS = 5_000;
-/** An engine that several nodes have lost is tried again after this time. */
-const LOST_REST_MS = 1_000;
-/** Share of the memory for requests that is planned with. */
-const USABLE_CACHE = 0.95;
+const REPLACED_COOLDOWN_MS = 5_000;
+/** Time until an engine that counts as lost is tried again. */
+const LOST_COOLDOWN_MS = 1_000;
+/** Fraction of the cache capacity that requests may fill. */
+const USABLE_CACHE_FRACTION = 0.95;
 
 /**
- * An answer that left before the engine ended arrives within the time-out of
- * 400 ms; a report of an earlier life that comes later than this is no such
- * answer: the clock of the engine's host was set back.
+ * Maximum age of a response that an earlier incarnation sent. A later report
+ * with an earlier start time means that the clock of the engine's host was set
+ * back.
  */
-const MAX_ANSWER_AGE_MS = 1_000;
+const MAX_RESPONSE_DELAY_MS = 1_000;
 
-/** What a view is built from beside the entry. */
 export interface EngineViewContext {
   catalogue: ModelCatalogue;
-  speed: ReadingSpeed;
+  speed: PrefillSpeed;
   /** No order may be sent before this time. */
   quietUntilMs: () => number;
-  /** Orders to an earlier life that may still be carried out. */
-  ordersOnWay: readonly PlannedOrder[];
+  /** Orders to an earlier incarnation that may still be executed. */
+  inFlightOrders: readonly PlannedOrder[];
 }
 
-/** What the engine's side of a swap is waiting for. */
+/** A load together with the model that is evicted for it. */
 export interface SwapPlan {
   victim: ModelName | null;
   model: ModelName;
 }
 
-/** One engine: what it holds, what it runs and the order under way. */
+/**
+ * The state of one engine: loaded models, running requests and pending orders.
+ */
 export class EngineView {
-  readonly residents = new Map<ModelName, Residency>();
+  readonly residents = new Map<ModelName, ResidentModel>();
   readonly runs = new Map<string, ScheduledRequest>();
-  /** A model on its way in, with the one that makes room for it. */
+  /** The pending load; null if there is none. */
   swap: SwapPlan | null = null;
-  /** It can't be reached and gets no work before this time. */
-  restUntilMs = 0;
+  /** The engine receives no work before this time. */
+  cooldownUntilMs = 0;
   readonly orders: OrderGate;
   readonly memory: EngineMemory;
-  private near: NearModels;
-  private readonly reading: EngineReading;
+  private cachedWeights: CachedWeights;
+  private readonly prefill: EnginePrefill;
   private readonly catalogue: ModelCatalogue;
   private usedTokens = 0;
 
   constructor(
     public entry: BackendServerEntry,
-    {catalogue, speed, ordersOnWay, quietUntilMs}: EngineViewContext,
-    private readonly knownSinceMs: number,
+    {catalogue, speed, inFlightOrders, quietUntilMs}: EngineViewContext,
+    private readonly createdAtMs: number,
   ) {
     this.catalogue = catalogue;
-    this.near = new NearModels(entry.near);
-    this.orders = new OrderGate(ordersOnWay, quietUntilMs);
+    this.cachedWeights = new CachedWeights(entry.near);
+    this.orders = new OrderGate(inFlightOrders, quietUntilMs);
     this.memory = new EngineMemory({
       spec: () => this.spec,
       findModel: model => this.catalogue.findModel(this.entry.service, model),
       residents: this.residents,
-      listEarlierLoads: () => this.orders.listEarlierLoads(),
+      listLateLoads: () => this.orders.listLateLoads(),
     });
-    this.reading = new EngineReading(entry.id, entry.service, speed);
-    this.takeResidents(entry.residents, knownSinceMs);
+    this.prefill = new EnginePrefill(entry.id, entry.service, speed);
+    this.syncResidents(entry.residents, createdAtMs);
   }
 
   get startedAtMs(): ServerStartMs {
@@ -111,70 +111,69 @@
     return this.entry.id;
   }
 
-  /** What the configuration says of it; nothing fits when it says nothing. */
+  /** The configured spec; without one, a spec into which nothing fits. */
   get spec(): EngineSpec {
     return this.catalogue.findEngine(this.entry.service) ?? NO_ENGINE;
   }
 
-  /** Whether new work may go to it. */
-  isOpenAt(nowMs: number): boolean {
-    return this.entry.state === 'ready' && this.restUntilMs <= nowMs;
+  acceptsWorkAt(nowMs: number): boolean {
+    return this.entry.state === 'ready' && this.cooldownUntilMs <= nowMs;
   }
 
-  /** When requests for a model can begin here; infinite when it is not coming. */
-  readyForAtMs(model: ModelName, nowMs: number): number {
+  /**
+   * When requests for a model can start; infinite if no load of it is pending.
+   */
+  findReadyAtMs(model: ModelName, nowMs: number): number {
     const resident = this.residents.get(model);
-    if (resident && !resident.isLeaving) {
+    if (resident && !resident.isUnloading) {
       return Math.max(nowMs, resident.readyAtMs);
     }
     if (this.swap?.model !== model) return Infinity;
-    return nowMs + this.loadMs(model);
+    return nowMs + this.findLoadMs(model);
   }
 
   /**
-   * Whether the model is on its way in: what it replaces is being unloaded, or
-   * its weights are being loaded. Guards against a second load for the same
-   * requests: an order is accepted at once and carried out for a second or more.
-   * Of the swaps of one day, half were such doubles.
+   * Whether the engine is loading the model or is evicting another one for it.
+   * Guards against a second load for the same requests while the first is
+   * running.
    */
-  isTaking(model: ModelName, nowMs: number): boolean {
+  isAcquiring(model: ModelName, nowMs: number): boolean {
     const resident = this.residents.get(model);
     const isLoading = resident !== undefined && resident.readyAtMs > nowMs;
-    const isOpen = this.isOpenAt(nowMs);
-    return isOpen && (this.swap?.model === model || isLoading);
+    const isAvailable = this.acceptsWorkAt(nowMs);
+    return isAvailable && (this.swap?.model === model || isLoading);
   }
 
-  /** Share of its places that are taken. */
-  get loadShare(): number {
+  /** Fraction of the engine's slots in use. */
+  get slotUtilization(): number {
     return this.runs.size / Math.max(1, this.spec.slots);
   }
 
   /**
-   * Takes a newer entry; of residents, reports tell more and sooner. Returns
-   * whether other weights lie near it now.
+   * Applies a newer entry, except for its resident models, which reports
+   * update earlier. Returns whether the cached weights or the service have changed.
    */
   update(entry: BackendServerEntry): boolean {
     const startedAtMs = entry.startedAtMs ?? this.startedAtMs;
     const hasMoved = entry.service !== this.entry.service;
     this.entry = {...entry, startedAtMs};
-    if (this.near.isSameAs(entry.near)) return hasMoved;
-    this.near = new NearModels(entry.near);
+    if (this.cachedWeights.matches(entry.near)) return hasMoved;
+    this.cachedWeights = new CachedWeights(entry.near);
     return true;
   }
 
-  /** False for the late answer of a life that has ended. */
-  mayBeOfThisLife({startedAtMs}: EngineReport, nowMs: number): boolean {
+  /** False for a late response of an earlier incarnation. */
+  acceptsReport({startedAtMs}: EngineReport, nowMs: number): boolean {
     const order = compareLives(startedAtMs, this.startedAtMs);
-    const isLateAnswer = nowMs - this.knownSinceMs <= MAX_ANSWER_AGE_MS;
-    return order !== 'earlier' || !isLateAnswer;
+    const isLateResponse = nowMs - this.createdAtMs <= MAX_RESPONSE_DELAY_MS;
+    return order !== 'earlier' || !isLateResponse;
   }
 
-  /** Takes the state that the engine told when it was asked. */
-  takeReport(report: EngineReport, nowMs: number): void {
-    if (!this.orders.takeReport(report, nowMs)) return;
-    this.takeResidents(report.residents, nowMs);
+  applyReport(report: EngineReport, nowMs: number): void {
+    if (!this.orders.applyReport(report, nowMs)) return;
+    this.syncResidents(report.residents, nowMs);
     if (report.isBusy) return;
-    this.residents.forEach(resident => (resident.isLeaving = false));
+    this.residents.forEach(resident => (resident.isUnloading = false));
     this.swap = null;
   }
 
@@ -182,36 +181,39 @@
     return (
       this.runs.size < this.spec.slots &&
       this.usedTokens + countTokens(request) <=
-        USABLE_CACHE * this.spec.cacheCapacityTokens
+        USABLE_CACHE_FRACTION * this.spec.cacheCapacityTokens
     );
   }
 
-  /** Whether reading its prompt would not hold up the streams here. */
-  mayRead(request: ScheduledRequest, nowMs: number): boolean {
-    return this.reading.mayTake(request, nowMs);
+  /** Whether reading the prompt would not stall running streams. */
+  hasPrefillCapacity(request: ScheduledRequest, nowMs: number): boolean {
+    return this.prefill.hasCapacity(request, nowMs);
   }
 
-  /** Told twice of a run, it counts it once. */
-  start(request: ScheduledRequest, nowMs: number): void {
+  /** Ignores a run that has already been recorded. */
+  startRun(request: ScheduledRequest, nowMs: number): void {
     if (this.runs.has(request.askId)) return;
     this.runs.set(request.askId, request);
     this.usedTokens += countTokens(request);
-    this.reading.noteStart(request, nowMs);
-    this.residents.get(request.model)?.noteStart(request.adapter, nowMs);
+    this.prefill.recordStart(request, nowMs);
+    this.residents.get(request.model)?.recordStart(request.adapter, nowMs);
   }
 
-  /** @param headMs until the answer began; null if it did not. */
-  end(askId: string, headMs: number | null, nowMs: number): void {
+  /** @param ttfbMs time until the response began; null if it did not. */
+  endRun(askId: string, ttfbMs: number | null, nowMs: number): void {
     const request = this.runs.get(askId);
     if (!request) return;
-    this.reading.noteEnd(request, headMs, nowMs);
+    this.prefill.recordEnd(request, ttfbMs, nowMs);
     this.runs.delete(askId);
     this.usedTokens -= countTokens(request);
-    this.residents.get(request.model)?.noteEnd(request.adapter, nowMs);
+    this.residents.get(request.model)?.recordEnd(request.adapter, nowMs);
   }
 
-  /** The engine said that it does not hold what it was sent a request for. */
-  noteNotHeld(
+  /**
+   * Called when the engine has refused a request because the model or
+   * the adapter is not loaded.
+   */
+  recordMissing(
     model: ModelName,
     adapter: AdapterName | null,
     nowMs: number,
@@ -219,39 +221,38 @@
     const resident = this.residents.get(model);
     if (!resident) return;
     if (adapter !== null) resident.adapters.delete(adapter);
-    else this.noteNotReady(model, nowMs);
+    else this.delayReadiness(model, nowMs);
     this.orders.needsReport = true;
   }
 
-  /** The engine still loads the model, or has no room for the request. */
-  noteNotReady(model: ModelName, nowMs: number): void {
+  /** Called when the engine is still loading the model or has no free slot. */
+  delayReadiness(model: ModelName, nowMs: number): void {
     const resident = this.residents.get(model);
     if (!resident) return;
     const laterMs = nowMs + NOT_READY_DELAY_MS;
     resident.readyAtMs = Math.max(resident.readyAtMs, laterMs);
   }
 
-  /** It can't be reached: it gets no work for a while. */
-  rest(nowMs: number): void {
-    this.restUntilMs = nowMs + LOST_REST_MS;
+  startCooldown(nowMs: number): void {
+    this.cooldownUntilMs = nowMs + LOST_COOLDOWN_MS;
   }
 
   findTier(model: ModelName): WeightTier {
-    return this.near.findTier(model);
+    return this.cachedWeights.findTier(model);
   }
 
-  /** All that it holds, is given, or could load without the weight store. */
-  listReachable(): Set<ModelName> {
-    return this.near.listWith(this.listTaken());
+  /** All models that the engine holds, has a pending load of or caches. */
+  listAvailableModels(): Set<ModelName> {
+    return this.cachedWeights.unionWith(this.listResidentAndPending());
   }
 
-  /** How many models that are. */
-  get reachableCount(): number {
-    return this.near.countWith(this.listTaken());
+  /** The number of models that `listAvailableModels` returns. */
+  get availableModelCount(): number {
+    return this.cachedWeights.countUnionWith(this.listResidentAndPending());
   }
 
-  /** All that it holds or makes room for. */
-  listTaken(): ModelName[] {
+  /** All models that the engine holds or has a pending load of. */
+  listResidentAndPending(): ModelName[] {
     const {swap} = this;
     const held = [...this.residents.keys()];
     return swap && !this.residents.has(swap.model)
@@ -259,69 +260,74 @@
       : held;
   }
 
-  /** All that it could load from its own disk or memory. */
-  listNear(): Iterable<ModelName> {
-    return this.near.list();
+  /** All models that the engine can load without the weight store. */
+  listCachedModels(): Iterable<ModelName> {
+    return this.cachedWeights.list();
   }
 
-  /** Whether the engine is in the middle of loading or unloading a model. */
-  hasOrderUnderWay(nowMs: number): boolean {
+  /** Whether an order is pending or a model is being loaded or unloaded. */
+  hasOrderInProgress(nowMs: number): boolean {
     return (
       this.orders.sent !== null ||
       this.swap !== null ||
       [...this.residents.values()].some(
-        ({isLeaving, readyAtMs}) => isLeaving || readyAtMs > nowMs,
+        ({isUnloading, readyAtMs}) => isUnloading || readyAtMs > nowMs,
       )
     );
   }
 
-  /** The outcome of an order to an earlier life says nothing of this one. */
-  noteOutcome(order: PlannedOrder, outcome: OrderOutcome, nowMs: number): void {
-    if (!this.orders.noteOutcome(order, outcome, nowMs)) return;
-    if (outcome === 'accepted') this.apply(order, nowMs);
-    if (outcome === 'replaced') this.leaveAlone(nowMs);
+  /** Ignores the outcome of an order to an earlier incarnation. */
+  recordOutcome(
+    order: PlannedOrder,
+    outcome: OrderOutcome,
+    nowMs: number,
+  ): void {
+    if (!this.orders.recordOutcome(order, outcome, nowMs)) return;
+    if (outcome === 'accepted') this.applyOrder(order, nowMs);
+    if (outcome === 'replaced') this.markReplaced(nowMs);
   }
 
-  /** The next time at which something changes by itself. */
+  /** The next time at which the state changes without a new event. */
   nextChangeMs(nowMs: number): number {
     const times = [...this.residents.values()].flatMap(resident => [
       resident.readyAtMs,
       ...[...resident.adapters.values()].map(({readyAtMs}) => readyAtMs),
     ]);
-    const later = [...times, this.orders.nextOpenMs].filter(
+    const later = [...times, this.orders.nextOrderMs].filter(
       timeMs => timeMs > nowMs,
     );
     return Math.min(Infinity, ...later);
   }
 
   /**
-   * Guards against orders for an engine that has ended while its entry still
-   * stands: whoever has its address tells a state as if it were that one's.
+   * Guards against orders to an engine that was replaced while its entry is
+   * still listed: the new server at its address answers state queries in its
+   * place.
    */
-  private leaveAlone(nowMs: number): void {
-    this.orders.opensAtMs = nowMs + REPLACED_REST_MS;
-    this.restUntilMs = nowMs + REPLACED_REST_MS;
+  private markReplaced(nowMs: number): void {
+    this.orders.notBeforeMs = nowMs + REPLACED_COOLDOWN_MS;
+    this.cooldownUntilMs = nowMs + REPLACED_COOLDOWN_MS;
     this.swap = null;
   }
 
-  private apply(order: PlannedOrder, nowMs: number): void {
+  private applyOrder(order: PlannedOrder, nowMs: number): void {
     const {operation, model, adapter} = order;
-    if (adapter !== null) return this.applyAdapter(order, nowMs);
+    if (adapter !== null) return this.applyAdapterOrder(order, nowMs);
     if (operation === 'unload') {
       this.residents.delete(model);
-      this.orders.opensAtMs = nowMs + UNLOAD_MS;
+      this.orders.notBeforeMs = nowMs + UNLOAD_MS;
       return;
     }
     const spec = this.catalogue.findModel(this.entry.service, model);
-    const readyAtMs = nowMs + this.loadMs(model) + READY_MARGIN_MS;
+    const readyAtMs = nowMs + this.findLoadMs(model) + READY_MARGIN_MS;
     this.residents.set(
       model,
-      new Residency(model, spec?.memoryMb ?? 0, readyAtMs),
+      new ResidentModel(model, spec?.memoryMb ?? 0, readyAtMs),
     );
     if (this.swap?.model === model) this.swap = null;
   }
 
-  private applyAdapter(
+  private applyAdapterOrder(
     {operation, model, adapter}: PlannedOrder,
     nowMs: number,
   ): void {
@@ -331,7 +337,7 @@
     else resident.addAdapter(adapter, nowMs + ADAPTER_LOAD_MS);
   }
 
-  loadMs(model: ModelName): number {
+  findLoadMs(model: ModelName): number {
     const spec = this.catalogue.findModel(this.entry.service, model);
     if (!spec) return 0;
     const tier = this.findTier(model);
@@ -339,25 +345,29 @@
     return tier === 'disk' ? spec.diskLoadMs : spec.storeLoadMs;
   }
 
-  private takeResidents(
-    told: ReadonlyArray<{model: ModelName; adapters: readonly AdapterName[]}>,
+  private syncResidents(
+    reported: ReadonlyArray<{
+      model: ModelName;
+      adapters: readonly AdapterName[];
+    }>,
     nowMs: number,
   ): void {
-    const names = new Set(told.map(({model}) => model));
+    const names = new Set(reported.map(({model}) => model));
     [...this.residents.keys()]
       .filter(model => !names.has(model))
       .forEach(model => this.residents.delete(model));
-    told.forEach(({model, adapters}) => {
-      const resident = this.residents.get(model) ?? this.addTold(model, nowMs);
+    reported.forEach(({model, adapters}) => {
+      const resident =
+        this.residents.get(model) ?? this.addReported(model, nowMs);
       adapters
         .filter(name => !resident.adapters.has(name))
         .forEach(name => resident.addAdapter(name, nowMs));
     });
   }
 
-  private addTold(model: ModelName, nowMs: number): Residency {
+  private addReported(model: ModelName, nowMs: number): ResidentModel {
     const spec = this.catalogue.findModel(this.entry.service, model);
-    const resident = new Residency(model, spec?.memoryMb ?? 0, nowMs);
+    const resident = new ResidentModel(model, spec?.memoryMb ?? 0, nowMs);
     resident.runs = [...this.runs.values()].filter(
       run => run.model === model,
     ).length;
@@ -366,7 +376,7 @@
   }
 }
 
-/** Memory that a request takes by the end of its run. */
+/** Cache tokens that a request occupies by the end of its run. */
 export function countTokens(request: ScheduledRequest): number {
   return request.promptTokens + request.outputTokens;
 }
--- a/packages/schedule-models/src/engine_views.ts
+++ b/packages/schedule-models/src/engine_views.ts
@@ -1,4 +1,4 @@
-/** The engines that are scheduled for, by their ids. */
+/** Manages the views of all engines, by engine id. */
 import {
   type BackendServerEntry,
   type BackendServerId,
@@ -6,25 +6,26 @@
 } from '@mimosatack/types';
 import {EngineView} from './engine_view.js';
 import {type ModelCatalogue} from './model_catalogue.js';
-import {type ReadingSpeed} from './prefill_speed.js';
+import {type PrefillSpeed} from './prefill_speed.js';
 import {type EngineReport, type PlannedOrder} from './scheduled_request.js';
 
-/** What the views are built from. */
 export interface EngineViewsOptions {
   catalogue: ModelCatalogue;
-  speed: ReadingSpeed;
-  /** No order may go to the engine before this time. */
+  speed: PrefillSpeed;
+  /** No order may be sent to the engine before this time. */
   quietUntilMs: (id: BackendServerId) => number;
-  /** Engines have come or gone, or have other weights near. */
-  onNearChanged: () => void;
-  /** All that is remembered of an engine beside its view is forgotten. */
-  onForgotten: (id: BackendServerId) => void;
+  /**
+   * Called when engines are added or removed or their cached weights change.
+   */
+  onEnginesChanged: () => void;
+  /** Called when a view is removed, to drop all other state of the engine. */
+  onRemoved: (id: BackendServerId) => void;
 }
 
-/** One view for each life of an engine. */
+/** Keeps one view for the current incarnation of each engine. */
 export class EngineViews {
   private readonly views = new Map<BackendServerId, EngineView>();
-  private listed: readonly EngineView[] | null = null;
+  private cachedList: readonly EngineView[] | null = null;
 
   constructor(private readonly options: EngineViewsOptions) {}
 
@@ -33,74 +34,74 @@
   }
 
   list(): readonly EngineView[] {
-    this.listed ??= [...this.views.values()];
-    return this.listed;
+    this.cachedList ??= [...this.views.values()];
+    return this.cachedList;
   }
 
-  /** Takes an entry of an engine, new or changed. */
+  /** Adds an engine or applies its changed entry. */
   put(entry: BackendServerEntry, nowMs: number): void {
-    const known = this.views.get(entry.id);
-    if (!known) {
+    const view = this.views.get(entry.id);
+    if (!view) {
       const {catalogue} = this.options;
-      if (catalogue.findEngine(entry.service)) this.open(entry, [], nowMs);
+      if (catalogue.findEngine(entry.service)) this.addView(entry, [], nowMs);
       return;
     }
-    const order = compareLives(entry.startedAtMs, known.startedAtMs);
+    const order = compareLives(entry.startedAtMs, view.startedAtMs);
     if (order === 'same') {
-      if (known.update(entry)) this.options.onNearChanged();
+      if (view.update(entry)) this.options.onEnginesChanged();
       return;
     }
-    if (order === 'later') return this.beginLife(known, entry, nowMs);
-    // An old entry on a slow way, or a clock that was set back: a report tells.
-    known.orders.needsReport = true;
+    if (order === 'later') return this.startIncarnation(view, entry, nowMs);
+    // The entry is outdated or a clock was set back; a report decides which.
+    view.orders.needsReport = true;
   }
 
-  drop(id: BackendServerId): void {
+  remove(id: BackendServerId): void {
     this.views.delete(id);
-    this.noteChanged();
-    this.options.onForgotten(id);
+    this.invalidateList();
+    this.options.onRemoved(id);
   }
 
-  /** Takes what an engine told when it was asked for its state. */
-  noteReport(id: BackendServerId, report: EngineReport, nowMs: number): void {
-    const known = this.views.get(id);
-    if (!known?.mayBeOfThisLife(report, nowMs)) return;
+  /** Applies the state that an engine reported. */
+  recordReport(id: BackendServerId, report: EngineReport, nowMs: number): void {
+    const view = this.views.get(id);
+    if (!view?.acceptsReport(report, nowMs)) return;
     const {startedAtMs} = report;
-    if (compareLives(startedAtMs, known.startedAtMs) !== 'same') {
-      const entry = {...known.entry, startedAtMs, residents: []};
-      this.beginLife(known, entry, nowMs);
+    if (compareLives(startedAtMs, view.startedAtMs) !== 'same') {
+      const entry = {...view.entry, startedAtMs, residents: []};
+      this.startIncarnation(view, entry, nowMs);
     }
-    this.views.get(id)?.takeReport(report, nowMs);
+    this.views.get(id)?.applyReport(report, nowMs);
   }
 
   /**
-   * Guards against work for what an engine held before it crashed: it starts
-   * again under its id and holds nothing, counts its orders anew, and runs none
-   * of what it ran. Only orders that are still on their way may reach it.
+   * Guards against relying on the state of an engine before its crash: after a
+   * restart it holds no models, runs no requests and counts its orders from
+   * zero. Only orders in flight carry over.
    */
-  private beginLife(
-    known: EngineView,
+  private startIncarnation(
+    view: EngineView,
     entry: BackendServerEntry,
     nowMs: number,
   ): void {
-    this.drop(known.id);
-    this.open(entry, known.orders.listOnWay(), nowMs);
+    this.remove(view.id);
+    this.addView(entry, view.orders.listInFlight(), nowMs);
   }
 
-  private open(
+  private addView(
     entry: BackendServerEntry,
-    ordersOnWay: readonly PlannedOrder[],
+    inFlightOrders: readonly PlannedOrder[],
     nowMs: number,
   ): void {
     const {catalogue, speed, quietUntilMs} = this.options;
     const quiet = () => quietUntilMs(entry.id);
-    const context = {catalogue, speed, ordersOnWay, quietUntilMs: quiet};
+    const context = {catalogue, speed, inFlightOrders, quietUntilMs: quiet};
     this.views.set(entry.id, new EngineView(entry, context, nowMs));
-    this.noteChanged();
+    this.invalidateList();
   }
 
-  private noteChanged(): void {
-    this.listed = null;
-    this.options.onNearChanged();
+  private invalidateList(): void {
+    this.cachedList = null;
+    this.options.onEnginesChanged();
   }
 }
--- a/packages/schedule-models/src/extra_copy.test.ts
+++ b/packages/schedule-models/src/extra_copy.test.ts
@@ -1,8 +1,8 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {SchedulerPlay, makeEngine} from './scheduler_fixture.js';
+import {SchedulerSimulation, makeEngine} from './scheduler_fixture.js';
 
-const test = suite('further copies of a model');
+const test = suite('additional copies of a model');
 
 const ENGINES = [
   makeEngine('e1', ['hot', 'warm']),
@@ -10,26 +10,22 @@
 ];
 
 /*
- * One model is asked for more than a single engine can read prompts for. Its
- * users waited 0.9 s each or saw their streams pause, while the engine beside,
- * which has the weights on its disk, held three models that nobody asked for.
+ * Guards against stalled streams on one engine while another engine that caches
+ * the model holds models without demand.
  */
-test('a model that one engine can not read for is loaded on another', () => {
-  const play = new SchedulerPlay(ENGINES);
-  play.run(4_000, {hot: 40, warm: 1});
-  const [first] = play.loads;
+test('a model that overloads one engine is loaded on another', () => {
+  const sim = new SchedulerSimulation(ENGINES);
+  sim.run(4_000, {hot: 40, warm: 1});
+  const [first] = sim.loads;
   assert.is(first?.engineId, 'e2');
   assert.is(first?.model, 'hot');
 });
 
-/*
- * Copies that demand does not fill take the places of rarer models, whose users
- * are then refused.
- */
-test('a model that one engine can read for stays there', () => {
-  const play = new SchedulerPlay(ENGINES);
-  play.run(4_000, {hot: 8, warm: 1});
-  assert.equal(play.loads, []);
+/* Guards against copies without demand, which evict less popular models. */
+test('a model that one engine can serve is not copied', () => {
+  const sim = new SchedulerSimulation(ENGINES);
+  sim.run(4_000, {hot: 8, warm: 1});
+  assert.equal(sim.loads, []);
 });
 
 test.run();
--- a/packages/schedule-models/src/extra_copy.ts
+++ b/packages/schedule-models/src/extra_copy.ts
@@ -1,5 +1,5 @@
-/** Places further copies of models that are asked for more than can be read. */
-import {findLoss} from './swap_options.js';
+/** Adds copies of models whose demand exceeds the engines that hold them. */
+import {findEvictionLoss} from './swap_options.js';
 import {
   type Batch,
   type SwapChoice,
@@ -8,22 +8,19 @@
 } from './swap_policy.js';
 
 /**
- * Reading that waits for each copy from which another one pays. With 100 in place
- * of 200, ten plays of the scheduling bench give 0.941 in place of 0.936 on the
- * crew's figures, and the same on the others': a swap takes a second, and what
- * waits when it ends is worth it.
+ * Prefill time in the backlog of each copy above which another copy is
+ * worthwhile.
  */
-const BACKLOG_MS = 100;
-/** What makes room must be asked for this much less than the model. */
-const VICTIM_PART = 0.2;
+const MIN_BACKLOG_MS = 100;
+/** Maximum demand of the evicted model, as a fraction of the loaded model's. */
+const MAX_VICTIM_FRACTION = 0.2;
 
 /**
- * Guards against one engine that reads prompts all the time while others are
- * idle: requests for a much wanted model are held back or make streams pause,
- * though its weights lie near other engines too. Only as many copies are made
- * as demand fills, since each takes the place of rarer models.
+ * Guards against one engine that is saturated with prompts while others that
+ * cache the model are idle. The number of copies is limited by demand, since
+ * each copy evicts another model.
  *
- * @param batch requests that are held back.
+ * @param batch requests that are deferred.
  */
 export function chooseExtraCopy(
   batch: Batch,
@@ -32,16 +29,18 @@
 ): SwapChoice | null {
   const {service, model} = batch;
   const copies = context.copiesOf(model);
-  const isEnough = copies >= context.wantedCopiesOf(service, model);
-  if (isEnough && !isBacklog(batch, copies, context)) return null;
+  const isEnough = copies >= context.targetCopiesOf(service, model);
+  if (isEnough && !hasBacklog(batch, copies, context)) return null;
   const choice = policy.choose(batch, context);
   if (!choice) return null;
-  const mayLose = context.rateOf(service, model) * VICTIM_PART;
-  return findLoss(choice, context) <= mayLose ? choice : null;
+  const maxLoss = context.rateOf(service, model) * MAX_VICTIM_FRACTION;
+  return findEvictionLoss(choice, context) <= maxLoss ? choice : null;
 }
 
-/** Rates follow demand that jumps within seconds, what waits shows at once. */
-function isBacklog(
+/**
+ * Covers jumps in demand, which the waiting requests show before the rates do.
+ */
+function hasBacklog(
   {service, requests}: Batch,
   copies: number,
   {msPerPromptToken}: SwapContext,
@@ -50,5 +49,5 @@
     (sum, {promptTokens}) => sum + promptTokens,
     0,
   );
-  return tokens * msPerPromptToken(service) > copies * BACKLOG_MS;
+  return tokens * msPerPromptToken(service) > copies * MIN_BACKLOG_MS;
 }
--- a/packages/schedule-models/src/find_store_load.ts
+++ b/packages/schedule-models/src/find_store_load.ts
@@ -1,152 +1,165 @@
-/** Chooses what is loaded from the weight store, and where. */
+/** Selects the next load from the weight store and the engine for it. */
 import {type ModelName, type ServiceName} from '@mimosatack/types';
 import {toModelKey} from './model_key.js';
 import {type EngineView} from './engine_view.js';
-import {type Residency} from './resident_model.js';
-import {canOrder, findLoss, isIdle} from './swap_options.js';
+import {type ResidentModel} from './resident_model.js';
+import {canOrder, findEvictionLoss, isEvictable} from './swap_options.js';
 import {type SwapChoice, type SwapContext} from './swap_policy.js';
-import {findWantedCopies} from './target_copies.js';
+import {findTargetCopies} from './target_copies.js';
 
 /**
- * Requests a second from which a model near no engine is fetched: one request
- * counts 0.125 at once and this much after 15 s, when its caller has left.
+ * Minimum requests per second for fetching a model that no engine caches. The
+ * rate after one request drops below it within 15 s, when its caller has left.
  */
-const NEEDED_RATE = 0.02;
+const MIN_FETCH_RATE = 0.02;
 /**
- * Requests a second from which a model gets a second copy. At one a second, an
- * engine that is lost for 4 s costs as many requests as the load is worth.
+ * Minimum requests per second for a second copy, which keeps a popular model
+ * available when an engine is lost.
  */
-const SPARE_RATE = 1;
-/** Copies, in accelerator memory or near it, that are enough. */
-const ENOUGH_COPIES = 2;
-/** What makes room for a spare copy must be asked for this much less. */
-const SPARE_VICTIM_PART = 0.1;
-/** The same for a copy of a model that is asked for more than can be read. */
-const OVERLOAD_VICTIM_PART = 0.1;
+const REDUNDANCY_RATE = 1;
+/** Number of copies, loaded or cached, that count as redundant. */
+const REDUNDANT_COPIES = 2;
 /**
- * A load from the store keeps an engine from swapping for some seconds. That
- * costs as much as this many requests a second for each model near it.
+ * Maximum demand of a model evicted for a redundant copy, as a fraction of the
+ * loaded model's.
+ */
+const REDUNDANCY_VICTIM_FRACTION = 0.1;
+/**
+ * Maximum demand of a model evicted for a copy of an overloaded model, as a
+ * fraction of the loaded model's.
+ */
+const OVERLOAD_VICTIM_FRACTION = 0.1;
+/**
+ * Cost, in requests per second for each available model, of blocking the
+ * engine's swaps while it loads from the store.
  */
 const BLOCKED_SWAPS_COST = 0.02;
 
-/** One load from the store. */
 export interface StoreLoad {
   model: ModelName;
   choice: SwapChoice;
 }
 
-/** A model that should lie near more engines than it does. */
-interface Need {
+/** A model that should be loaded or cached on more engines. */
+interface CopyNeed {
   service: ServiceName;
   model: ModelName;
   rate: number;
-  /** Engines that hold it or have its weights near. */
+  /** Number of engines that hold or cache the model. */
   copies: number;
-  /** More would not be used. */
-  wantedCopies: number;
+  /** Number of copies that demand can use. */
+  targetCopies: number;
 }
 
-/** An engine that can be given an order, and what it holds that is idle. */
-interface Taker {
+/** An engine that can accept an order, with its evictable models. */
+interface Candidate {
   engine: EngineView;
   freeMb: number;
-  /** Models that it holds or could load without the store. */
-  near: number;
-  /** Whether that is less than its accelerator memory holds at once. */
-  isNearlyEmpty: boolean;
-  victims: ReadonlyArray<{victim: Residency; memoryMb: number; loss: number}>;
+  /** Number of models that the engine holds or can load without the store. */
+  availableCount: number;
+  /**
+   * Whether `availableCount` is below the capacity of the accelerator memory.
+   */
+  isSparse: boolean;
+  victims: ReadonlyArray<{
+    victim: ResidentModel;
+    memoryMb: number;
+    loss: number;
+  }>;
 }
 
-/** One way to make a load. */
+/** One engine on which a model can be loaded, with its victim. */
 interface LoadOption {
   choice: SwapChoice;
-  taker: Taker;
-  /** Requests a second that would miss the victim. */
+  candidate: Candidate;
+  /** Requests per second that would be affected by the eviction. */
   loss: number;
 }
 
 /**
- * Guards against engines that come up empty while those that held the models
- * go, as when all engines of a service are replaced in turn: a load from the
- * store takes longer than callers wait, so whatever is loaded only when it is
- * asked for comes too late. The models that are asked for most for each copy
- * come first. They take what is free on an engine that has little near it; a
- * model without any copy may also take the place of another one. Null when
- * nothing is needed or the store bears no more.
+ * Guards against empty new engines that load a model only on its first request,
+ * as when all engines of a service are replaced in turn: a load from the store
+ * takes longer than callers wait. Models with the most demand for each copy
+ * come first and use free memory on engines with few available models. A model
+ * without any copy may also evict another one. Null if no load is needed or
+ * possible.
  *
- * @param load `busy` while requests wait for models near engines; spare copies
- *     then turn nothing out.
+ * @param load `busy` while requests wait for cached models; redundant copies
+ *     then evict nothing.
  */
 export function findStoreLoad(
   context: SwapContext,
   load: 'busy' | 'idle',
 ): StoreLoad | null {
-  const takers = listTakers(context);
-  if (takers.length === 0) return null;
-  for (const need of listNeeds(context, takers)) {
-    const choice = chooseEngine(need, takers, load);
+  const candidates = listCandidates(context);
+  if (candidates.length === 0) return null;
+  for (const need of listCopyNeeds(context, candidates)) {
+    const choice = chooseEngine(need, candidates, load);
     if (choice) return {model: need.model, choice};
   }
   return null;
 }
 
-/** The most wanted for each copy first. */
-function listNeeds(context: SwapContext, takers: readonly Taker[]): Need[] {
+/** Sorted by demand for each copy, highest first. */
+function listCopyNeeds(
+  context: SwapContext,
+  candidates: readonly Candidate[],
+): CopyNeed[] {
   const copies = countCopies(context);
   const services = new Set(
     context.engines
       .map(({entry}) => entry.service)
-      .filter(service => context.mayLoadFromStore(service)),
+      .filter(service => context.canLoadFromStore(service)),
   );
-  const scoreOf = ({rate, copies}: Need) => rate / (1 + copies) ** 2;
+  const scoreOf = ({rate, copies}: CopyNeed) => rate / (1 + copies) ** 2;
   return context
-    .listAsked()
+    .listDemand()
     .filter(({service}) => services.has(service))
-    .filter(({requestsPerSecond}) => requestsPerSecond >= NEEDED_RATE)
-    .map(asked => ({
-      ...{service: asked.service, model: asked.model},
-      rate: asked.requestsPerSecond,
-      copies: copies.get(toModelKey(asked.service, asked.model)) ?? 0,
-      wantedCopies: findWantedCopies(
-        asked,
-        context.msPerPromptToken(asked.service),
+    .filter(({requestsPerSecond}) => requestsPerSecond >= MIN_FETCH_RATE)
+    .map(demand => ({
+      ...{service: demand.service, model: demand.model},
+      rate: demand.requestsPerSecond,
+      copies: copies.get(toModelKey(demand.service, demand.model)) ?? 0,
+      targetCopies: findTargetCopies(
+        demand,
+        context.msPerPromptToken(demand.service),
       ),
     }))
-    .filter(need => isShort(need) || hasFreePlace(need, takers))
+    .filter(need => needsCopy(need) || hasFreeMemory(need, candidates))
     .sort((a, b) => scoreOf(b) - scoreOf(a));
 }
 
-/** Whether it would be worth another model's place. */
-function isShort({rate, copies, wantedCopies}: Need): boolean {
-  const isSpare = copies < ENOUGH_COPIES && rate >= SPARE_RATE;
-  return copies === 0 || copies < wantedCopies || isSpare;
+/** Whether a copy is worth evicting another model. */
+function needsCopy({rate, copies, targetCopies}: CopyNeed): boolean {
+  const needsSpare = copies < REDUNDANT_COPIES && rate >= REDUNDANCY_RATE;
+  return copies === 0 || copies < targetCopies || needsSpare;
 }
 
-function hasFreePlace(
-  {service, model}: Need,
-  takers: readonly Taker[],
+function hasFreeMemory(
+  {service, model}: CopyNeed,
+  candidates: readonly Candidate[],
 ): boolean {
-  return takers.some(
+  return candidates.some(
     ({engine, freeMb}) =>
       engine.entry.service === service &&
       freeMb >= engine.memory.modelMb(model),
   );
 }
 
-/** Looked at once for all needs: an engine that can be given an order now. */
-function listTakers(context: SwapContext): Taker[] {
+/** Computed once for all needs. */
+function listCandidates(context: SwapContext): Candidate[] {
   const {engines, nowMs} = context;
   return engines
     .filter(engine => canOrder(engine, engine.entry.service, nowMs))
-    .map(engine => ({engine, near: engine.reachableCount}))
-    .map(({engine, near}) => ({
-      ...{engine, near, freeMb: engine.memory.freeMb},
-      isNearlyEmpty: near < engine.memory.placeCount,
+    .map(engine => ({engine, availableCount: engine.availableModelCount}))
+    .map(({engine, availableCount}) => ({
+      ...{engine, availableCount, freeMb: engine.memory.freeMb},
+      isSparse: availableCount < engine.memory.modelCapacity,
       victims: [...engine.residents.values()]
-        .filter(resident => isIdle(resident, nowMs))
+        .filter(resident => isEvictable(resident, nowMs))
         .map(victim => ({
           ...{victim, memoryMb: engine.memory.memoryOf(victim)},
-          loss: findLoss({engine, victim}, context),
+          loss: findEvictionLoss({engine, victim}, context),
         })),
     }));
 }
@@ -154,9 +167,9 @@
 function countCopies({engines, nowMs}: SwapContext): Map<string, number> {
   const copies = new Map<string, number>();
   engines
-    .filter(engine => engine.isOpenAt(nowMs))
+    .filter(engine => engine.acceptsWorkAt(nowMs))
     .forEach(engine =>
-      engine.listReachable().forEach(model => {
+      engine.listAvailableModels().forEach(model => {
         const key = toModelKey(engine.entry.service, model);
         copies.set(key, (copies.get(key) ?? 0) + 1);
       }),
@@ -165,17 +178,17 @@
 }
 
 function chooseEngine(
-  need: Need,
-  takers: readonly Taker[],
+  need: CopyNeed,
+  candidates: readonly Candidate[],
   load: 'busy' | 'idle',
 ): SwapChoice | null {
-  return takers
-    .filter(taker => canTake(taker, need))
-    .flatMap(taker => listOptions(taker, need))
-    .filter(option => mayLoad(need, option, load))
-    .map(({choice, taker, loss}) => ({
+  return candidates
+    .filter(candidate => canFetch(candidate, need))
+    .flatMap(candidate => listOptions(candidate, need))
+    .filter(option => isWorthwhile(need, option, load))
+    .map(({choice, candidate, loss}) => ({
       choice,
-      cost: loss + BLOCKED_SWAPS_COST * taker.near,
+      cost: loss + BLOCKED_SWAPS_COST * candidate.availableCount,
     }))
     .reduce<{choice: SwapChoice | null; cost: number}>(
       (best, next) => (next.cost < best.cost ? next : best),
@@ -183,7 +196,7 @@
     ).choice;
 }
 
-function canTake({engine}: Taker, {service, model}: Need): boolean {
+function canFetch({engine}: Candidate, {service, model}: CopyNeed): boolean {
   return (
     engine.entry.service === service &&
     !engine.residents.has(model) &&
@@ -191,26 +204,30 @@
   );
 }
 
-/** What the model could take the place of there. */
-function listOptions(taker: Taker, {model}: Need): LoadOption[] {
-  const {engine, freeMb, victims} = taker;
+/**
+ * The ways to load the model on a candidate: into free memory or by eviction.
+ */
+function listOptions(candidate: Candidate, {model}: CopyNeed): LoadOption[] {
+  const {engine, freeMb, victims} = candidate;
   const neededMb = engine.memory.modelMb(model);
   if (freeMb >= neededMb) {
-    return [{choice: {engine, victim: null}, taker, loss: 0}];
+    return [{choice: {engine, victim: null}, candidate, loss: 0}];
   }
   return victims
     .filter(({memoryMb}) => freeMb + memoryMb >= neededMb)
-    .map(({victim, loss}) => ({choice: {engine, victim}, taker, loss}));
+    .map(({victim, loss}) => ({choice: {engine, victim}, candidate, loss}));
 }
 
-function mayLoad(
-  {rate, copies, wantedCopies}: Need,
-  {choice, taker, loss}: LoadOption,
+function isWorthwhile(
+  {rate, copies, targetCopies}: CopyNeed,
+  {choice, candidate, loss}: LoadOption,
   load: 'busy' | 'idle',
 ): boolean {
-  const isSpare = copies < ENOUGH_COPIES && rate >= SPARE_RATE;
-  if (!choice.victim) return taker.isNearlyEmpty || copies === 0 || isSpare;
+  const needsSpare = copies < REDUNDANT_COPIES && rate >= REDUNDANCY_RATE;
+  if (!choice.victim) return candidate.isSparse || copies === 0 || needsSpare;
   if (copies === 0) return loss <= rate;
-  if (copies < wantedCopies) return loss <= rate * OVERLOAD_VICTIM_PART;
-  return isSpare && load === 'idle' && loss <= rate * SPARE_VICTIM_PART;
+  if (copies < targetCopies) return loss <= rate * OVERLOAD_VICTIM_FRACTION;
+  return (
+    needsSpare && load === 'idle' && loss <= rate * REDUNDANCY_VICTIM_FRACTION
+  );
 }
--- a/packages/schedule-models/src/in_flight_orders.ts
+++ b/packages/schedule-models/src/in_flight_orders.ts
@@ -1,40 +1,44 @@
-/** Orders to one engine that got no answer and may still be carried out. */
+/**
+ * Tracks orders to one engine that got no response and may still be executed.
+ */
 import {type PlannedOrder} from './scheduled_request.js';
 
 /**
- * Guards against an engine that takes more than it holds: an order to the life
- * before, which left it without an answer, names a count of orders that the new
- * life reaches again. It is carried out then, and what it loads needs its place.
- * Once the engine has counted past it, it can not be any more.
+ * Guards against overcommitting memory: an unanswered order to the previous
+ * incarnation names an order count that the new incarnation reaches again, and
+ * is executed then. Such an order is void once the engine's count has passed
+ * it.
  */
-export class OrdersOnWay {
+export class InFlightOrders {
   private unanswered: PlannedOrder[] = [];
 
-  /** @param earlier orders to lives that have ended. */
-  constructor(private readonly earlier: readonly PlannedOrder[]) {}
+  /** @param previous orders to earlier incarnations. */
+  constructor(private readonly previous: readonly PlannedOrder[]) {}
 
-  /** An order to this life has got no answer. */
-  noteUnanswered(order: PlannedOrder, orderCount: number): void {
+  recordUnanswered(order: PlannedOrder, orderCount: number): void {
     this.unanswered = [
-      ...this.unanswered.filter(other => isPossible(other, orderCount)),
+      ...this.unanswered.filter(other => mayStillExecute(other, orderCount)),
       order,
     ];
   }
 
-  /** For the next life, with the order that is being sent just now. */
+  /**
+   * Orders that may still reach the next incarnation, including the one being
+   * sent.
+   */
   list(sentOrder: PlannedOrder | null): PlannedOrder[] {
     const sent = sentOrder ? [sentOrder] : [];
-    return [...this.earlier, ...this.unanswered, ...sent];
+    return [...this.previous, ...this.unanswered, ...sent];
   }
 
-  /** Loads that were meant for an earlier life and may come in this one. */
-  listEarlierLoads(orderCount: number): PlannedOrder[] {
-    return this.earlier.filter(
-      order => order.operation === 'load' && isPossible(order, orderCount),
+  /** Loads ordered from an earlier incarnation that may still be executed. */
+  listLateLoads(orderCount: number): PlannedOrder[] {
+    return this.previous.filter(
+      order => order.operation === 'load' && mayStillExecute(order, orderCount),
     );
   }
 }
 
-function isPossible({expectedCount}: PlannedOrder, orderCount: number) {
+function mayStillExecute({expectedCount}: PlannedOrder, orderCount: number) {
   return expectedCount >= orderCount;
 }
--- a/packages/schedule-models/src/model_catalogue.ts
+++ b/packages/schedule-models/src/model_catalogue.ts
@@ -1,4 +1,3 @@
-/** The models of all services, by name. */
 import {
   type AdapterName,
   type EngineSpec,
@@ -10,7 +9,7 @@
 
 const ADAPTER_NAME = /^a(\d+)$/;
 
-/** Looks up what the configuration says of engines and models. */
+/** Looks up the configuration of engines and models. */
 export class ModelCatalogue {
   private readonly engines = new Map<ServiceName, EngineSpec>();
   private readonly models = new Map<ServiceName, Map<ModelName, ModelSpec>>();
@@ -19,7 +18,6 @@
     this.replace(services);
   }
 
-  /** Takes a new configuration in place of the one before. */
   replace(services: readonly ServiceSpec[]): void {
     this.engines.clear();
     this.models.clear();
@@ -47,7 +45,7 @@
     );
   }
 
-  /** Whether a model, and its adapter if one is named, can be loaded at all. */
+  /** Whether the model, and the adapter if one is named, is configured. */
   has(
     service: ServiceName,
     model: ModelName,
--- a/packages/schedule-models/src/model_key.ts
+++ b/packages/schedule-models/src/model_key.ts
@@ -1,4 +1,4 @@
-/** The key of a model in maps; its name is unique within its service alone. */
+/** Map key of a model, whose name is unique only within its service. */
 import {type ModelName, type ServiceName} from '@mimosatack/types';
 
 export function toModelKey(service: ServiceName, model: ModelName): string {
--- a/packages/schedule-models/src/no_engine.ts
+++ b/packages/schedule-models/src/no_engine.ts
@@ -1,6 +1,6 @@
 import {type EngineSpec} from '@mimosatack/types';
 
-/** Of an engine that no configuration knows: nothing fits. */
+/** Spec of an engine without configuration, into which nothing fits. */
 export const NO_ENGINE: EngineSpec = {
   slots: 0,
   cacheCapacityTokens: 0,
--- a/packages/schedule-models/src/policies.ts
+++ b/packages/schedule-models/src/policies.ts
@@ -1,6 +1,6 @@
-/** The policies for swaps, from the plainest to the one in use. */
+/** Swap policies. */
 import {findWorthAt} from './request_worth.js';
-import {findLoss, listNearSwaps} from './swap_options.js';
+import {findEvictionLoss, listCachedSwaps} from './swap_options.js';
 import {
   type Batch,
   type SwapChoice,
@@ -10,7 +10,7 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Serves only what is loaded; a baseline. */
+/** Serves only loaded models; a baseline. */
 export class ResidentOnlyPolicy implements SwapPolicy {
   readonly name = 'resident-only';
 
@@ -23,24 +23,28 @@
   }
 }
 
-/** Loads for whoever waits longest, in place of what was used least lately. */
+/**
+ * Loads the model of the oldest request and evicts the least recently used one.
+ */
 export class FirstComePolicy implements SwapPolicy {
   readonly name = 'first-come';
 
   rank(batches: readonly Batch[]): Batch[] {
-    return [...batches].sort((a, b) => arrivalOf(a) - arrivalOf(b));
+    return [...batches].sort((a, b) => findArrivalMs(a) - findArrivalMs(b));
   }
 
   choose(batch: Batch, context: SwapContext): SwapChoice | null {
-    const choices = listNearSwaps(batch, context);
-    return takeLeast(choices, ({victim}) => victim?.lastUsedAtMs ?? -Infinity);
+    const choices = listCachedSwaps(batch, context);
+    return pickCheapest(
+      choices,
+      ({victim}) => victim?.lastUsedAtMs ?? -Infinity,
+    );
   }
 }
 
 /**
- * Loads for the batch that is worth most for the time that its load takes, in
- * place of what will be missed least. Against first come it serves urgent and
- * larger requests first when places are short.
+ * Loads for the batch with the highest worth and evicts the model with the
+ * least demand. Unlike `FirstComePolicy`, it prefers urgent and large requests.
  */
 export class BatchWorthPolicy implements SwapPolicy {
   readonly name = 'batch-worth';
@@ -54,53 +58,54 @@
   }
 
   choose(batch: Batch, context: SwapContext): SwapChoice | null {
-    const choices = listNearSwaps(batch, context);
-    return takeLeast(choices, choice => findCost(choice, batch, context));
+    const choices = listCachedSwaps(batch, context);
+    return pickCheapest(choices, choice => findCost(choice, batch, context));
   }
 }
 
-/** The cost of a place that runs much: its runs are slower. */
-const LOAD_SHARE_COST_MS = 400;
-/** How long a victim is missed: until the next swap can bring it back. */
-const MISSED_MS = 1_000;
+/** Cost of a fully utilized engine, whose runs are slower. */
+const UTILIZATION_COST_MS = 400;
+/** Time for which an evicted model is unavailable: until the next swap. */
+const EVICTION_COST_MS = 1_000;
 
-/** In milliseconds: the load, the crowd, and what the victim will be missed. */
+/**
+ * In milliseconds: the load time, the engine's utilization and the eviction.
+ */
 function findCost(
   {engine, victim}: SwapChoice,
   batch: Batch,
   context: SwapContext,
 ): number {
   return (
-    engine.loadMs(batch.model) +
-    engine.loadShare * LOAD_SHARE_COST_MS +
-    findLoss({engine, victim}, context) * MISSED_MS
+    engine.findLoadMs(batch.model) +
+    engine.slotUtilization * UTILIZATION_COST_MS +
+    findEvictionLoss({engine, victim}, context) * EVICTION_COST_MS
   );
 }
 
 /**
- * How much each refusal of a model adds to the worth of its next batch. With 1
- * no model starves in a threefold burst at eight seeds, and 314 requests are
- * refused in place of 436; 3 changes little (40 plays of the scheduling bench).
+ * Weight of each recent refusal of a model in the worth of its next batch.
+ * Guards against a model that is never served during a burst.
  */
-const MISS_WEIGHT = 1;
+const REFUSAL_WEIGHT = 1;
 
 function findBatchWorth(
   {service, model, requests}: Batch,
-  {nowMs, missesOf}: SwapContext,
+  {nowMs, refusalsOf}: SwapContext,
 ): number {
   const beginsAtMs = nowMs + MS_PER_SECOND;
   const worth = requests.reduce(
     (sum, request) => sum + findWorthAt(request, beginsAtMs),
     0,
   );
-  return worth * (1 + MISS_WEIGHT * missesOf(service, model));
+  return worth * (1 + REFUSAL_WEIGHT * refusalsOf(service, model));
 }
 
-function arrivalOf({requests}: Batch): number {
+function findArrivalMs({requests}: Batch): number {
   return requests[0]?.arrivedAtMs ?? Infinity;
 }
 
-function takeLeast(
+function pickCheapest(
   choices: readonly SwapChoice[],
   costOf: (choice: SwapChoice) => number,
 ): SwapChoice | null {
--- a/packages/schedule-models/src/prefill_speed.test.ts
+++ b/packages/schedule-models/src/prefill_speed.test.ts
@@ -1,15 +1,15 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {ReadingSpeed} from './prefill_speed.js';
+import {PrefillSpeed} from './prefill_speed.js';
 
-const test = suite('how fast engines read');
+const test = suite('prefill speed');
 
-function noteMany(speed: ReadingSpeed, id: string, headMs: number): void {
-  Array.from({length: 60}, () => speed.note(id, 's', 1_000, headMs));
+function noteMany(speed: PrefillSpeed, id: string, ttfbMs: number): void {
+  Array.from({length: 60}, () => speed.record(id, 's', 1_000, ttfbMs));
 }
 
-test('the speed of each engine is learnt, and that of all together', () => {
-  const speed = new ReadingSpeed();
+test('estimates the speed of each engine and of the service', () => {
+  const speed = new PrefillSpeed();
   noteMany(speed, 'fast', 27);
   noteMany(speed, 'slow', 207);
   assert.ok(Math.abs(speed.findMsPerToken('fast', 's') - 0.02) < 0.001);
@@ -19,20 +19,17 @@
   assert.ok(Math.abs(speed.findMsPerToken('new', 'other') - 1 / 29.4) < 0.001);
 });
 
-/*
- * One answer comes after seconds, since the engine had stalled. The engine must
- * not be taken for a slow one for that.
- */
-test('one late answer hardly counts', () => {
-  const speed = new ReadingSpeed();
+/* Guards against treating an engine as slow after a single stalled response. */
+test('one late response hardly changes the estimate', () => {
+  const speed = new PrefillSpeed();
   noteMany(speed, 'e1', 37);
-  speed.note('e1', 's', 1_000, 9_000);
+  speed.record('e1', 's', 1_000, 9_000);
   assert.ok(speed.findMsPerToken('e1', 's') < 0.05);
 });
 
-test('short prompts and impossible times teach nothing wrong', () => {
-  const speed = new ReadingSpeed();
-  speed.note('e1', 's', 10, 500);
+test('short prompts and implausible times do not distort the estimate', () => {
+  const speed = new PrefillSpeed();
+  speed.record('e1', 's', 10, 500);
   assert.is(speed.findMsPerToken('e1', 's'), 1 / 29.4);
   noteMany(speed, 'e1', 0);
   assert.is(speed.findMsPerToken('e1', 's'), 1 / 60);
--- a/packages/schedule-models/src/prompt_pacing.test.ts
+++ b/packages/schedule-models/src/prompt_pacing.test.ts
@@ -10,7 +10,7 @@
 import {type ScheduledRequest} from './scheduled_request.js';
 import {ModelScheduler} from './scheduler.js';
 
-const test = suite('pacing of prompts');
+const test = suite('prompt pacing');
 
 function makeRequest(askId: string, promptTokens: number): ScheduledRequest {
   return {
@@ -32,7 +32,7 @@
   };
 }
 
-/** When each of some equal requests is assigned, looked at every 5 ms. */
+/** The assignment times of equal requests, decided every 5 ms. */
 function listAssignments(
   servers: readonly string[],
   count: number,
@@ -63,11 +63,10 @@
 }
 
 /*
- * Eight requests have waited for a model that is ready now. Sent together, their
- * prompts take 640 ms to read, and every stream on the engine pauses for that
- * long: a stream that pauses for 300 ms is late.
+ * Guards against streams that stall because the prompts of a whole batch are
+ * sent to the engine at once.
  */
-test('a batch that waited is given in portions', () => {
+test('a waiting batch is sent in portions', () => {
   const assigned = listAssignments(['e1'], 8, 2_368);
   assert.is(assigned.length, 8);
   const longestPauseMs = 300;
@@ -75,17 +74,13 @@
     const together = assigned.filter(
       other => other.atMs >= atMs && other.atMs < atMs + longestPauseMs,
     );
-    const readingMs = (together.length * 2_368) / 29.4;
-    assert.ok(readingMs < longestPauseMs, `${readingMs} ms from ${atMs}`);
+    const prefillMs = (together.length * 2_368) / 29.4;
+    assert.ok(prefillMs < longestPauseMs, `${prefillMs} ms from ${atMs}`);
   });
 });
 
-/*
- * Demand moves to a model that one engine holds. Its streams bear pauses of
- * 600 ms, but prompts were given as if they bore 300: half of the users got
- * their first word after their objective of 500 ms, for nobody's good.
- */
-test('streams that bear longer pauses are paced less', () => {
+/* Guards against late first events where streams tolerate longer pauses. */
+test('streams that tolerate longer pauses are paced less', () => {
   const lastOf = (gapMs: number) =>
     Math.max(
       ...listAssignments(['e1'], 20, 646, 8_000, gapMs).map(({atMs}) => atMs),
@@ -94,17 +89,17 @@
   assert.ok(lastOf(600) <= 480, `${lastOf(600)}`);
 });
 
-test('the longest pause stays below what streams bear', () => {
+test('the longest pause stays below the acceptable pause', () => {
   const eventMs = 30;
   [100, 300, 600, 1_000].forEach(gapMs => {
-    const {atOnceMs, readingShare} = findPacingLimits(gapMs);
-    assert.ok(readingShare < 1);
-    const pauseMs = (eventMs + atOnceMs) / (1 - readingShare);
+    const {burstMs, prefillShare} = findPacingLimits(gapMs);
+    assert.ok(prefillShare < 1);
+    const pauseMs = (eventMs + burstMs) / (1 - prefillShare);
     assert.ok(pauseMs < gapMs, `${pauseMs} of ${gapMs}`);
   });
 });
 
-test('copies of the model share a batch', () => {
+test('engines with copies of a model share a batch', () => {
   const alone = listAssignments(['e1'], 8, 2_368);
   const shared = listAssignments(['e1', 'e2'], 8, 2_368);
   const lastMs = (all: typeof alone) => Math.max(...all.map(({atMs}) => atMs));
@@ -112,21 +107,19 @@
 });
 
 /*
- * One model is asked for by more than a single engine can read for, on and on.
- * Held back without end, its users would be refused though the engine has
- * places: a stream that pauses is late, but a refusal serves nobody.
+ * Guards against refusing requests for an overloaded model although the engine
+ * has free slots.
  */
-test('nobody is held back for long', () => {
+test('deferral of a request is bounded', () => {
   const assigned = listAssignments(['e1'], 24, 2_368, 2_400);
   assert.is(assigned.length, 24);
   assert.ok(assigned.every(({atMs}) => atMs <= 900));
 });
 
 /*
- * A node chose by itself for a request that was held back here, and tells that
- * it runs. Remembered as held back, it would be looked for every 15 ms for ever.
+ * Guards against polling forever for a request that another node has assigned.
  */
-test('a request that runs elsewhere is held back no more', () => {
+test('a request that another node has assigned is no longer deferred', () => {
   const scheduler = new ModelScheduler({policy: new BatchWorthPolicy()});
   scheduler.configure([makeEngineService()]);
   scheduler.putEngine(makeEngineEntry('e1'), 0);
@@ -138,7 +131,7 @@
   assert.is(scheduler.nextDecisionMs(0), Infinity);
 });
 
-test('a prompt that is longer than any portion goes when nothing is read', () => {
+test('a prompt above the burst limit is sent to an idle engine', () => {
   const assigned = listAssignments(['e1'], 2, 9_000);
   assert.is(assigned.length, 2);
   assert.is(assigned[0]?.atMs, 0);
--- a/packages/schedule-models/src/refusal_counts.ts
+++ b/packages/schedule-models/src/refusal_counts.ts
@@ -1,30 +1,29 @@
-/** Which models were asked for and not served lately. */
+/** Counts recent refusals by model. */
 import {type ModelName, type ServiceName} from '@mimosatack/types';
 import {toModelKey} from './model_key.js';
 
 /**
- * Guards against a model that is never served: its batches are small, so they
- * rank behind larger ones for as long as those keep coming, and each of its
- * requests is refused in turn. Every refusal raises the rank of the next one.
+ * Guards against a model that is never served because its small batches always
+ * rank behind larger ones. Each refusal raises the rank of its next batch.
  */
-export class MissedModels {
-  private readonly misses = new Map<string, number>();
+export class RefusalCounts {
+  private readonly counts = new Map<string, number>();
 
-  noteRefused(service: ServiceName, model: ModelName): void {
+  recordRefusal(service: ServiceName, model: ModelName): void {
     const key = toModelKey(service, model);
-    this.misses.set(key, (this.misses.get(key) ?? 0) + 1);
+    this.counts.set(key, (this.counts.get(key) ?? 0) + 1);
   }
 
-  noteServed(service: ServiceName, model: ModelName): void {
-    this.misses.delete(toModelKey(service, model));
+  reset(service: ServiceName, model: ModelName): void {
+    this.counts.delete(toModelKey(service, model));
   }
 
   get modelCount(): number {
-    return this.misses.size;
+    return this.counts.size;
   }
 
-  /** Requests refused since the model was last served. */
+  /** The number of requests refused since the model was last served. */
   count(service: ServiceName, model: ModelName): number {
-    return this.misses.get(toModelKey(service, model)) ?? 0;
+    return this.counts.get(toModelKey(service, model)) ?? 0;
   }
 }
--- a/packages/schedule-models/src/resident_model.ts
+++ b/packages/schedule-models/src/resident_model.ts
@@ -1,34 +1,34 @@
-/** A model in the accelerator memory of one engine. */
 import {type AdapterName, type ModelName} from '@mimosatack/types';
 
-/** An adapter on it. */
 export interface LoadedAdapter {
   name: AdapterName;
-  /** When it can be used; the time of its load is short and known. */
+  /** When the adapter can be used. */
   readyAtMs: number;
   lastUsedAtMs: number;
   runs: number;
 }
 
-/** A model that is loaded, being loaded or being unloaded. */
-export class Residency {
+/**
+ * A model in the accelerator memory of an engine: loaded, loading or unloading.
+ */
+export class ResidentModel {
   readonly adapters = new Map<AdapterName, LoadedAdapter>();
-  /** Requests that were assigned to it and have not ended. */
+  /** Number of unfinished requests that are assigned to the model. */
   runs = 0;
-  isLeaving = false;
+  isUnloading = false;
   lastUsedAtMs: number;
 
   constructor(
     readonly model: ModelName,
     readonly memoryMb: number,
-    /** When requests for it are taken. */
+    /** When the engine accepts requests for the model. */
     public readyAtMs: number,
   ) {
     this.lastUsedAtMs = readyAtMs;
   }
 
   isReady(nowMs: number): boolean {
-    return !this.isLeaving && this.readyAtMs <= nowMs;
+    return !this.isUnloading && this.readyAtMs <= nowMs;
   }
 
   hasAdapter(name: AdapterName | null, nowMs: number): boolean {
@@ -43,7 +43,7 @@
     });
   }
 
-  noteStart(adapter: AdapterName | null, nowMs: number): void {
+  recordStart(adapter: AdapterName | null, nowMs: number): void {
     this.runs += 1;
     this.lastUsedAtMs = nowMs;
     const used = adapter === null ? undefined : this.adapters.get(adapter);
@@ -52,7 +52,7 @@
     used.lastUsedAtMs = nowMs;
   }
 
-  noteEnd(adapter: AdapterName | null, nowMs: number): void {
+  recordEnd(adapter: AdapterName | null, nowMs: number): void {
     this.runs = Math.max(0, this.runs - 1);
     this.lastUsedAtMs = nowMs;
     const used = adapter === null ? undefined : this.adapters.get(adapter);
--- a/packages/schedule-models/src/scheduled_request.ts
+++ b/packages/schedule-models/src/scheduled_request.ts
@@ -1,4 +1,4 @@
-/** What the scheduler is asked for and what it decides. */
+/** The inputs and decisions of the scheduler. */
 import {
   type AdapterName,
   type BackendServerId,
@@ -9,61 +9,62 @@
 
 /** A request that waits for an engine. Times are on the monotonic clock. */
 export interface ScheduledRequest {
-  /** Unique among all requests of all nodes. */
+  /** Unique across all requests of all nodes. */
   askId: string;
   service: ServiceName;
   model: ModelName;
   adapter: AdapterName | null;
   promptTokens: number;
-  /** The output as far as it can be told beforehand. */
+  /** Estimated output length. */
   outputTokens: number;
   /** 0 is the most urgent. */
   priority: number;
   arrivedAtMs: number;
-  /** An answer that begins by then is on time. */
+  /** Latest start of a response that counts as on time. */
   dueAtMs: number;
-  /** The longest pause between events with which it is on time; null for none. */
+  /** The longest acceptable pause between stream events; null for none. */
   gapMs: number | null;
-  /** The caller's last moment; an answer after it is worth nothing. */
+  /** When the caller gives up; a later response is worthless. */
   endsAtMs: number;
-  /** Engines that were tried already. */
+  /** Engines that have already been tried. */
   excluded: ReadonlySet<BackendServerId>;
-  /** The only engines that it may still be sent to; null for any. */
+  /** The only engines to which the request may be sent; null for any. */
   allowed: ReadonlySet<BackendServerId> | null;
-  /** The node that asks; engines may be out of reach for some nodes only. */
+  /** The requesting node; engines may be unreachable from some nodes only. */
   nodeId: string;
 }
 
-/** Whether a request may be sent to an engine at all. */
-export function mayReach(
+export function isEngineAllowed(
   {excluded, allowed}: ScheduledRequest,
   id: BackendServerId,
 ): boolean {
   return !excluded.has(id) && (allowed?.has(id) ?? true);
 }
 
-/** How a request that was assigned has ended. */
+/** How an assigned request has ended. */
 export type RunResult =
   | 'served'
-  /** The engine has no room for it, or still loads what it needs. */
+  /** The engine has no free slot or is still loading what the request needs. */
   | 'not-taken'
   /** The engine does not hold the model. */
   | 'not-held'
-  /** The engine failed it. */
+  /** The engine failed the request. */
   | 'failed'
   | 'unreachable'
   | 'neutral';
 
-/** Why a request is not served. */
 export type RefusalReason =
-  /** No configuration lists the model or the adapter. */
+  /** The model or the adapter is not configured. */
   | 'unknown-model'
-  /** No engine has the weights near, and fetching them takes longer. */
+  /** No engine caches the weights, and fetching them takes too long. */
   | 'weights-remote'
-  /** No engine will be free for it in time. */
+  /** No engine will have a free slot in time. */
   | 'no-room';
 
-/** An order to one engine; `expectedCount` voids it if others came between. */
+/**
+ * An order to one engine. The engine rejects the order unless it has accepted
+ * exactly `expectedCount` orders before.
+ */
 export interface PlannedOrder {
   engineId: BackendServerId;
   operation: 'load' | 'unload';
@@ -72,36 +73,34 @@
   expectedCount: number;
 }
 
-/** One thing that was decided. */
 export type Decision =
   | {kind: 'assign'; askId: string; engineId: BackendServerId}
   | {
       kind: 'refuse';
       askId: string;
       reason: RefusalReason;
-      /** When the same request is worth sending again. */
+      /** Delay in milliseconds after which a retry makes sense. */
       retryAfterMs: number;
     }
   | {kind: 'order'; order: PlannedOrder};
 
-/** What became of an order. */
 export type OrderOutcome =
-  /** The engine carries it out. */
+  /** The engine executes the order. */
   | 'accepted'
-  /** What was ordered holds already. */
+  /** The engine is already in the ordered state. */
   | 'holds'
-  /** Another order is under way, or others came between. */
+  /** Another order is in progress, or other orders were accepted before. */
   | 'conflict'
-  /** Refused for a reason that asking again won't change. */
+  /** Refused for a reason that a retry does not change. */
   | 'refused'
-  /** Another engine answers at its address: this one has ended. */
+  /** Another engine has replaced this one at its address. */
   | 'replaced'
-  /** No answer; it may still be carried out. */
+  /** No response; the order may still be executed. */
   | 'unknown';
 
-/** What an engine says of itself at one moment. */
+/** The state that an engine reports. */
 export interface EngineReport {
-  /** Of the life that answers. */
+  /** Start time of the incarnation that reports. */
   startedAtMs: ServerStartMs;
   orderCount: number;
   isBusy: boolean;
--- a/packages/schedule-models/src/scheduler.ts
+++ b/packages/schedule-models/src/scheduler.ts
@@ -1,7 +1,7 @@
 /**
- * Decides which engine serves a request and which models are loaded for that.
- * It needs no network and no clock: it is told what happens and when, and
- * answers with decisions for others to carry out.
+ * Decides which engine serves a request and which models are loaded for it.
+ * Does no I/O and has no clock: callers pass in events with their times and
+ * execute the decisions.
  */
 import {
   type AdapterName,
@@ -20,8 +20,8 @@
 import {EngineIndex} from './engine_index.js';
 import {type EngineView} from './engine_view.js';
 import {EngineViews} from './engine_views.js';
-import {HeldBack} from './deferred_requests.js';
-import {MissedModels} from './refusal_counts.js';
+import {DeferredRequests} from './deferred_requests.js';
+import {RefusalCounts} from './refusal_counts.js';
 import {ModelCatalogue} from './model_catalogue.js';
 import {
   type Decision,
@@ -36,50 +36,49 @@
   type SwapContext,
   type SwapPolicy,
 } from './swap_policy.js';
-import {ReadingSpeed} from './prefill_speed.js';
+import {PrefillSpeed} from './prefill_speed.js';
 import {makeSwapContext} from './swap_context.js';
 import {groupBatches} from './waiting_batches.js';
 import {WaitingRequests} from './waiting_requests.js';
 import {chooseExtraCopy} from './extra_copy.js';
-import {findRefusal, findWaitEndMs} from './find_refusal.js';
+import {findRefusal, findWaitDeadlineMs} from './find_refusal.js';
 
-/** How soon it is looked whether an engine may be given more prompts. */
-const PACE_CHECK_MS = 15;
+/** Interval of decisions while requests are deferred. */
+const PACING_POLL_MS = 15;
 /**
- * How often it is looked for a load from the store, over all models. Such a
- * load takes seconds, so that a look at each request would find nothing more.
+ * Interval between searches for a load from the weight store. Such a load takes
+ * seconds, so a search for each request would find nothing more.
  */
-const STORE_LOOK_MS = 250;
+const STORE_CHECK_MS = 250;
 
-/** What a scheduler is built from. */
 export interface ModelSchedulerOptions {
   policy: SwapPolicy;
-  /** No order may go to the engine before this time. */
+  /** No order may be sent to the engine before this time. */
   quietUntilMs?: (engineId: BackendServerId) => number;
 }
 
-/** Of one shard of engines: the requests that wait, run and are refused. */
+/** Schedules the requests of one shard of engines. */
 export class ModelScheduler {
   private readonly catalogue = new ModelCatalogue([]);
   private readonly waiting = new WaitingRequests();
-  private readonly heldBack = new HeldBack();
+  private readonly deferred = new DeferredRequests();
   private readonly demand = new DemandRates();
   private readonly health = new EngineHealth();
-  private readonly speed = new ReadingSpeed();
+  private readonly speed = new PrefillSpeed();
   private readonly engines = new EngineViews({
     ...{catalogue: this.catalogue, speed: this.speed},
-    onNearChanged: () => this.index.forgetNear(),
-    onForgotten: id => this.forgetEngine(id),
+    onEnginesChanged: () => this.index.invalidate(),
+    onRemoved: id => this.removeEngineState(id),
     quietUntilMs: id => this.options.quietUntilMs?.(id) ?? -Infinity,
   });
   private readonly index: EngineIndex = new EngineIndex(() =>
     this.engines.list(),
   );
   private readonly storeLoads = new StoreLoads();
-  private storeLookAtMs = 0;
-  /** Of the decision that is being made. */
+  private nextStoreCheckMs = 0;
+  /** The counts of the current decision. */
   private copies: CopyCounts | null = null;
-  private readonly missed = new MissedModels();
+  private readonly refusals = new RefusalCounts();
 
   constructor(private readonly options: ModelSchedulerOptions) {}
 
@@ -87,9 +86,9 @@
     return this.waiting.size;
   }
 
-  /** Models that something is remembered of beside what engines hold. */
+  /** The number of models with tracked demand or refusals. */
   get rememberedModelCount(): number {
-    return Math.max(this.demand.modelCount, this.missed.modelCount);
+    return Math.max(this.demand.modelCount, this.refusals.modelCount);
   }
 
   listEngines(): readonly EngineView[] {
@@ -100,90 +99,93 @@
     this.catalogue.replace(services);
   }
 
-  /** Takes an entry of a server, new or changed. */
+  /** Adds a server or applies its changed entry. */
   putEngine(entry: BackendServerEntry, nowMs: number): void {
     this.engines.put(entry, nowMs);
-    this.noteHeld(entry.id, entry.residents, nowMs);
+    this.recordResidents(entry.id, entry.residents, nowMs);
   }
 
-  private noteHeld(
+  private recordResidents(
     id: BackendServerId,
     residents: EngineReport['residents'],
     nowMs: number,
   ): void {
     const models = residents.map(({model}) => model);
-    this.storeLoads.noteHeld(id, models, nowMs);
+    this.storeLoads.recordResidents(id, models, nowMs);
   }
 
   dropEngine(id: BackendServerId): void {
-    this.engines.drop(id);
+    this.engines.remove(id);
   }
 
-  private forgetEngine(id: BackendServerId): void {
-    this.storeLoads.noteEnded(id);
-    this.health.forget(id);
-    this.speed.forget(id);
+  private removeEngineState(id: BackendServerId): void {
+    this.storeLoads.recordEnd(id);
+    this.health.remove(id);
+    this.speed.remove(id);
   }
 
-  /** A request that waits; told twice of one that runs, it changes nothing. */
+  /** Adds a waiting request. Ignores one that is already running. */
   ask(request: ScheduledRequest, nowMs: number): void {
     const isRunning = this.listEngines().some(({runs}) =>
       runs.has(request.askId),
     );
     if (isRunning) return;
-    this.noteDemand(request, nowMs);
+    this.recordDemand(request, nowMs);
     this.waiting.add(request);
   }
 
-  /** Callers may send any name; only those that exist are remembered. */
-  private noteDemand(request: ScheduledRequest, nowMs: number): void {
+  /**
+   * Guards against unbounded memory use by requests for models that do not
+   * exist.
+   */
+  private recordDemand(request: ScheduledRequest, nowMs: number): void {
     const {service, model} = request;
     if (!this.catalogue.findModel(service, model)) return;
-    this.demand.note(request, nowMs);
+    this.demand.record(request, nowMs);
   }
 
-  /** A request that was assigned earlier, by whomever. */
+  /** Records a request that was assigned by another scheduler or by a node. */
   noteRunning(
     request: ScheduledRequest,
     engineId: BackendServerId,
     nowMs: number,
   ): void {
     this.withdraw(request.askId);
-    this.engines.get(engineId)?.start(request, nowMs);
+    this.engines.get(engineId)?.startRun(request, nowMs);
   }
 
-  /** The request no longer waits. */
+  /** Removes a waiting request. */
   withdraw(askId: string): void {
     this.waiting.delete(askId);
-    this.heldBack.forget(askId);
+    this.deferred.remove(askId);
   }
 
   /**
-   * An assigned request has ended at its engine.
+   * Records the end of an assigned request.
    *
-   * @param headMs until its answer began; null if it did not.
+   * @param ttfbMs time until its response began; null if it did not.
    */
   noteEnd(
     askId: string,
     engineId: BackendServerId,
     result: RunResult,
-    headMs: number | null,
+    ttfbMs: number | null,
     nowMs: number,
   ): void {
     const engine = this.engines.get(engineId);
     const request = engine?.runs.get(askId);
     if (!engine || !request) return;
-    engine.end(askId, result === 'served' ? headMs : null, nowMs);
-    this.health.note(engineId, request.nodeId, result, nowMs);
-    if (this.health.isLost(engineId, nowMs)) engine.rest(nowMs);
+    engine.endRun(askId, result === 'served' ? ttfbMs : null, nowMs);
+    this.health.record(engineId, request.nodeId, result, nowMs);
+    if (this.health.isLost(engineId, nowMs)) engine.startCooldown(nowMs);
     if (result === 'not-held') {
-      engine.noteNotHeld(request.model, request.adapter, nowMs);
+      engine.recordMissing(request.model, request.adapter, nowMs);
     }
-    if (result === 'not-taken') engine.noteNotReady(request.model, nowMs);
+    if (result === 'not-taken') engine.delayReadiness(request.model, nowMs);
   }
 
   noteOrderSent(order: PlannedOrder): void {
-    this.engines.get(order.engineId)?.orders.noteSent(order);
+    this.engines.get(order.engineId)?.orders.recordSent(order);
   }
 
   noteOrderOutcome(
@@ -191,45 +193,48 @@
     outcome: OrderOutcome,
     nowMs: number,
   ): void {
-    this.engines.get(order.engineId)?.noteOutcome(order, outcome, nowMs);
-    if (outcome === 'refused') this.storeLoads.noteEnded(order.engineId);
+    this.engines.get(order.engineId)?.recordOutcome(order, outcome, nowMs);
+    if (outcome === 'refused') this.storeLoads.recordEnd(order.engineId);
   }
 
-  /** Engines whose state has to be asked for before they get orders. */
+  /** Engines whose state has to be queried before they receive orders. */
   listUnknown(nowMs: number): BackendServerId[] {
     return this.listEngines()
-      .filter(({orders}) => orders.needsReport && orders.opensAtMs <= nowMs)
+      .filter(({orders}) => orders.needsReport && orders.notBeforeMs <= nowMs)
       .map(({id}) => id);
   }
 
   noteReport(id: BackendServerId, report: EngineReport, nowMs: number): void {
-    this.engines.noteReport(id, report, nowMs);
-    this.noteHeld(id, report.residents, nowMs);
+    this.engines.recordReport(id, report, nowMs);
+    this.recordResidents(id, report.residents, nowMs);
   }
 
   noteReportFailed(id: BackendServerId, nowMs: number): void {
-    this.engines.get(id)?.orders.noteReportFailed(nowMs);
+    this.engines.get(id)?.orders.recordReportFailed(nowMs);
   }
 
-  /** All that can be decided now; no orders where they are not allowed. */
+  /**
+   * Returns all decisions that are possible now, without orders unless
+   * `mayOrder`.
+   */
   decide(nowMs: number, mayOrder = true): Decision[] {
-    this.index.forgetHolders();
+    this.index.invalidateHolders();
     const assigned = this.assignWaiting(nowMs);
-    if (!mayOrder) return [...assigned, ...this.refuseHopeless(nowMs)];
+    if (!mayOrder) return [...assigned, ...this.refuseUnservable(nowMs)];
     const continued = this.continueSwaps(nowMs);
     const adapters = this.orderAdapters(nowMs);
     const swaps = this.startSwaps(nowMs);
-    const refused = this.refuseHopeless(nowMs);
+    const refused = this.refuseUnservable(nowMs);
     return [...assigned, ...continued, ...adapters, ...swaps, ...refused];
   }
 
-  /** When `decide` is worth calling though nothing was told meanwhile. */
+  /** When `decide` should be called next if no event arrives before. */
   nextDecisionMs(nowMs: number): number {
     const engines = this.listEngines().map(engine =>
       engine.nextChangeMs(nowMs),
     );
-    const waitEnds = this.waiting.list().map(findWaitEndMs);
-    const paces = this.heldBack.isEmpty ? [] : [nowMs + PACE_CHECK_MS];
+    const waitEnds = this.waiting.list().map(findWaitDeadlineMs);
+    const paces = this.deferred.isEmpty ? [] : [nowMs + PACING_POLL_MS];
     return Math.min(Infinity, ...engines, ...waitEnds, ...paces);
   }
 
@@ -239,11 +244,11 @@
       const usable = ready.filter(({id}) =>
         this.health.isUsable(id, request.nodeId, nowMs),
       );
-      const engine = this.heldBack.pickEngine(request, usable, nowMs);
+      const engine = this.deferred.pickEngine(request, usable, nowMs);
       if (!engine) return [];
       this.withdraw(request.askId);
-      this.missed.noteServed(request.service, request.model);
-      engine.start(request, nowMs);
+      this.refusals.reset(request.service, request.model);
+      engine.startRun(request, nowMs);
       return [
         {
           kind: 'assign' as const,
@@ -254,15 +259,15 @@
     });
   }
 
-  /** The second half of swaps whose first half is done. */
+  /** Sends the next order of each pending swap. */
   private continueSwaps(nowMs: number): Decision[] {
     return this.listEngines().flatMap(engine => {
       const {swap} = engine;
-      if (!swap || !engine.orders.isOpen(nowMs)) return [];
+      if (!swap || !engine.orders.canSend(nowMs)) return [];
       const {victim, model} = swap;
       return victim !== null && engine.residents.has(victim)
-        ? [this.order(engine, 'unload', victim, null)]
-        : [this.order(engine, 'load', model, null)];
+        ? [this.makeOrder(engine, 'unload', victim, null)]
+        : [this.makeOrder(engine, 'load', model, null)];
     });
   }
 
@@ -274,7 +279,7 @@
         const plan = planAdapter(request, this.listHolders(request), nowMs);
         if (!plan) return [];
         const {engine, operation, model, adapter} = plan;
-        return [this.order(engine, operation, model, adapter)];
+        return [this.makeOrder(engine, operation, model, adapter)];
       });
   }
 
@@ -283,9 +288,9 @@
     const context = this.makeSwapContext(nowMs);
     const unserved = this.waiting
       .listByUrgency()
-      .filter(request => !this.heldBack.has(request));
+      .filter(request => !this.deferred.has(request));
     const batches = groupBatches(unserved).filter(
-      ({service, model}) => !this.isComing(service, model, context),
+      ({service, model}) => !this.isBeingLoaded(service, model, context),
     );
     const swaps = policy.rank(batches, context).flatMap(batch => {
       const choice = policy.choose(batch, context);
@@ -298,24 +303,24 @@
     ];
   }
 
-  /** Further copies of models that are asked for more than can be read. */
+  /** Adds copies of models whose demand exceeds the prefill capacity. */
   private startExtraCopies(context: SwapContext): Decision[] {
-    if (this.heldBack.isEmpty) return [];
+    if (this.deferred.isEmpty) return [];
     const heldBack = this.waiting
       .listByUrgency()
-      .filter(request => this.heldBack.has(request));
+      .filter(request => this.deferred.has(request));
     return groupBatches(heldBack).flatMap(batch => {
-      if (this.isComing(batch.service, batch.model, context)) return [];
+      if (this.isBeingLoaded(batch.service, batch.model, context)) return [];
       const choice = chooseExtraCopy(batch, this.options.policy, context);
       return choice ? [this.startSwap(batch.model, choice, context.nowMs)] : [];
     });
   }
 
-  /** One load from the weight store, if it bears one more. */
+  /** Starts at most one load from the weight store. */
   private startStoreLoad(isBusy: boolean, context: SwapContext): Decision[] {
     const {nowMs} = context;
-    if (nowMs < this.storeLookAtMs) return [];
-    this.storeLookAtMs = nowMs + STORE_LOOK_MS;
+    if (nowMs < this.nextStoreCheckMs) return [];
+    this.nextStoreCheckMs = nowMs + STORE_CHECK_MS;
     const load = findStoreLoad(context, isBusy ? 'busy' : 'idle');
     return load ? [this.startSwap(load.model, load.choice, nowMs)] : [];
   }
@@ -326,61 +331,64 @@
     nowMs: number,
   ): Decision {
     if (engine.findTier(model) === 'store') {
-      const durationMs = engine.loadMs(model);
-      this.storeLoads.noteBegun(engine.id, model, durationMs, nowMs);
+      const durationMs = engine.findLoadMs(model);
+      this.storeLoads.recordStart(engine.id, model, durationMs, nowMs);
     }
     engine.swap = {model, victim: victim?.model ?? null};
-    this.index.forgetHolders();
-    this.copies?.forget();
-    if (!victim) return this.order(engine, 'load', model, null);
-    victim.isLeaving = true;
-    return this.order(engine, 'unload', victim.model, null);
+    this.index.invalidateHolders();
+    this.copies?.invalidate();
+    if (!victim) return this.makeOrder(engine, 'load', model, null);
+    victim.isUnloading = true;
+    return this.makeOrder(engine, 'unload', victim.model, null);
   }
 
   private makeSwapContext(nowMs: number): SwapContext {
     const engines = this.listEngines();
     this.copies = new CopyCounts(engines, nowMs);
-    const {index, catalogue, demand, missed, speed, storeLoads, copies} = this;
+    const {index, catalogue, demand, refusals, speed, storeLoads, copies} =
+      this;
     return makeSwapContext(nowMs, {
       ...{engines, index, copies, catalogue},
-      ...{demand, missed, speed, storeLoads},
+      ...{demand, refusals, speed, storeLoads},
     });
   }
 
-  private refuseHopeless(nowMs: number): Decision[] {
+  private refuseUnservable(nowMs: number): Decision[] {
     return this.waiting.list().flatMap(request => {
       const refusal = findRefusal(request, {
         nowMs,
         catalogue: this.catalogue,
         listHolders: (service, model) => this.index.listHolders(service, model),
-        listNear: (service, model) => this.index.listNear(service, model),
+        listCaching: (service, model) => this.index.listCaching(service, model),
       });
       if (!refusal) return [];
       this.withdraw(request.askId);
       if (refusal.reason !== 'unknown-model') {
-        this.missed.noteRefused(request.service, request.model);
+        this.refusals.recordRefusal(request.service, request.model);
       }
       return [{kind: 'refuse' as const, askId: request.askId, ...refusal}];
     });
   }
 
-  /** Whether a copy of the model is on its way into an engine already. */
-  private isComing(
+  /**
+   * Whether an engine is already loading the model or evicting another for it.
+   */
+  private isBeingLoaded(
     service: string,
     model: ModelName,
     {nowMs}: SwapContext,
   ): boolean {
     return this.index
       .listHolders(service, model)
-      .some(engine => engine.isTaking(model, nowMs));
+      .some(engine => engine.isAcquiring(model, nowMs));
   }
 
-  /** Engines that hold what a request is for, or make room for it. */
+  /** Engines that hold the requested model or have a pending load of it. */
   private listHolders(request: ScheduledRequest): readonly EngineView[] {
     return this.index.listHolders(request.service, request.model);
   }
 
-  private order(
+  private makeOrder(
     engine: EngineView,
     operation: 'load' | 'unload',
     model: ModelName,
@@ -391,7 +399,7 @@
       ...{operation, model, adapter},
       expectedCount: engine.orders.acceptedCount,
     };
-    engine.orders.noteSent(order);
+    engine.orders.recordSent(order);
     return {kind: 'order', order};
   }
 }
--- a/packages/schedule-models/src/scheduler_fixture.ts
+++ b/packages/schedule-models/src/scheduler_fixture.ts
@@ -1,4 +1,4 @@
-/** Plays requests against a scheduler whose engines do all that they are told. */
+/** Simulates a scheduler with engines that execute every order. */
 import {
   ENGINE_SERVICE,
   makeEngineEntry,
@@ -12,11 +12,11 @@
 const MODELS = ['hot', 'warm', 'rare', 'other'];
 const STEP_MS = 20;
 const PROMPT_TOKENS = 800;
-/** Of such a prompt, at the speed that is believed in first. */
-const READING_MS = 27;
-const STEP_OF_BATCH_MS = 7;
+/** Prefill time of one prompt at the initial speed estimate. */
+const PREFILL_MS = 27;
+const BATCH_STEP_MS = 7;
 
-/** Each engine holds three of the models. */
+/** A service whose engines hold three of the models at a time. */
 function makeService(): ServiceSpec {
   const {engine, ...service} = makeEngineService();
   const [model] = engine?.models ?? [];
@@ -25,7 +25,7 @@
   return {...service, engine: {...engine, storeLoadsPerSecond: 7.5, models}};
 }
 
-/** An engine that holds some of the models and has some near it. */
+/** An engine with the given resident and cached models. */
 export function makeEngine(
   id: string,
   held: readonly string[],
@@ -56,12 +56,12 @@
   endsAtMs: number;
 }
 
-/** Asks at `perSecond` for each model, and tells the orders that come of it. */
-export class SchedulerPlay {
+/** Sends requests at the given rate for each model and records the loads. */
+export class SchedulerSimulation {
   readonly scheduler = new ModelScheduler({policy: new BatchWorthPolicy()});
   readonly loads: Array<{engineId: string; model: string; atMs: number}> = [];
   private nowMs = 0;
-  private asked = 0;
+  private requestCount = 0;
   private runs: Run[] = [];
   private readonly freeAtMs = new Map<string, number>();
 
@@ -72,7 +72,7 @@
 
   put(engine: BackendServerEntry): void {
     this.scheduler.putEngine(engine, this.nowMs);
-    this.report(engine);
+    this.sendReport(engine);
   }
 
   run(forMs: number, perSecond: Readonly<Record<string, number>>): void {
@@ -87,7 +87,7 @@
   }
 
   ask(model: string): void {
-    const askId = `r${(this.asked += 1)}`;
+    const askId = `r${(this.requestCount += 1)}`;
     this.scheduler.ask(makeRequest(askId, model, this.nowMs), this.nowMs);
   }
 
@@ -108,10 +108,10 @@
     });
   }
 
-  /** An engine reads one prompt after the other. */
+  /** An engine reads prompts one after the other. */
   private begin(askId: string, engineId: string): void {
     const freeAtMs = this.freeAtMs.get(engineId) ?? 0;
-    const endsAtMs = Math.max(freeAtMs, this.nowMs) + READING_MS;
+    const endsAtMs = Math.max(freeAtMs, this.nowMs) + PREFILL_MS;
     this.freeAtMs.set(engineId, endsAtMs);
     this.runs.push({askId, engineId, beganAtMs: this.nowMs, endsAtMs});
   }
@@ -120,16 +120,16 @@
     const ended = this.runs.filter(({endsAtMs}) => endsAtMs <= this.nowMs);
     this.runs = this.runs.filter(({endsAtMs}) => endsAtMs > this.nowMs);
     ended.forEach(({askId, engineId, beganAtMs, endsAtMs}) => {
-      const headMs = endsAtMs - beganAtMs + STEP_OF_BATCH_MS;
-      this.scheduler.noteEnd(askId, engineId, 'served', headMs, this.nowMs);
+      const ttfbMs = endsAtMs - beganAtMs + BATCH_STEP_MS;
+      this.scheduler.noteEnd(askId, engineId, 'served', ttfbMs, this.nowMs);
     });
   }
 
-  private report({id, residents}: BackendServerEntry): void {
-    const told = residents.map(({model}) => ({model, adapters: []}));
+  private sendReport({id, residents}: BackendServerEntry): void {
+    const reported = residents.map(({model}) => ({model, adapters: []}));
     this.scheduler.noteReport(
       id,
-      {startedAtMs: null, orderCount: 0, isBusy: false, residents: told},
+      {startedAtMs: null, orderCount: 0, isBusy: false, residents: reported},
       this.nowMs,
     );
   }
--- a/packages/schedule-models/src/single_load.test.ts
+++ b/packages/schedule-models/src/single_load.test.ts
@@ -1,41 +1,38 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {SchedulerPlay, makeEngine} from './scheduler_fixture.js';
+import {SchedulerSimulation, makeEngine} from './scheduler_fixture.js';
 
-const test = suite('one load for one batch');
+const test = suite('one load per batch');
 
-const HELD = ['hot', 'warm'];
-const NEAR = ['hot', 'warm', 'rare'];
+const RESIDENT = ['hot', 'warm'];
+const CACHED = ['hot', 'warm', 'rare'];
 
 /*
- * A user asks for a rare model that lies near several engines. Its load was
- * ordered and accepted, and takes a second; while the request waited for it, the
- * model was loaded onto a second engine and a third. Each such load kept an
- * engine from loading for other users, who waited past their objective, and took
- * the place of another rare model.
+ * Guards against loading a model onto further engines while its first load is
+ * still running, which blocks swaps for other requests.
  */
-test('a model that is being loaded is not loaded a second time', () => {
-  const play = new SchedulerPlay(
-    ['e1', 'e2', 'e3'].map(id => makeEngine(id, HELD, NEAR)),
+test('a model that is being loaded is not loaded again', () => {
+  const sim = new SchedulerSimulation(
+    ['e1', 'e2', 'e3'].map(id => makeEngine(id, RESIDENT, CACHED)),
   );
-  play.ask('rare');
-  play.run(3_000, {});
-  const loads = play.loads.filter(({model}) => model === 'rare');
+  sim.ask('rare');
+  sim.run(3_000, {});
+  const loads = sim.loads.filter(({model}) => model === 'rare');
   assert.is(loads.length, 1);
 });
 
-/* The engine that loads it is lost: what waits must not wait for it. */
-test('a load on an engine that has left counts for nothing', () => {
-  const engines = ['e1', 'e2'].map(id => makeEngine(id, HELD, NEAR));
-  const play = new SchedulerPlay(engines);
-  play.ask('rare');
-  play.run(100, {});
-  const [first] = play.loads;
+/* Guards against waiting for a load on an engine that has left. */
+test('a load on an engine that has left is ignored', () => {
+  const engines = ['e1', 'e2'].map(id => makeEngine(id, RESIDENT, CACHED));
+  const sim = new SchedulerSimulation(engines);
+  sim.ask('rare');
+  sim.run(100, {});
+  const [first] = sim.loads;
   const loading = engines.find(({id}) => id === first?.engineId);
   assert.ok(loading);
-  if (loading) play.put({...loading, state: 'draining'});
-  play.run(400, {});
-  const used = play.loads
+  if (loading) sim.put({...loading, state: 'draining'});
+  sim.run(400, {});
+  const used = sim.loads
     .filter(({model}) => model === 'rare')
     .map(({engineId}) => engineId);
   assert.is(new Set(used).size, 2);
--- a/packages/schedule-models/src/start_estimate.ts
+++ b/packages/schedule-models/src/start_estimate.ts
@@ -1,50 +1,51 @@
-/** When a waiting request can begin to run, as far as can be told. */
+/** Estimates when a waiting request can start to run. */
 import {type ModelName, type ServiceName} from '@mimosatack/types';
 import {type EngineView} from './engine_view.js';
 import {type ModelCatalogue} from './model_catalogue.js';
-import {type ScheduledRequest, mayReach} from './scheduled_request.js';
+import {type ScheduledRequest, isEngineAllowed} from './scheduled_request.js';
 
-/** What stands between a request and an engine. */
-export type Outlook =
+export type StartEstimate =
   /** An engine holds the model or is loading it. */
-  | {kind: 'coming'; beginsAtMs: number}
-  /** Weights lie near an engine that will have room some time. */
-  | {kind: 'near'; beginsAtMs: number}
-  /** Weights have to come from the store. */
+  | {kind: 'held'; beginsAtMs: number}
+  /** An engine caches the weights and can load them. */
+  | {kind: 'cached'; beginsAtMs: number}
+  /** The weights have to be fetched from the weight store. */
   | {kind: 'remote'; beginsAtMs: number}
-  /** No configuration lists it. */
+  /** The model or the adapter is not configured. */
   | {kind: 'unknown'};
 
-/** What an outlook is found by. */
-export interface OutlookContext {
+export interface StartEstimateContext {
   nowMs: number;
   catalogue: ModelCatalogue;
-  /** Engines that hold a model, or make room for it. */
+  /** Engines that hold the model or have a pending load of it. */
   listHolders: (
     service: ServiceName,
     model: ModelName,
   ) => readonly EngineView[];
-  /** Engines that could load a model without the weight store. */
-  listNear: (service: ServiceName, model: ModelName) => readonly EngineView[];
+  /** Engines that can load the model without the weight store. */
+  listCaching: (
+    service: ServiceName,
+    model: ModelName,
+  ) => readonly EngineView[];
 }
 
-export function findOutlook(
+export function estimateStart(
   request: ScheduledRequest,
-  {nowMs, catalogue, listHolders, listNear}: OutlookContext,
-): Outlook {
+  {nowMs, catalogue, listHolders, listCaching}: StartEstimateContext,
+): StartEstimate {
   const {service, model, adapter} = request;
   if (!catalogue.has(service, model, adapter)) return {kind: 'unknown'};
-  const isOpen = (engine: EngineView) =>
-    engine.isOpenAt(nowMs) && mayReach(request, engine.id);
-  const holders = listHolders(service, model).filter(isOpen);
-  const coming = Math.min(
-    ...holders.map(engine => engine.readyForAtMs(model, nowMs)),
+  const isAvailable = (engine: EngineView) =>
+    engine.acceptsWorkAt(nowMs) && isEngineAllowed(request, engine.id);
+  const holders = listHolders(service, model).filter(isAvailable);
+  const readyAtMs = Math.min(
+    ...holders.map(engine => engine.findReadyAtMs(model, nowMs)),
   );
-  if (Number.isFinite(coming)) return {kind: 'coming', beginsAtMs: coming};
-  const near = listNear(service, model).filter(isOpen);
-  if (near.length > 0) {
-    const loadMs = Math.min(...near.map(engine => engine.loadMs(model)));
-    return {kind: 'near', beginsAtMs: nowMs + loadMs};
+  if (Number.isFinite(readyAtMs)) return {kind: 'held', beginsAtMs: readyAtMs};
+  const caching = listCaching(service, model).filter(isAvailable);
+  if (caching.length > 0) {
+    const loadMs = Math.min(...caching.map(engine => engine.findLoadMs(model)));
+    return {kind: 'cached', beginsAtMs: nowMs + loadMs};
   }
   const spec = catalogue.findModel(service, model);
   return {kind: 'remote', beginsAtMs: nowMs + (spec?.storeLoadMs ?? 0)};
--- a/packages/schedule-models/src/store_loads.ts
+++ b/packages/schedule-models/src/store_loads.ts
@@ -1,141 +1,149 @@
-/** Loads from the weight store, which bears only so many. */
+/** Limits the loads from the weight store. */
 import {type BackendServerId, type ModelName} from '@mimosatack/types';
 
-/** The time over which loads are counted. */
+/** Length of the window in which loads are counted. */
 const WINDOW_MS = 5_000;
 const MS_PER_SECOND = 1_000;
 /**
- * Part of the store's rate that one holder uses: two holders one after the
- * other stay within it, though the second does not know the first one's loads.
+ * Fraction of the store's rate that one scheduler uses. Two schedulers in
+ * succession stay within the rate although the second does not know the first
+ * one's loads.
  */
-const USED_PART = 0.45;
+const RATE_FRACTION = 0.45;
 /**
- * How many go at once before any has shown how fast it goes. Two tell whether
- * they slow each other; if they do, each costs its engine one more load time.
+ * Concurrency limit until load times are known. Two concurrent loads show
+ * whether they slow each other down.
  */
-const FIRST_AT_ONCE = 2;
+const INITIAL_LIMIT = 2;
 /**
- * An engine tells what it holds with its next heartbeat, so that a load seems
- * longer by this at most.
+ * Engines report a finished load with their next heartbeat, so a load appears
+ * longer by up to this time.
  */
-const TOLD_LATE_MS = 1_500;
-/** A load that takes longer than this many load times has been lost. */
-const LOST_AFTER_TIMES = 10;
-/** Slower than this, others have slowed it. */
+const MAX_REPORT_DELAY_MS = 1_500;
+/** A load counts as lost after this multiple of its expected duration. */
+const LOST_LOAD_FACTOR = 10;
+/** A load that takes longer by this factor was slowed down by others. */
 const SLOWED_FACTOR = 1.25;
-/** More at once are tried again then: the store may have been slow by itself. */
-const RETRY_MORE_MS = 600_000;
+/**
+ * Time after which a higher limit is tried again, since the store may have been
+ * slow for another reason.
+ */
+const RAISE_RETRY_MS = 600_000;
 
-/** A load that goes on. */
 interface RunningLoad {
   model: ModelName;
-  beganAtMs: number;
-  /** At full speed. */
+  startedAtMs: number;
+  /** Duration at full speed. */
   durationMs: number;
-  /** The most that went on at once while it did, itself included. */
-  alongside: number;
-  /** The engine has named the model before the load can have ended. */
-  isToldEarly: boolean;
+  /**
+   * The highest number of concurrent loads during this one, itself included.
+   */
+  peakConcurrency: number;
+  /** Whether the engine listed the model before its load can have finished. */
+  isReportedEarly: boolean;
 }
 
 /**
- * Keeps loads below the rate of the store, and learns how many it bears at once.
+ * Limits loads to the store's rate and learns how many concurrent loads it
+ * supports, which is not configured.
  *
- * Guards against loads that slow each other: where the store carries one at full
- * speed, four at once take four times as long, and all that time none of their
- * engines can swap for callers who wait. How many it carries is not configured.
+ * Guards against loads that slow each other down and keep their engines from
+ * swapping for waiting requests.
  */
 export class StoreLoads {
-  private begunAtMs: number[] = [];
+  private startTimesMs: number[] = [];
   private readonly running = new Map<BackendServerId, RunningLoad>();
-  private atOnce = FIRST_AT_ONCE;
-  /** So many have slowed each other. */
-  private tooMany = Infinity;
-  private tooManyAtMs = -Infinity;
+  private limit = INITIAL_LIMIT;
+  /** Number of concurrent loads that slowed each other down. */
+  private overloadCount = Infinity;
+  private overloadedAtMs = -Infinity;
 
-  /** How many may go at once, as far as is known. */
-  get mostAtOnce(): number {
-    return this.atOnce;
+  get concurrencyLimit(): number {
+    return this.limit;
   }
 
-  mayBegin(perSecond: number, nowMs: number): boolean {
-    this.forgetLost(nowMs);
-    this.begunAtMs = this.begunAtMs.filter(atMs => atMs > nowMs - WINDOW_MS);
-    const most = (perSecond * WINDOW_MS * USED_PART) / MS_PER_SECOND;
-    const isWithinRate = this.begunAtMs.length + 1 <= most;
-    return isWithinRate && this.running.size < this.atOnce;
+  canStart(perSecond: number, nowMs: number): boolean {
+    this.dropExpired(nowMs);
+    this.startTimesMs = this.startTimesMs.filter(
+      atMs => atMs > nowMs - WINDOW_MS,
+    );
+    const maxLoads = (perSecond * WINDOW_MS * RATE_FRACTION) / MS_PER_SECOND;
+    const isWithinRate = this.startTimesMs.length + 1 <= maxLoads;
+    return isWithinRate && this.running.size < this.limit;
   }
 
-  /** @param durationMs how long the load takes at full speed. */
-  noteBegun(
+  /** @param durationMs duration of the load at full speed. */
+  recordStart(
     engineId: BackendServerId,
     model: ModelName,
     durationMs: number,
     nowMs: number,
   ): void {
-    this.begunAtMs.push(nowMs);
+    this.startTimesMs.push(nowMs);
     this.running.delete(engineId);
-    const alongside = this.running.size + 1;
+    const peakConcurrency = this.running.size + 1;
     this.running.set(engineId, {
-      ...{model, durationMs, alongside, beganAtMs: nowMs},
-      isToldEarly: false,
+      ...{model, durationMs, peakConcurrency, startedAtMs: nowMs},
+      isReportedEarly: false,
     });
     this.running.forEach(load => {
-      load.alongside = Math.max(load.alongside, alongside);
+      load.peakConcurrency = Math.max(load.peakConcurrency, peakConcurrency);
     });
   }
 
-  /** An engine has told which models it holds. */
-  noteHeld(
+  /** Applies the list of models that an engine reports as resident. */
+  recordResidents(
     engineId: BackendServerId,
     models: readonly ModelName[],
     nowMs: number,
   ): void {
     const load = this.running.get(engineId);
     if (!load || !models.includes(load.model)) return;
-    if (nowMs - load.beganAtMs < load.durationMs) {
-      load.isToldEarly = true;
+    if (nowMs - load.startedAtMs < load.durationMs) {
+      load.isReportedEarly = true;
       return;
     }
     this.running.delete(engineId);
-    if (!load.isToldEarly) this.learn(load, nowMs);
+    if (!load.isReportedEarly) this.updateLimit(load, nowMs);
   }
 
-  /** The engine has left, or was refused the load. */
-  noteEnded(engineId: BackendServerId): void {
+  /** Called when the engine has left or has refused the load. */
+  recordEnd(engineId: BackendServerId): void {
     this.running.delete(engineId);
   }
 
-  private learn(
-    {beganAtMs, durationMs, alongside}: RunningLoad,
+  private updateLimit(
+    {startedAtMs, durationMs, peakConcurrency}: RunningLoad,
     nowMs: number,
   ): void {
-    const tookMs = nowMs - beganAtMs;
-    const factor = Math.max(1, (tookMs - TOLD_LATE_MS) / durationMs);
+    const tookMs = nowMs - startedAtMs;
+    const factor = Math.max(1, (tookMs - MAX_REPORT_DELAY_MS) / durationMs);
     if (factor > SLOWED_FACTOR) {
-      const borne = Math.max(1, Math.floor(alongside / factor));
-      this.atOnce = Math.min(this.atOnce, borne);
-      this.tooMany = alongside;
-      this.tooManyAtMs = nowMs;
-    } else if (alongside >= this.atOnce && this.mayTryMore(nowMs)) {
-      this.atOnce += 1;
+      const sustained = Math.max(1, Math.floor(peakConcurrency / factor));
+      this.limit = Math.min(this.limit, sustained);
+      this.overloadCount = peakConcurrency;
+      this.overloadedAtMs = nowMs;
+    } else if (peakConcurrency >= this.limit && this.mayRaiseLimit(nowMs)) {
+      this.limit += 1;
     }
   }
 
-  private mayTryMore(nowMs: number): boolean {
-    const isLongAgo = nowMs - this.tooManyAtMs > RETRY_MORE_MS;
-    return this.atOnce + 1 < this.tooMany || isLongAgo;
+  private mayRaiseLimit(nowMs: number): boolean {
+    const isLongAgo = nowMs - this.overloadedAtMs > RAISE_RETRY_MS;
+    return this.limit + 1 < this.overloadCount || isLongAgo;
   }
 
   /**
-   * Drops loads of which nothing more will be heard. One that was told of early
-   * counts until it can have ended: some engines name a model that they load.
+   * Drops loads without a final report. A load that was reported early counts
+   * until its expected end, since some engines list a model while loading it.
    */
-  private forgetLost(nowMs: number): void {
-    this.running.forEach(({beganAtMs, durationMs, isToldEarly}, engineId) => {
-      const times = isToldEarly ? 1 : LOST_AFTER_TIMES;
-      const isOver = nowMs - beganAtMs > times * durationMs;
-      if (isOver) this.running.delete(engineId);
-    });
+  private dropExpired(nowMs: number): void {
+    this.running.forEach(
+      ({startedAtMs, durationMs, isReportedEarly}, engineId) => {
+        const times = isReportedEarly ? 1 : LOST_LOAD_FACTOR;
+        const isOver = nowMs - startedAtMs > times * durationMs;
+        if (isOver) this.running.delete(engineId);
+      },
+    );
   }
 }
--- a/packages/schedule-models/src/swap_context.ts
+++ b/packages/schedule-models/src/swap_context.ts
@@ -1,24 +1,23 @@
-/** What a policy may look at, taken together from what the scheduler keeps. */
+/** Builds the context that swap policies read from the scheduler's state. */
 import {type CopyCounts} from './copy_counts.js';
 import {type DemandRates} from './demand.js';
 import {type EngineIndex} from './engine_index.js';
 import {type EngineView} from './engine_view.js';
-import {type MissedModels} from './refusal_counts.js';
+import {type RefusalCounts} from './refusal_counts.js';
 import {type ModelCatalogue} from './model_catalogue.js';
-import {type ReadingSpeed} from './prefill_speed.js';
+import {type PrefillSpeed} from './prefill_speed.js';
 import {type StoreLoads} from './store_loads.js';
 import {type SwapContext} from './swap_policy.js';
-import {findWantedCopies} from './target_copies.js';
+import {findTargetCopies} from './target_copies.js';
 
-/** What a context reads from. */
 export interface SwapContextSources {
   engines: readonly EngineView[];
   index: EngineIndex;
   copies: CopyCounts;
   catalogue: ModelCatalogue;
   demand: DemandRates;
-  missed: MissedModels;
-  speed: ReadingSpeed;
+  refusals: RefusalCounts;
+  speed: PrefillSpeed;
   storeLoads: StoreLoads;
 }
 
@@ -27,23 +26,23 @@
   sources: SwapContextSources,
 ): SwapContext {
   const {engines, index, copies, catalogue, demand} = sources;
-  const {missed, speed, storeLoads} = sources;
+  const {refusals, speed, storeLoads} = sources;
   return {
     ...{nowMs, engines},
-    listNear: (service, model) => index.listNear(service, model),
+    listCaching: (service, model) => index.listCaching(service, model),
     copiesOf: model => copies.find(model),
-    listAsked: () => demand.listFaded(nowMs),
-    missesOf: (service, model) => missed.count(service, model),
+    listDemand: () => demand.listCurrent(nowMs),
+    refusalsOf: (service, model) => refusals.count(service, model),
     rateOf: (service, model) =>
       demand.find(service, model, nowMs).requestsPerSecond,
-    msPerPromptToken: service => speed.findUsual(service),
-    wantedCopiesOf: (service, model) =>
-      findWantedCopies(
+    msPerPromptToken: service => speed.findServiceAverage(service),
+    targetCopiesOf: (service, model) =>
+      findTargetCopies(
         demand.find(service, model, nowMs),
-        speed.findUsual(service),
+        speed.findServiceAverage(service),
       ),
-    mayLoadFromStore: service =>
-      storeLoads.mayBegin(
+    canLoadFromStore: service =>
+      storeLoads.canStart(
         catalogue.findEngine(service)?.storeLoadsPerSecond ?? 0,
         nowMs,
       ),
--- a/packages/schedule-models/src/swap_options.ts
+++ b/packages/schedule-models/src/swap_options.ts
@@ -1,34 +1,38 @@
-/** The swaps that are possible now. */
+/** Lists the swaps that are possible now. */
 import {type ServiceName} from '@mimosatack/types';
 import {type EngineView} from './engine_view.js';
-import {type Residency} from './resident_model.js';
-import {mayReach} from './scheduled_request.js';
+import {type ResidentModel} from './resident_model.js';
+import {isEngineAllowed} from './scheduled_request.js';
 import {type Batch, type SwapChoice, type SwapContext} from './swap_policy.js';
 
 /**
- * A model that has just been loaded stays for this long at least, so that two
- * models do not turn each other out before the requests have come that they
- * were loaded for.
+ * Minimum time that a model stays loaded. Guards against two models that evict
+ * each other before their requests have been served.
  */
-const MIN_STAY_MS = 250;
+const MIN_RESIDENCE_MS = 250;
 
-/** The engines that can load the model from near now, each with all victims. */
-export function listNearSwaps(
+/**
+ * All swaps that load the model from an engine's cache, one for each possible
+ * victim.
+ */
+export function listCachedSwaps(
   batch: Batch,
-  {listNear, nowMs}: SwapContext,
+  {listCaching, nowMs}: SwapContext,
 ): SwapChoice[] {
   const {service, model, requests} = batch;
-  return listNear(service, model)
+  return listCaching(service, model)
     .filter(engine => canOrder(engine, service, nowMs))
     .filter(engine => !engine.residents.has(model))
-    .filter(({id}) => requests.some(request => mayReach(request, id)))
+    .filter(({id}) => requests.some(request => isEngineAllowed(request, id)))
     .flatMap(engine =>
-      listOnEngine(engine, engine.memory.modelMb(model), nowMs),
+      listEngineSwaps(engine, engine.memory.modelMb(model), nowMs),
     );
 }
 
-/** Requests a second that would miss the victim, over its copies. */
-export function findLoss(
+/**
+ * Requests per second affected by evicting the victim, divided by its copies.
+ */
+export function findEvictionLoss(
   {engine, victim}: SwapChoice,
   context: SwapContext,
 ): number {
@@ -38,7 +42,7 @@
   return rate / Math.max(1, copies);
 }
 
-/** Whether an engine of the service can be given an order now. */
+/** Whether an order can be sent to an engine of the service now. */
 export function canOrder(
   engine: EngineView,
   service: ServiceName,
@@ -46,13 +50,13 @@
 ): boolean {
   return (
     engine.entry.service === service &&
-    engine.isOpenAt(nowMs) &&
-    engine.orders.isOpen(nowMs) &&
-    !engine.hasOrderUnderWay(nowMs)
+    engine.acceptsWorkAt(nowMs) &&
+    engine.orders.canSend(nowMs) &&
+    !engine.hasOrderInProgress(nowMs)
   );
 }
 
-function listOnEngine(
+function listEngineSwaps(
   engine: EngineView,
   neededMb: number,
   nowMs: number,
@@ -60,16 +64,15 @@
   const {freeMb} = engine.memory;
   if (freeMb >= neededMb) return [{engine, victim: null}];
   return [...engine.residents.values()]
-    .filter(resident => isIdle(resident, nowMs))
+    .filter(resident => isEvictable(resident, nowMs))
     .filter(resident => freeMb + engine.memory.memoryOf(resident) >= neededMb)
     .map(victim => ({engine, victim}));
 }
 
-/** Whether a model may be turned out now. */
-export function isIdle(resident: Residency, nowMs: number): boolean {
+export function isEvictable(resident: ResidentModel, nowMs: number): boolean {
   return (
     resident.runs === 0 &&
     resident.isReady(nowMs) &&
-    resident.readyAtMs + MIN_STAY_MS <= nowMs
+    resident.readyAtMs + MIN_RESIDENCE_MS <= nowMs
   );
 }
--- a/packages/schedule-models/src/swap_policy.ts
+++ b/packages/schedule-models/src/swap_policy.ts
@@ -1,51 +1,58 @@
-/** Which models are loaded for whom, and which make room for them. */
+/** Interface of the policies that select which models to load and to evict. */
 import {type ModelName, type ServiceName} from '@mimosatack/types';
-import {type AskedModel} from './demand.js';
+import {type ModelDemand} from './demand.js';
 import {type EngineView} from './engine_view.js';
-import {type Residency} from './resident_model.js';
+import {type ResidentModel} from './resident_model.js';
 import {type ScheduledRequest} from './scheduled_request.js';
 
 /** The requests that wait for one model. */
 export interface Batch {
   service: ServiceName;
   model: ModelName;
-  /** In the order in which they came. */
+  /** In order of arrival. */
   requests: readonly ScheduledRequest[];
 }
 
-/** What a policy may look at. */
+/** The state on which a policy decides. */
 export interface SwapContext {
   nowMs: number;
   engines: readonly EngineView[];
-  /** Engines that could load a model without the weight store. */
-  listNear: (service: ServiceName, model: ModelName) => readonly EngineView[];
-  /** Engines that take work and hold a model, or are loading it. */
+  /** Engines that can load the model without the weight store. */
+  listCaching: (
+    service: ServiceName,
+    model: ModelName,
+  ) => readonly EngineView[];
+  /**
+   * The number of engines that accept work and hold a model or are loading it.
+   */
   copiesOf: (model: ModelName) => number;
-  /** Requests for a model, a second. */
+  /** Requests per second for a model. */
   rateOf: (service: ServiceName, model: ModelName) => number;
   /** Requests for a model that were refused since it was last served. */
-  missesOf: (service: ServiceName, model: ModelName) => number;
-  /** The models that were asked for lately. */
-  listAsked: () => readonly AskedModel[];
-  /** How long an engine of the service reads for one prompt token. */
+  refusalsOf: (service: ServiceName, model: ModelName) => number;
+  /** The models with recent demand. */
+  listDemand: () => readonly ModelDemand[];
+  /**
+   * Prefill time per prompt token on an engine of the service, in milliseconds.
+   */
   msPerPromptToken: (service: ServiceName) => number;
-  /** Engines that have to hold a model, for all its prompts to be read. */
-  wantedCopiesOf: (service: ServiceName, model: ModelName) => number;
-  /** Whether the weight store bears one more load now. */
-  mayLoadFromStore: (service: ServiceName) => boolean;
+  /** The number of engines required to read all prompts for a model. */
+  targetCopiesOf: (service: ServiceName, model: ModelName) => number;
+  /** Whether the weight store can serve one more load now. */
+  canLoadFromStore: (service: ServiceName) => boolean;
 }
 
-/** A load on one engine, with the model that makes room; null if none must. */
+/** A load on one engine and the model to evict for it; null if none. */
 export interface SwapChoice {
   engine: EngineView;
-  victim: Residency | null;
+  victim: ResidentModel | null;
 }
 
-/** Decides about swaps; all else of scheduling is common to all policies. */
+/** Selects swaps. All other scheduling is the same for all policies. */
 export interface SwapPolicy {
   readonly name: string;
-  /** The batches to load for, the first first. */
+  /** The batches to load models for, in descending order of preference. */
   rank(batches: readonly Batch[], context: SwapContext): Batch[];
-  /** Where to load for a batch now; null when that pays nowhere. */
+  /** The swap for a batch; null if none is possible or worthwhile. */
   choose(batch: Batch, context: SwapContext): SwapChoice | null;
 }
--- a/packages/schedule-models/src/target_copies.ts
+++ b/packages/schedule-models/src/target_copies.ts
@@ -1,21 +1,23 @@
-/** How many engines have to hold a model so that its prompts are read in time. */
+/**
+ * Computes how many engines should hold a model to read its prompts in time.
+ */
 import {type Demand} from './demand.js';
 import {findPacingLimits} from './prompt_pacing.js';
 
 /**
- * Part of the reading that pacing allows which demand may take up on average;
- * the rest is for requests that come together.
+ * Average utilization of the prefill time that pacing allows; the rest is
+ * reserved for bursts.
  */
-const PLANNED_PART = 0.75;
+const PLANNED_UTILIZATION = 0.75;
 const MS_PER_SECOND = 1_000;
 
-/** @param msPerPromptToken how long an engine reads for one. */
-export function findWantedCopies(
+/** @param msPerPromptToken prefill time per prompt token. */
+export function findTargetCopies(
   {promptTokensPerSecond, gapMs}: Demand,
   msPerPromptToken: number,
 ): number {
   const readingMsPerSecond = promptTokensPerSecond * msPerPromptToken;
-  const {readingShare} = findPacingLimits(gapMs);
-  const perEngineMs = MS_PER_SECOND * readingShare * PLANNED_PART;
+  const {prefillShare} = findPacingLimits(gapMs);
+  const perEngineMs = MS_PER_SECOND * prefillShare * PLANNED_UTILIZATION;
   return Math.max(1, Math.ceil(readingMsPerSecond / perEngineMs));
 }
--- a/packages/schedule-models/src/waiting_batches.ts
+++ b/packages/schedule-models/src/waiting_batches.ts
@@ -1,9 +1,9 @@
-/** Requests that wait for the same model. */
+/** Groups waiting requests by model. */
 import {toModelKey} from './model_key.js';
 import {type ScheduledRequest} from './scheduled_request.js';
 import {type Batch} from './swap_policy.js';
 
-/** One batch a model, each in the order of its requests. */
+/** Returns one batch for each model and keeps the order of the requests. */
 export function groupBatches(requests: readonly ScheduledRequest[]): Batch[] {
   const groups = new Map<string, ScheduledRequest[]>();
   requests.forEach(request => {
--- a/packages/schedule-models/src/waiting_requests.ts
+++ b/packages/schedule-models/src/waiting_requests.ts
@@ -1,7 +1,7 @@
-/** The requests that wait, the most urgent first. */
+/** The queue of waiting requests. */
 import {type ScheduledRequest} from './scheduled_request.js';
 
-/** Kept in order, since each decision goes through them several times. */
+/** Caches the sorted list, which each decision reads several times. */
 export class WaitingRequests {
   private readonly requests = new Map<string, ScheduledRequest>();
   private ordered: readonly ScheduledRequest[] | null = null;
@@ -20,12 +20,12 @@
     this.ordered = this.ordered.filter(request => request.askId !== askId);
   }
 
-  /** In the order in which they came to wait. */
+  /** In order of insertion. */
   list(): ScheduledRequest[] {
     return [...this.requests.values()];
   }
 
-  /** By priority, and within it by the time of arrival. */
+  /** Sorted by priority, then by arrival. */
   listByUrgency(): readonly ScheduledRequest[] {
     this.ordered ??= this.list().sort(
       (a, b) => a.priority - b.priority || a.arrivedAtMs - b.arrivedAtMs,
--- a/packages/schedule-models/src/wrong_speed.test.ts
+++ b/packages/schedule-models/src/wrong_speed.test.ts
@@ -6,7 +6,7 @@
 import {ModelScheduler} from './scheduler.js';
 import {makeEngine} from './scheduler_fixture.js';
 
-const test = suite('engines that are taken for slow');
+const test = suite('engines wrongly estimated as slow');
 
 const STEP_MS = 10;
 const RUN_MS = 600;
@@ -22,14 +22,14 @@
   };
 }
 
-/** Asks at a steady rate; each run begins `headMs` after it was assigned. */
-class SteadyPlay {
+/** Sends requests at a steady rate; responses begin after `ttfbMs`. */
+class SteadyTraffic {
   readonly waitsMs: number[] = [];
   private readonly scheduler = new ModelScheduler({
     policy: new BatchWorthPolicy(),
   });
   private readonly running: Array<{askId: string; endsAtMs: number}> = [];
-  private asked = 0;
+  private requestCount = 0;
   private nowMs = 0;
 
   constructor() {
@@ -40,52 +40,52 @@
     this.scheduler.noteReport('e1', report, 0);
   }
 
-  run(forMs: number, perSecond: number, headMs: number): void {
+  run(forMs: number, perSecond: number, ttfbMs: number): void {
     const endMs = this.nowMs + forMs;
     while (this.nowMs < endMs) {
       this.nowMs += STEP_MS;
       if (this.nowMs % (1_000 / perSecond) < STEP_MS) this.ask();
-      this.endRuns(headMs);
+      this.endRuns(ttfbMs);
       this.scheduler.decide(this.nowMs).forEach(decision => {
-        if (decision.kind === 'assign') this.begin(decision.askId, headMs);
+        if (decision.kind === 'assign') this.begin(decision.askId, ttfbMs);
       });
     }
   }
 
   private ask(): void {
-    this.asked += 1;
-    const request = makeRequest(`r${this.asked}.${this.nowMs}`, this.nowMs);
+    this.requestCount += 1;
+    const request = makeRequest(
+      `r${this.requestCount}.${this.nowMs}`,
+      this.nowMs,
+    );
     this.scheduler.ask(request, this.nowMs);
   }
 
-  private begin(askId: string, headMs: number): void {
+  private begin(askId: string, ttfbMs: number): void {
     this.waitsMs.push(this.nowMs - Number(askId.split('.')[1]));
-    this.running.push({askId, endsAtMs: this.nowMs + headMs + RUN_MS});
+    this.running.push({askId, endsAtMs: this.nowMs + ttfbMs + RUN_MS});
   }
 
-  private endRuns(headMs: number): void {
+  private endRuns(ttfbMs: number): void {
     const ended = this.running.filter(({endsAtMs}) => endsAtMs <= this.nowMs);
     ended.forEach(run => {
       this.running.splice(this.running.indexOf(run), 1);
       const {askId} = run;
-      this.scheduler.noteEnd(askId, 'e1', 'served', headMs, this.nowMs);
+      this.scheduler.noteEnd(askId, 'e1', 'served', ttfbMs, this.nowMs);
     });
   }
 }
 
 /*
- * All nodes lose power and start together, on a third of a core each. The first
- * answers reach callers a second late, since the nodes are busy with starting, and
- * the engines are taken for slow readers. From then on every request is held back
- * for 0.9 s, for as long as requests keep coming: only an engine with nothing to
- * read taught its speed, and none seemed to have nothing to read.
+ * Guards against engines that stay estimated as slow after late responses at a
+ * cold start, so that every request is deferred by 0.9 s.
  */
-test('engines that answer soon again are given work at once again', () => {
-  const play = new SteadyPlay();
-  play.run(12_000, 1, 1_500);
-  const before = play.waitsMs.length;
-  play.run(10_000, 20, 30);
-  const last = play.waitsMs.slice(before).slice(-40);
+test('engines that respond quickly again receive requests at once', () => {
+  const sim = new SteadyTraffic();
+  sim.run(12_000, 1, 1_500);
+  const before = sim.waitsMs.length;
+  sim.run(10_000, 20, 30);
+  const last = sim.waitsMs.slice(before).slice(-40);
   const mean = last.reduce((sum, waitMs) => sum + waitMs, 0) / last.length;
   assert.ok(mean < 100, `${Math.round(mean)} ms`);
 });
