--- a/packages/serving-node/src/caller_access.test.ts
+++ b/packages/serving-node/src/caller_access.test.ts
@@ -6,7 +6,7 @@
 import * as assert from 'uvu/assert';
 import {CallerAccess} from './caller_access.js';
 
-const test = suite('whose requests a node serves');
+const test = suite('caller access');
 
 const KEY = 'key-of-link';
 const TEAM: TeamSpec = {
@@ -41,7 +41,7 @@
   return {access, logger, state, check};
 }
 
-test('a key names its team, others are refused', () => {
+test('a known key identifies its team, other keys are refused', () => {
   const {check, logger} = startAccess();
   assert.is(check([KEY]), 'link');
   assert.is(check(['other']), 'unauthorized');
@@ -52,8 +52,8 @@
   assert.is(line?.['configurationAgeMs'], 100);
 });
 
-// Guards against a key that serves on at a node which has not heard of its end.
-test('with old knowledge no key is good, and none is called unknown', () => {
+// Guards against accepting a revoked key on a node with an old configuration.
+test('an old configuration neither accepts keys nor calls them unknown', () => {
   const {access, check, state} = startAccess();
   state.ageMs = 3_501;
   assert.not(access.isConfirmed);
@@ -64,7 +64,7 @@
   assert.is(check([KEY]), 'link');
 });
 
-test('without a bound, or without keys, old knowledge is good', () => {
+test('without a revocation limit or without keys, any age is accepted', () => {
   const unbounded = startAccess(null);
   unbounded.state.ageMs = Infinity;
   assert.is(unbounded.check([KEY]), 'link');
--- a/packages/serving-node/src/caller_access.ts
+++ b/packages/serving-node/src/caller_access.ts
@@ -1,4 +1,4 @@
-/** Whose requests this node serves, by the keys that are in force. */
+/** Authenticates callers by the current configuration's keys. */
 import {TeamKeys, authenticateKey} from '@mimosatack/authenticate';
 import {TypedError} from '@mimosatack/errors';
 import {type EventLogger} from '@mimosatack/logger';
@@ -9,44 +9,41 @@
 } from '@mimosatack/serve-requests';
 import {type ServiceRoute, type TeamSpec} from '@mimosatack/types';
 
-/** What keys are checked with. */
 export interface CallerAccessOptions {
   logger: EventLogger;
-  /** How long ago the configuration was known to be the newest. */
+  /** Time since the configuration was last known to be the newest. */
   configurationAgeMs: () => number;
-  /** A key that was taken away serves nobody after this time; null: no bound. */
+  /** Longest time that a revoked key stays valid; null for no limit. */
   revokeMs: () => number | null;
 }
 
-/** The rest is for what clocks and looks differ by. */
-const USED_PART = 0.7;
+/** Leaves room for clock drift and for the interval between checks. */
+const MAX_AGE_FRACTION = 0.7;
 const UNCONFIRMED_RETRY_MS = 1_000;
 
-/** Checks each request before anything is spent on it, and before each send. */
+/** Checks each request on arrival, and again before each send. */
 export class CallerAccess implements AccessCheck {
   private keys: TeamKeys | null = null;
   private version = -1;
 
   constructor(private readonly options: CallerAccessOptions) {}
 
-  /** @param teams null where requests carry no keys. */
+  /** @param teams null when requests carry no keys. */
   configure(version: number, teams: readonly TeamSpec[] | null): void {
     this.version = version;
     this.keys = teams && new TeamKeys(teams);
   }
 
   /**
-   * Whether keys can be checked now.
+   * Whether the configuration is recent enough to check keys against.
    *
-   * Guards against a key that serves on after it was taken away, at a node that
-   * has not heard of it: one that was cut off, frozen or suspended, or while the
-   * store is silent. Requests with keys are refused once the node's knowledge is
-   * nearly as old as a key may live on.
+   * Guards against accepting a revoked key on a node that is partitioned or was
+   * frozen or suspended, or while the store is unavailable.
    */
   get isConfirmed(): boolean {
     const revokeMs = this.options.revokeMs();
     if (!this.keys || revokeMs === null) return true;
-    return this.options.configurationAgeMs() < USED_PART * revokeMs;
+    return this.options.configurationAgeMs() < MAX_AGE_FRACTION * revokeMs;
   }
 
   check(
@@ -57,14 +54,14 @@
     if (!keys) return {team: null};
     const found = this.isConfirmed
       ? authenticateKey(request.keyHashes, keys)
-      : makeUnconfirmed();
+      : makeUnconfirmedError();
     if (!(found instanceof TypedError)) return {team: found};
     if (isPublic) return {team: null};
-    this.logRefused(request, found);
+    this.logRefusal(request, found);
     return found;
   }
 
-  private logRefused({requestId}: AccessRequest, error: TypedError): void {
+  private logRefusal({requestId}: AccessRequest, error: TypedError): void {
     const ageMs = this.options.configurationAgeMs();
     this.options.logger.log('key-refused', {
       requestId,
@@ -76,10 +73,10 @@
   }
 }
 
-function makeUnconfirmed(): TypedError {
+function makeUnconfirmedError(): TypedError {
   return new TypedError(
     'platform-unavailable',
-    'The keys in force could not be confirmed lately.',
+    'The configuration is too old to verify keys.',
     {run: 'not-run', retryAfterMs: UNCONFIRMED_RETRY_MS},
   );
 }
--- a/packages/serving-node/src/configuration_follower.test.ts
+++ b/packages/serving-node/src/configuration_follower.test.ts
@@ -7,7 +7,7 @@
 import * as assert from 'uvu/assert';
 import {ConfigurationFollower} from './configuration_follower.js';
 
-const test = suite('how new the configuration is known to be');
+const test = suite('configuration follower');
 
 const KEY = 'config';
 const REVOKE_MS = 5_000;
@@ -21,7 +21,7 @@
   return {version, routes: [], services: [], teams: null, limits};
 }
 
-/** A read that waits is answered in the end, as the platform's store does. */
+/** Returns an empty read after `waitMs`, as the platform's store does. */
 class TimedTopic extends MemoryKeyedTopic {
   constructor(private readonly clock: ManualClock) {
     super();
@@ -63,74 +63,74 @@
     onRegained: () => undefined,
   });
   follower.start();
-  const pass = async (ms: number) => {
-    for (let passed = 0; passed < ms; passed += 50) {
+  const advance = async (ms: number) => {
+    for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += 50) {
       clock.advance(50);
       await settle();
     }
   };
-  return {clock, topic, follower, pass};
+  return {clock, topic, follower, advance};
 }
 
-test('a read confirms what stood before it was begun', async () => {
-  const {follower, pass} = startFollower({isReader: true});
+test('a read confirms the configuration as of the start of the read', async () => {
+  const {follower, advance} = startFollower({isReader: true});
   assert.is(follower.ageMs, Infinity);
-  await pass(5_000);
+  await advance(5_000);
   assert.ok(follower.ageMs <= 2 * 900 + 100, `${follower.ageMs}`);
 });
 
-// Guards against a node that believes for ever what nobody confirms.
-test('a node that nobody tells reads by itself, by its rank', async () => {
+// Guards against a node that never reads when confirmations stop.
+test('without confirmations a node reads by itself, delayed by its rank', async () => {
   const first = startFollower({rank: 0});
-  await first.pass(10_000);
+  await first.advance(10_000);
   assert.ok(first.follower.ageMs <= 1_900, `${first.follower.ageMs}`);
   const last = startFollower({rank: 500});
-  await last.pass(2_400);
+  await last.advance(2_400);
   assert.ok(last.follower.ageMs > 2_000);
-  await last.pass(5_000);
+  await last.advance(5_000);
   assert.ok(last.follower.ageMs <= 3_100, `${last.follower.ageMs}`);
 });
 
-// Guards against keys that serve on at a host that was suspended.
-test('a suspension makes the knowledge older', async () => {
-  const {clock, follower, pass} = startFollower();
-  await pass(100);
+// Guards against accepting a revoked key after a suspension of the host.
+test('the age includes a suspension of the host', async () => {
+  const {clock, follower, advance} = startFollower();
+  await advance(100);
   clock.suspend(6_000);
   assert.ok(follower.ageMs >= 6_000);
 });
 
-test('while the store is away the knowledge grows old', async () => {
-  const {topic, follower, pass} = startFollower({isReader: true});
-  await pass(1_000);
+test('the age grows while the store is unavailable', async () => {
+  const {topic, follower, advance} = startFollower({isReader: true});
+  await advance(1_000);
   topic.isDown = true;
-  await pass(6_000);
+  await advance(6_000);
   assert.ok(follower.ageMs >= 5_000, `${follower.ageMs}`);
   topic.isDown = false;
-  await pass(1_500);
+  await advance(1_500);
   assert.ok(follower.ageMs <= 1_900, `${follower.ageMs}`);
 });
 
-test('others confirm it while this node is turned away', async () => {
-  const {topic, follower, pass} = startFollower();
-  await pass(1_000);
+test('a peer confirms the version while the store rejects this node', async () => {
+  const {topic, follower, advance} = startFollower();
+  await advance(1_000);
   topic.isDown = true;
-  await pass(6_000);
+  await advance(6_000);
   follower.noteConfirmed(1, follower.nowMs - 30);
   assert.is(follower.ageMs, 30);
   follower.noteConfirmed(2, follower.nowMs);
   assert.is(follower.ageMs, 30);
 });
 
-// Guards against keys that are refused since what was told came before its version.
-test('a version that comes after its confirmation is confirmed by it', async () => {
-  const {topic, follower, pass} = startFollower();
-  await pass(1_000);
+// Guards against refusing keys when a confirmation precedes its version.
+test('a confirmation applies to a version that arrives after it', async () => {
+  const {topic, follower, advance} = startFollower();
+  await advance(1_000);
   topic.isDown = true;
-  await pass(6_000);
+  await advance(6_000);
   follower.noteConfirmed(2, follower.nowMs - 30);
   assert.ok(follower.ageMs > 5_000);
   const value = Buffer.from('2');
-  follower.takeFromPeer([{key: KEY, value, offset: 5}]);
+  follower.applyFromPeer([{key: KEY, value, offset: 5}]);
   assert.is(follower.version, 2);
   assert.is(follower.ageMs, 30);
 });
--- a/packages/serving-node/src/configuration_follower.ts
+++ b/packages/serving-node/src/configuration_follower.ts
@@ -1,4 +1,4 @@
-/** Keeps the newest configuration, whoever brings it. */
+/** Follows the newest configuration, from the store or from peers. */
 import {type Clock, SuspensionAwareClock} from '@mimosatack/clock';
 import {type TypedError} from '@mimosatack/errors';
 import {
@@ -12,7 +12,6 @@
 import {type ServingConfiguration} from '@mimosatack/types';
 import {type PlatformAdapter} from './platform_adapter.js';
 
-/** What the follower is built from. */
 export interface ConfigurationFollowerOptions {
   clock: Clock;
   random: RandomSource;
@@ -20,11 +19,11 @@
     PlatformAdapter,
     'configurationTopic' | 'configurationKey' | 'decodeConfiguration'
   >;
-  /** Whether this node has to notice a change for the others too. */
+  /** Whether this node reads the store on behalf of the others. */
   isReader: () => boolean;
-  /** How many other nodes read before this one when nobody confirms. */
+  /** How many nodes read before this one when confirmations stop. */
   findRank: () => number;
-  /** What was taken back is served no longer than this; null for no bound. */
+  /** Longest time that a revoked key stays valid; null for no limit. */
   revokeMs: () => number | null;
   onConfiguration: (configuration: ServingConfiguration) => void;
   onFault: (error: unknown) => void;
@@ -32,55 +31,53 @@
   onRegained: () => void;
 }
 
-/** A version that was the newest as of a time. */
-interface ToldConfirmation {
+/** A version that another node knew to be the newest as of a time. */
+interface PeerConfirmation {
   version: number;
   asOfMs: number;
 }
 
-/** A read waits for the next change for this long. */
+/** How long a read waits for the next change. */
 const WAIT_MS = 20_000;
 /**
- * Connections may all go silent at once without a reset. One node reads so
- * often that it notices within the time in which a change has to be in force;
- * the others learn of it from that node.
+ * Guards against connections that hang without a reset: the reader polls often
+ * enough to see a change in time, and passes it on to the other nodes.
  */
 const READER_WAIT_MS = 900;
-/** Times that end in `PART` are parts of the time for which a key may live on. */
-const READER_WAIT_PART = 0.1;
+/** `FRACTION` constants are fractions of `revokeMs`. */
+const READER_WAIT_FRACTION = 0.1;
 const MIN_INTERVAL_MS = 50;
 const RETRY_DELAY_MS = 200;
-/** The node that reads for the others notices sooner, and tells them. */
+/** For nodes other than the reader, which retries faster and informs them. */
 const MAX_RETRY_DELAY_MS = 2_000;
-/** A large change takes as long to arrive at all nodes. */
+/** Covers a large change, which takes this long to reach all nodes. */
 const OWN_READ_MS = 1_000;
-const OWN_READ_PART = 0.2;
-/** A node reads by itself when nobody has confirmed for this long. */
+const OWN_READ_FRACTION = 0.2;
+/** A node reads the store itself after this time without a confirmation. */
 const UNCONFIRMED_MS = 1_500;
-const UNCONFIRMED_PART = 0.3;
+const UNCONFIRMED_FRACTION = 0.3;
 /**
- * The next node does so this much later: what one has read is confirmed for all
- * within two heartbeats.
+ * Delay between two nodes of consecutive rank: a read by one node confirms the
+ * configuration for all nodes within two heartbeats.
  */
-const READ_STEP_MS = 50;
-/** All read by themselves after that, whatever their rank. */
-const MAX_READ_STEPS_MS = 1_200;
-const LOOK_INTERVAL_MS = 250;
+const RANK_DELAY_MS = 50;
+const MAX_RANK_DELAY_MS = 1_200;
+const CHECK_INTERVAL_MS = 250;
 
 /**
- * Guards against a configuration that goes back: an old version may come from
- * a peer that lags, or from a slow read. Versions only rise within a process.
+ * Guards against reverting to an older version, received from a lagging peer or
+ * a slow read: within a process, versions only increase.
  */
 export class ConfigurationFollower {
   readonly table = new KeyedTable();
   private readonly follower: KeyedFollower;
   private readonly clock: SuspensionAwareClock;
   private current: ServingConfiguration | null = null;
-  /** As of when others have confirmed the configuration in force. */
-  private toldAsOfMs = -Infinity;
-  /** The same of a version that this node does not have yet. */
-  private toldOfNewer: ToldConfirmation | null = null;
-  private periodic: Periodic | null = null;
+  /** Time as of which other nodes have confirmed the current version. */
+  private peerConfirmedAsOfMs = -Infinity;
+  /** Confirms a version that this node has not received yet. */
+  private pendingConfirmation: PeerConfirmation | null = null;
+  private confirmationCheck: Periodic | null = null;
 
   constructor(private readonly options: ConfigurationFollowerOptions) {
     const {random, platform} = options;
@@ -93,7 +90,7 @@
       retryDelayMs: RETRY_DELAY_MS,
       maxRetryDelayMs: () =>
         options.isReader() ? RETRY_DELAY_MS : MAX_RETRY_DELAY_MS,
-      onChanges: changes => this.take(changes),
+      onChanges: changes => this.applyChanges(changes),
       onLost: error => options.onLost(error),
       onRegained: () => options.onRegained(),
     });
@@ -103,24 +100,23 @@
     return this.current;
   }
 
-  /** -1 while none is known. */
+  /** -1 before the first configuration. */
   get version(): number {
     return this.current?.version ?? -1;
   }
 
   /**
-   * As of when this node knows that its configuration is the newest, on a clock
-   * that counts suspension; see `nowMs`.
+   * Time as of which the configuration is known to be the newest: the start of
+   * the read that confirmed it, on the clock of `nowMs`.
    *
-   * Guards against a node that serves what was taken back long ago, since it was
-   * cut off, frozen or suspended: it knows how old its knowledge is, from the
-   * moment at which the read that confirmed it was begun.
+   * Guards against accepting a revoked key on a node that was partitioned,
+   * frozen or suspended.
    */
   get asOfMs(): number {
-    return Math.max(this.follower.asOfMs, this.toldAsOfMs);
+    return Math.max(this.follower.asOfMs, this.peerConfirmedAsOfMs);
   }
 
-  /** On the clock of `asOfMs`. */
+  /** Current time on a clock that includes suspension of the host. */
   get nowMs(): number {
     return this.clock.monotonicMs();
   }
@@ -129,64 +125,68 @@
     return this.nowMs - this.asOfMs;
   }
 
-  /** By then a node that the store answers has read a change by itself. */
+  /** Time within which a node that reaches the store has read a change. */
   get ownReadMs(): number {
-    return this.limitByRevocation(OWN_READ_MS, OWN_READ_PART);
+    return this.boundByRevocation(OWN_READ_MS, OWN_READ_FRACTION);
   }
 
   /**
-   * Another node knows that a version was the newest; so whoever has that one,
-   * or a later one, knows all that came before.
+   * Takes a confirmation by another node. It holds for this version and for all
+   * later ones.
    *
-   * @param asOfMs no later than its read, on the clock of this node's `nowMs`.
+   * @param asOfMs at or before the start of that node's read, on the clock of
+   *     `nowMs`.
    */
   noteConfirmed(version: number, asOfMs: number): void {
-    if (version > this.version) this.toldOfNewer = {version, asOfMs};
-    else this.toldAsOfMs = Math.max(this.toldAsOfMs, asOfMs);
+    if (version > this.version) this.pendingConfirmation = {version, asOfMs};
+    else this.peerConfirmedAsOfMs = Math.max(this.peerConfirmedAsOfMs, asOfMs);
   }
 
   start(): void {
     this.follower.start();
-    this.periodic = startPeriodic(this.options.clock, LOOK_INTERVAL_MS, () => {
-      if (this.isUnconfirmed) this.follower.refresh();
-    });
+    this.confirmationCheck = startPeriodic(
+      this.options.clock,
+      CHECK_INTERVAL_MS,
+      () => {
+        if (this.isUnconfirmed) this.follower.refresh();
+      },
+    );
   }
 
   stop(): void {
     this.follower.stop();
-    this.periodic?.stop();
+    this.confirmationCheck?.stop();
   }
 
-  /** Whether this node has to look by itself whether something is new. */
+  /** Whether this node has to read the store itself. */
   private get isUnconfirmed(): boolean {
     const {isReader, findRank} = this.options;
-    // Without a configuration nothing can be confirmed, and the reads go on.
+    // Without a configuration there is no version to confirm; reads continue.
     if (!this.current || isReader()) return false;
-    const stepsMs = Math.min(MAX_READ_STEPS_MS, findRank() * READ_STEP_MS);
+    const rankDelayMs = Math.min(MAX_RANK_DELAY_MS, findRank() * RANK_DELAY_MS);
     return (
       this.ageMs >
-      this.limitByRevocation(UNCONFIRMED_MS, UNCONFIRMED_PART) + stepsMs
+      this.boundByRevocation(UNCONFIRMED_MS, UNCONFIRMED_FRACTION) + rankDelayMs
     );
   }
 
   private findWaitMs(): number {
     if (this.options.isReader()) {
-      return this.limitByRevocation(READER_WAIT_MS, READER_WAIT_PART);
+      return this.boundByRevocation(READER_WAIT_MS, READER_WAIT_FRACTION);
     }
     return this.isUnconfirmed ? 0 : WAIT_MS;
   }
 
-  private limitByRevocation(mostMs: number, partOfRevoke: number): number {
+  private boundByRevocation(maxMs: number, revokeFraction: number): number {
     const revokeMs = this.options.revokeMs() ?? Infinity;
-    return Math.min(mostMs, partOfRevoke * revokeMs);
+    return Math.min(maxMs, revokeFraction * revokeMs);
   }
 
-  /** Takes records that a peer has passed on. */
-  takeFromPeer(records: readonly KeyedRecord[]): void {
-    this.take(this.table.applyRecords(Infinity, records, 0));
+  applyFromPeer(records: readonly KeyedRecord[]): void {
+    this.applyChanges(this.table.applyRecords(Infinity, records, 0));
   }
 
-  private take(changes: readonly KeyedChange[]): void {
+  private applyChanges(changes: readonly KeyedChange[]): void {
     const {platform, onConfiguration, onFault} = this.options;
     const newest = changes.findLast(
       ({key, value}) => key === platform.configurationKey && value !== null,
@@ -196,11 +196,11 @@
       const decoded = platform.decodeConfiguration(newest.value);
       if (decoded.version <= this.version) return;
       this.current = decoded;
-      const told = this.toldOfNewer;
-      if (told) this.noteConfirmed(told.version, told.asOfMs);
+      const pending = this.pendingConfirmation;
+      if (pending) this.noteConfirmed(pending.version, pending.asOfMs);
       onConfiguration(decoded);
     } catch (thrown) {
-      // The last good one stays in force.
+      // The last valid configuration stays in effect.
       onFault(thrown);
     }
   }
--- a/packages/serving-node/src/containment_task.test.ts
+++ b/packages/serving-node/src/containment_task.test.ts
@@ -1,4 +1,3 @@
-/** What the store keeps of contained requests, and who writes it. */
 import {ManualClock} from '@mimosatack/clock';
 import {type TypedError} from '@mimosatack/errors';
 import {MemoryKeyedTopic} from '@mimosatack/keyed-store';
@@ -7,7 +6,7 @@
 import * as assert from 'uvu/assert';
 import {CONTAINED_KEY, ContainmentTask} from './containment_task.js';
 
-const test = suite('record of what is contained');
+const test = suite('record of contained requests');
 
 function makeTask(topic: MemoryKeyedTopic, isWriter = true) {
   const faults: TypedError[] = [];
@@ -27,51 +26,51 @@
   return records.find(({key}) => key === CONTAINED_KEY)?.value ?? null;
 }
 
-test('nothing is written while nothing is contained', async () => {
+test('nothing is written while no request is contained', async () => {
   const topic = new MemoryKeyedTopic();
   const {task} = makeTask(topic);
   task.containment.noteCut('once', 'a');
-  await task.look();
+  await task.syncRecord();
   assert.is(topic.endOffset, 0);
 });
 
-test('a node that starts contains what another one has written', async () => {
+test('a new node contains the requests that another node has recorded', async () => {
   const topic = new MemoryKeyedTopic();
   const {task} = makeTask(topic);
   contain(task);
-  await task.look();
-  await task.look();
+  await task.syncRecord();
+  await task.syncRecord();
   assert.is(topic.endOffset, 1);
   const {task: started} = makeTask(topic);
-  started.take(await readRecord(topic));
+  started.applyRecord(await readRecord(topic));
   assert.ok(started.containment.isContained('bad'));
-  await started.look();
+  await started.syncRecord();
   assert.is(topic.endOffset, 1);
 });
 
-test('one node writes for all', async () => {
+test('only the writer writes the record', async () => {
   const topic = new MemoryKeyedTopic();
   const {task} = makeTask(topic, false);
   contain(task);
-  await task.look();
+  await task.syncRecord();
   assert.is(topic.endOffset, 0);
 });
 
-test('the record goes once nothing is contained any more', async () => {
+test('the record is deleted once no request is contained', async () => {
   const topic = new MemoryKeyedTopic();
   const {task} = makeTask(topic);
   contain(task);
-  await task.look();
+  await task.syncRecord();
   task.containment.noteServed('bad');
-  await task.look();
+  await task.syncRecord();
   assert.is(await readRecord(topic), null);
 });
 
-/* Somebody else has written there; what is known must stand, and be told. */
-test('a record of another form is told and changes nothing', async () => {
+// Guards against losing contained requests to a record of another writer.
+test('an undecodable record is reported and changes nothing', async () => {
   const {task, faults} = makeTask(new MemoryKeyedTopic());
   contain(task);
-  task.take(Buffer.from('{"bad":'));
+  task.applyRecord(Buffer.from('{"bad":'));
   assert.ok(task.containment.isContained('bad'));
   assert.equal(
     faults.map(({kind}) => kind),
@@ -79,16 +78,16 @@
   );
 });
 
-/* The store is away when the third server ends; it must not be forgotten. */
-test('a write that fails is made up for', async () => {
+// Guards against losing the record when the store is unavailable.
+test('a failed write is retried', async () => {
   const topic = new MemoryKeyedTopic();
   const {task, faults} = makeTask(topic);
   topic.isDown = true;
   contain(task);
-  await task.look();
+  await task.syncRecord();
   assert.is(faults.length, 1);
   topic.isDown = false;
-  await task.look();
+  await task.syncRecord();
   assert.is.not(await readRecord(topic), null);
 });
 
--- a/packages/serving-node/src/containment_task.ts
+++ b/packages/serving-node/src/containment_task.ts
@@ -1,4 +1,4 @@
-/** What a node does about requests that crash servers, wired together. */
+/** Shares the requests that crash servers with other nodes. */
 import {type Clock} from '@mimosatack/clock';
 import {
   CrashExchange,
@@ -10,32 +10,31 @@
 import {type KeyedTopic} from '@mimosatack/keyed-store';
 import {type EventLogger} from '@mimosatack/logger';
 
-/** The key of the record; no node has such a name. */
+/** Key of the record in the nodes topic; not a valid node name. */
 export const CONTAINED_KEY = ':contained';
 
-/** What the task is built from. */
 export interface ContainmentTaskOptions {
   clock: Clock;
   logger: EventLogger;
-  /** The topic that every node reads when it starts. */
+  /** Topic that every node reads when it starts. */
   topic: KeyedTopic;
-  /** Whether this node writes for all. */
+  /** Whether this node writes the record for all nodes. */
   isWriter: () => boolean;
   onFault: (error: TypedError) => void;
 }
 
 /**
- * Keeps what is known of contained requests in step with the store.
+ * Keeps the record of contained requests in the store up to date.
  *
- * Guards against three more servers that end under each such request whenever
- * all nodes end at once. The record lies where each node looks at its start, and
- * nothing is written or read for it while nothing is contained.
+ * Guards against losing the contained requests when all nodes restart at once,
+ * after which each crashes servers again. Nothing is written without contained
+ * requests.
  */
 export class ContainmentTask {
   readonly containment: RequestContainment;
   readonly exchange: CrashExchange;
-  /** As the store is known to have it. */
-  private recorded: Uint8Array | null = null;
+  /** Last value known to be in the store. */
+  private storedRecord: Uint8Array | null = null;
   private isWriting = false;
 
   constructor(private readonly options: ContainmentTaskOptions) {
@@ -47,35 +46,35 @@
     this.exchange = new CrashExchange({clock, containment});
   }
 
-  get figures(): {containedRequests: number; suspectedRequests: number} {
+  get gauges(): {containedRequests: number; suspectedRequests: number} {
     const {contained, evidence} = this.containment;
     const containedRequests = contained.length;
     const suspectedRequests = evidence.byRequest.size - containedRequests;
     return {containedRequests, suspectedRequests};
   }
 
-  /** Takes the record, from the store or from a peer. */
-  take(value: Uint8Array | null): void {
-    this.recorded = value;
+  /** Applies the record, read from the store or received from a peer. */
+  applyRecord(value: Uint8Array | null): void {
+    this.storedRecord = value;
     if (!value) return;
     const facts = decodeContained(value, this.options.clock.monotonicMs());
     if (facts) this.containment.take(facts);
-    else this.options.onFault(makeInvalid());
+    else this.options.onFault(makeInvalidRecordError());
   }
 
-  /** Writes the record if it is behind; to be called again and again. */
-  async look(): Promise<void> {
+  /** Writes the record if it has changed; has to be called periodically. */
+  async syncRecord(): Promise<void> {
     const {topic, isWriter, onFault} = this.options;
     if (this.isWriting || !isWriter()) return;
     const {contained, evidence} = this.containment;
     const value = encodeContained(contained, evidence.byRequest);
-    if (isSame(value, this.recorded)) return;
+    if (areEqual(value, this.storedRecord)) return;
     this.isWriting = true;
     try {
       await topic.append([{key: CONTAINED_KEY, value}]);
-      this.recorded = value;
+      this.storedRecord = value;
     } catch (thrown) {
-      // It is still behind at the next look.
+      // The next call writes the record again.
       onFault(toTypedError(thrown));
     } finally {
       this.isWriting = false;
@@ -83,15 +82,15 @@
   }
 }
 
-function isSame(one: Uint8Array | null, other: Uint8Array | null): boolean {
+function areEqual(one: Uint8Array | null, other: Uint8Array | null): boolean {
   if (one === null || other === null) return one === other;
   return Buffer.from(one).equals(other);
 }
 
-function makeInvalid(): TypedError {
+function makeInvalidRecordError(): TypedError {
   return new TypedError(
     'record-invalid',
-    'The record of contained requests has another form.',
+    'The record of contained requests could not be decoded.',
     {run: 'not-run'},
   );
 }
--- a/packages/serving-node/src/describe_self.ts
+++ b/packages/serving-node/src/describe_self.ts
@@ -1,4 +1,4 @@
-/** What a node tells others of itself. */
+/** Describes this node to the other nodes. */
 import {randomUUID} from 'node:crypto';
 import {type KnownNode} from '@mimosatack/node-links';
 import {formatAddress} from '@mimosatack/types';
@@ -6,7 +6,7 @@
 
 const INCARNATION_LENGTH = 8;
 
-/** Each life of a process has another incarnation. */
+/** Generates a new incarnation, which identifies one process of a node. */
 export function describeSelf(settings: NodeSettings): KnownNode {
   return {
     nodeName: settings.nodeName,
--- a/packages/serving-node/src/entry_list.ts
+++ b/packages/serving-node/src/entry_list.ts
@@ -1,6 +1,6 @@
 import {type SocketAddress} from '@mimosatack/types';
 
-/** Where callers may connect, and how long they may keep the answer. */
+/** Addresses at which callers can connect, and how long to cache them. */
 export interface EntryList {
   addresses: readonly SocketAddress[];
   ttlMs: number;
--- a/packages/serving-node/src/entry_points.ts
+++ b/packages/serving-node/src/entry_points.ts
@@ -1,10 +1,9 @@
-/** Where callers may connect. */
+/** Lists the addresses at which callers can connect. */
 import {type Clock} from '@mimosatack/clock';
 import {type KnownNode} from '@mimosatack/node-links';
 import {type EntryList} from './entry_list.js';
 import {type NodeSettings} from './node_settings.js';
 
-/** What the entry points are found with. */
 export interface EntryPointsOptions {
   clock: Clock;
   settings: NodeSettings;
@@ -13,41 +12,42 @@
   isServing: () => boolean;
 }
 
-/** Callers ask again after this time, and so learn of a lost node. */
-const TTL_MS = 1_500;
-/** What the holder said of the nodes is believed for this long. */
-const SERVING_MS = 2_000;
+/** Bounds how long callers keep using the address of a lost node. */
+const ADDRESS_LIST_TTL_MS = 1_500;
+/** How long a list from the scheduling node stays valid. */
+const SERVING_NODES_TTL_MS = 2_000;
 
-/** The nodes that serve, as the node that schedules knows. */
+/** The nodes that accept callers, as the scheduling node last reported. */
 export class EntryPoints {
-  private serving: readonly string[] = [];
-  private servingAtMs = -Infinity;
+  private servingNodes: readonly string[] = [];
+  private servingNodesAtMs = -Infinity;
 
   constructor(private readonly options: EntryPointsOptions) {}
 
-  /** Returns whether the nodes differ from those before. */
-  noteServing(nodeNames: readonly string[]): boolean {
+  /** Returns whether the set of nodes has changed. */
+  updateServingNodes(nodeNames: readonly string[]): boolean {
     const sorted = [...nodeNames].sort();
-    const hasChanged = sorted.join() !== this.serving.join();
-    this.serving = sorted;
-    this.servingAtMs = this.options.clock.monotonicMs();
+    const hasChanged = sorted.join() !== this.servingNodes.join();
+    this.servingNodes = sorted;
+    this.servingNodesAtMs = this.options.clock.monotonicMs();
     return hasChanged;
   }
 
-  /** Without news of the others, all registered nodes are offered. */
+  /** Includes all registered nodes when the last report is out of date. */
   list(): EntryList {
     const {clock, settings, self, listNodes, isServing} = this.options;
-    const isFresh = clock.monotonicMs() - this.servingAtMs < SERVING_MS;
+    const isFresh =
+      clock.monotonicMs() - this.servingNodesAtMs < SERVING_NODES_TTL_MS;
     const others = listNodes().filter(
       ({nodeName}) =>
         nodeName !== self.nodeName &&
-        (!isFresh || this.serving.includes(nodeName)),
+        (!isFresh || this.servingNodes.includes(nodeName)),
     );
     const nodes =
       isServing() || others.length === 0 ? [self, ...others] : others;
     return {
       addresses: nodes.map(({callerAddress}) => callerAddress),
-      ttlMs: Math.min(TTL_MS, settings.maxEntriesTtlMs),
+      ttlMs: Math.min(ADDRESS_LIST_TTL_MS, settings.maxEntriesTtlMs),
     };
   }
 }
--- a/packages/serving-node/src/fault_log.ts
+++ b/packages/serving-node/src/fault_log.ts
@@ -1,26 +1,25 @@
-/** Logs what a node loses, regains and can not do. */
+/** Logs lost and regained dependencies and failed tasks of a node. */
 import {type TypedError, toTypedError} from '@mimosatack/errors';
 import {type EventLogger} from '@mimosatack/logger';
 
-/** Told of a dependency, by whatever follows it. */
-export interface DependencyWatch {
+/** Called when the state of a dependency changes. */
+export interface DependencyCallbacks {
   onLost: (error: TypedError) => void;
   onRegained: () => void;
 }
 
-/** The lines of all tasks of one node. */
 export class FaultLog {
   constructor(private readonly logger: EventLogger) {}
 
-  watch(dependency: string): DependencyWatch {
+  watchDependency(dependency: string): DependencyCallbacks {
     return {
       onLost: error => this.logger.log('dependency-lost', {dependency, error}),
       onRegained: () => this.logger.log('dependency-regained', {dependency}),
     };
   }
 
-  /** A task that goes on all the same. */
-  note(thrown: unknown, task: string): void {
+  /** Logs a failure after which the task continues. */
+  logTaskFailure(thrown: unknown, task: string): void {
     this.logger.log('task-failed', {
       task,
       error: toTypedError(thrown),
--- a/packages/serving-node/src/log_server_change.ts
+++ b/packages/serving-node/src/log_server_change.ts
@@ -1,7 +1,7 @@
 import {type EventLogger} from '@mimosatack/logger';
 import {type ServerChange} from './server_follower.js';
 
-/** Logs a server that has come, has changed its state or has gone. */
+/** Logs a server that was added, was removed or changed state. */
 export function logServerChange(
   logger: EventLogger,
   {id, entry, offset}: ServerChange,
--- a/packages/serving-node/src/node_register.ts
+++ b/packages/serving-node/src/node_register.ts
@@ -1,4 +1,4 @@
-/** The nodes of the system, as they have registered in the store. */
+/** Registers this node in the store and follows the other nodes. */
 import {type Clock} from '@mimosatack/clock';
 import {type TypedError, toTypedError} from '@mimosatack/errors';
 import {
@@ -12,54 +12,48 @@
 import {type RandomSource} from '@mimosatack/random';
 import {CONTAINED_KEY} from './containment_task.js';
 
-/** What the register is built from. */
 export interface NodeRegisterOptions {
   clock: Clock;
   random: RandomSource;
   topic: KeyedTopic;
   self: KnownNode;
-  /** Whether this node reads for the others too. */
+  /** Whether this node reads the store on behalf of the others. */
   isReader: () => boolean;
-  /** Whether another node passes on what it reads. */
-  isTold: () => boolean;
-  /** Told of records that came from the store, to pass on. */
+  /** Whether another node passes on the records that it reads. */
+  isUpdatedByPeer: () => boolean;
+  /** Called with the first offset of new records for peers. */
   onRead: (fromOffset: number) => void;
-  /** Told of the record that is kept beside those of the nodes. */
-  onContained: (value: Uint8Array | null) => void;
-  /** A lost node was taken off the list. */
-  onStruck: (nodeName: string) => void;
+  /** Called with the record of contained requests, kept in the same topic. */
+  onContainmentRecord: (value: Uint8Array | null) => void;
+  onRemoved: (nodeName: string) => void;
   onLost: (error: TypedError) => void;
   onRegained: () => void;
 }
 
 const WAIT_MS = 20_000;
 /**
- * Hundreds of nodes that start together are read of in a few batches. A node that
- * has registered and is restarted while the store goes away is known to nobody if
- * it has not been read of yet, so that this is short.
+ * Batches the records of nodes that start together. Short, because a node that
+ * no other node has read yet stays unknown during an outage of the store.
  */
 const MIN_INTERVAL_MS = 100;
 const RETRY_DELAY_MS = 300;
 const MAX_RETRY_DELAY_MS = 2_400;
-/** The reader passes a new node on within its interval and a heartbeat. */
-const MISSED_MS = 1_000;
+/** Longer than the reader takes to pass on a new node. */
+const UNKNOWN_GRACE_MS = 1_000;
 
 /**
- * Registers this node and follows the others.
- *
- * One node reads for all. If each did, every start and stop of one would wake a
- * read of each other node. With 40 nodes that start together, 565 reads of the
- * first 12 s became 96 to 133 (whole processes before a stand-in of the store).
+ * One node reads the store for all, because each start or stop of a node would
+ * otherwise complete a waiting read of every other node.
  */
 export class NodeRegister {
   private readonly follower: KeyedFollower;
   private readonly nodes = new Map<string, KnownNode>();
   readonly table = new KeyedTable();
-  private missedSinceMs = Infinity;
-  /** The next read is due though another node passes records on. */
-  private isMissing = false;
+  private unknownSinceMs = Infinity;
+  /** Makes the next read due although another node passes records on. */
+  private isReadForced = false;
   private isStopped = false;
-  private isStriking = false;
+  private isRemoving = false;
 
   constructor(private readonly options: NodeRegisterOptions) {
     const {clock, random, topic, self} = options;
@@ -71,7 +65,7 @@
       ...{retryDelayMs: RETRY_DELAY_MS},
       maxRetryDelayMs: () => MAX_RETRY_DELAY_MS,
       isNeeded: () => this.isReadDue(),
-      onChanges: changes => this.takeRead(changes),
+      onChanges: changes => this.applyRead(changes),
       onLost: error => options.onLost(error),
       onRegained: () => options.onRegained(),
     });
@@ -86,68 +80,66 @@
     void this.register();
   }
 
-  /** Takes this node off the list, so that nobody looks for it. */
-  async leave(): Promise<void> {
+  async deregister(): Promise<void> {
     this.isStopped = true;
     const {topic, self, onLost} = this.options;
     try {
       await topic.append([{key: self.nodeName, value: null}]);
     } catch (thrown) {
-      // The record stays; others find that nothing answers there.
+      // The record stays until the scheduling node finds this node silent.
       onLost(toTypedError(thrown));
     }
   }
 
-  /** Takes nodes that a peer knows; what this node has read itself stands. */
-  noteTold(nodes: readonly KnownNode[]): void {
+  /** Adds nodes that a peer knows; known nodes are not replaced. */
+  addUnknown(nodes: readonly KnownNode[]): void {
     nodes
       .filter(({nodeName}) => !this.nodes.has(nodeName))
       .forEach(node => this.nodes.set(node.nodeName, node));
   }
 
   /**
-   * Takes a lost node off the list, unless anything has changed there since it
-   * was read: the node may just have registered again.
+   * Removes a lost node, unless the topic has changed since it was last read:
+   * the node may have registered again.
    */
-  async strike({nodeName}: KnownNode): Promise<void> {
-    if (this.isStriking || !this.follower.isReachable) return;
-    this.isStriking = true;
+  async removeLost({nodeName}: KnownNode): Promise<void> {
+    if (this.isRemoving || !this.follower.isReachable) return;
+    this.isRemoving = true;
     try {
       const {status} = await this.options.topic.append(
         [{key: nodeName, value: null}],
         {atOffset: this.table.endOffset},
       );
-      if (status === 'appended') this.options.onStruck(nodeName);
+      if (status === 'appended') this.options.onRemoved(nodeName);
     } catch (thrown) {
-      // It is still silent at the next look, and struck off then.
+      // Retried at the next check while the node stays silent.
       this.options.onLost(toTypedError(thrown));
     } finally {
-      this.isStriking = false;
+      this.isRemoving = false;
     }
   }
 
-  /** Takes records that a peer has passed on. */
-  takeFromPeer(
+  applyFromPeer(
     fromOffset: number,
     records: readonly KeyedRecord[],
     endOffset: number,
   ): void {
-    this.take(this.table.applyRecords(fromOffset, records, endOffset));
+    this.applyChanges(this.table.applyRecords(fromOffset, records, endOffset));
   }
 
-  /** Reads by itself when others name nodes for long that it does not know. */
-  noteNames(nodeNames: readonly string[]): void {
-    const isMissed = nodeNames.some(name => !this.nodes.has(name));
+  /** Reads the store when other nodes keep naming a node unknown here. */
+  checkServingNames(nodeNames: readonly string[]): void {
+    const hasUnknown = nodeNames.some(name => !this.nodes.has(name));
     const nowMs = this.options.clock.monotonicMs();
-    this.missedSinceMs = isMissed
-      ? Math.min(this.missedSinceMs, nowMs)
+    this.unknownSinceMs = hasUnknown
+      ? Math.min(this.unknownSinceMs, nowMs)
       : Infinity;
-    if (nowMs - this.missedSinceMs >= MISSED_MS) this.readNow(nowMs);
+    if (nowMs - this.unknownSinceMs >= UNKNOWN_GRACE_MS) this.readNow(nowMs);
   }
 
   private readNow(nowMs: number): void {
-    this.missedSinceMs = nowMs;
-    this.isMissing = true;
+    this.unknownSinceMs = nowMs;
+    this.isReadForced = true;
     this.follower.refresh();
   }
 
@@ -156,15 +148,15 @@
   }
 
   private isReadDue(): boolean {
-    const {isReader, isTold} = this.options;
-    const isDue = this.isMissing || isReader() || !isTold();
-    this.isMissing = false;
+    const {isReader, isUpdatedByPeer} = this.options;
+    const isDue = this.isReadForced || isReader() || !isUpdatedByPeer();
+    this.isReadForced = false;
     return isDue;
   }
 
-  private takeRead(changes: readonly KeyedChange[]): void {
+  private applyRead(changes: readonly KeyedChange[]): void {
     const first = Math.min(...changes.map(({offset}) => offset));
-    this.take(changes);
+    this.applyChanges(changes);
     this.options.onRead(first);
   }
 
@@ -175,21 +167,21 @@
       await topic.append([{key: self.nodeName, value: encodeNode(self)}]);
     } catch (thrown) {
       onLost(toTypedError(thrown));
-      const laterMs = Math.min(2 * retryDelayMs, MAX_RETRY_DELAY_MS);
-      clock.setTimer(retryDelayMs, () => void this.register(laterMs));
+      const nextDelayMs = Math.min(2 * retryDelayMs, MAX_RETRY_DELAY_MS);
+      clock.setTimer(retryDelayMs, () => void this.register(nextDelayMs));
     }
   }
 
-  private take(changes: readonly KeyedChange[]): void {
-    const {self, onContained} = this.options;
+  private applyChanges(changes: readonly KeyedChange[]): void {
+    const {self, onContainmentRecord} = this.options;
     changes
       .filter(({key}) => key === CONTAINED_KEY)
-      .forEach(({value}) => onContained(value));
-    const isStruck = changes.some(
+      .forEach(({value}) => onContainmentRecord(value));
+    const wasRemoved = changes.some(
       ({key, value}) => key === self.nodeName && value === null,
     );
-    // It stood still for long, and the others took it for lost.
-    if (isStruck) void this.register();
+    // Another node may remove this one as lost after a long freeze.
+    if (wasRemoved) void this.register();
     changes
       .filter(({key}) => key !== self.nodeName && key !== CONTAINED_KEY)
       .forEach(({key, value}) => {
--- a/packages/serving-node/src/node_settings.ts
+++ b/packages/serving-node/src/node_settings.ts
@@ -1,4 +1,4 @@
-/** What a node is told of itself and of the bounds that it keeps. */
+/** The settings of a serving node. */
 import {type RetryBound} from '@mimosatack/serve-requests';
 import {type QuotaBounds} from '@mimosatack/team-quotas';
 import {
@@ -7,36 +7,35 @@
   type SocketAddress,
 } from '@mimosatack/types';
 
-/** The settings of one node. */
 export interface NodeSettings {
   nodeName: string;
   ip: string;
   failureDomain: FailureDomain;
   region: Region;
-  /** Processor that this node may use, in cores. */
+  /** CPU cores that this node may use. */
   cores: number;
   callerAddress: SocketAddress;
   readyAddress: SocketAddress;
   directoryAddress: SocketAddress;
   peerAddress: SocketAddress;
-  /** Where metrics are read; null for nowhere. */
+  /** Address that serves metrics; null to serve none. */
   metricsAddress: SocketAddress | null;
-  /** Some other nodes; they may be out of date. */
+  /** Addresses of some other nodes; may be out of date. */
   seeds: readonly SocketAddress[];
-  /** A server that leaves gets nothing new after this time. */
+  /** A draining server gets no new requests after this time. */
   drainMs: number;
-  /** How long a stop may take. */
+  /** Longest time that a shutdown may take. */
   graceMs: number;
-  /** Callers keep an answer of the directory no longer than this. */
+  /** Longest time that callers may cache a response of the directory. */
   maxEntriesTtlMs: number;
   retryBound: RetryBound;
-  /** A key that was taken away serves nobody after this time; null for no bound. */
+  /** Longest time that a revoked key stays valid; null for no limit. */
   revokeMs: number | null;
   quotaBounds: QuotaBounds;
-  /** Whether engines refuse orders with an old fencing token. */
+  /** Whether engines reject orders with an outdated fencing token. */
   isFenced: boolean;
-  /** Orders of two nodes to one engine are at least this far apart. */
+  /** Shortest time between orders from two nodes to one engine. */
   leaseMs: number;
-  /** Shared by all nodes; their connections to each other are signed with it. */
+  /** Signs the connections between nodes; the same on all nodes. */
   clusterSecret: string;
 }
--- a/packages/serving-node/src/node_state_metrics.ts
+++ b/packages/serving-node/src/node_state_metrics.ts
@@ -1,9 +1,8 @@
-/** Gauges of one node, set when they are asked for. */
+/** Sets the gauges of one node when its metrics are scraped. */
 import {type PrometheusMetrics} from '@mimosatack/metrics';
 import {type TeamLevel} from '@mimosatack/team-quotas';
 
-/** What is told of a node. */
-export interface NodeStateFigures {
+export interface NodeStateGauges {
   configurationVersion: number;
   servers: number;
   serversAgeMs: number;
@@ -14,9 +13,9 @@
   teams: readonly TeamLevel[];
 }
 
-export function noteNodeState(
+export function recordNodeState(
   metrics: PrometheusMetrics,
-  figures: NodeStateFigures,
+  figures: NodeStateGauges,
 ): void {
   metrics.gauge('configuration.version', figures.configurationVersion, {});
   metrics.gauge('configuration.age_ms', figures.configurationAgeMs, {});
--- a/packages/serving-node/src/platform_adapter.ts
+++ b/packages/serving-node/src/platform_adapter.ts
@@ -1,4 +1,4 @@
-/** What a node needs of the platform that it runs on. */
+/** Interface between a serving node and the platform that it runs on. */
 import {type EdgeDialect} from '@mimosatack/caller-edge';
 import {type KeyedTopic} from '@mimosatack/keyed-store';
 import {type EngineOrders} from '@mimosatack/schedule-service';
@@ -9,15 +9,15 @@
 } from '@mimosatack/types';
 import {type EntryList} from './entry_list.js';
 
-/** Names, formats and calls of one platform. */
+/** Names, formats and clients of one platform. */
 export interface PlatformAdapter {
   callerDialect: EdgeDialect;
   backendDialect: BackendDialect;
   configurationTopic: KeyedTopic;
-  /** The key under which the newest configuration lies. */
+  /** Key of the record with the newest configuration. */
   configurationKey: string;
   serversTopic: KeyedTopic;
-  /** Topics of the system's own: who its nodes are, and who schedules. */
+  /** The system's own topics: its nodes, and the holder of each duty. */
   nodesTopic: KeyedTopic;
   dutyTopic: KeyedTopic;
   engineOrders: EngineOrders;
--- a/packages/serving-node/src/scheduling_duty.test.ts
+++ b/packages/serving-node/src/scheduling_duty.test.ts
@@ -15,9 +15,9 @@
 import * as assert from 'uvu/assert';
 import {SchedulingDuty} from './scheduling_duty.js';
 
-const test = suite('scheduling as a duty');
+const test = suite('scheduling duty');
 
-/** It holds nothing and has the model on its disk. */
+/** An engine without resident models that has model m0 on disk. */
 const NEAR_ONLY = {residents: [], near: {inHostMemory: [], onDisk: ['m0']}};
 const EMPTY_REPORT: EngineReport = {
   ...{startedAtMs: null, orderCount: 0, isBusy: false, residents: []},
@@ -36,12 +36,12 @@
   };
 }
 
-/** @param report what the engine tells of itself; silent when not given. */
+/** @param report sent by the engine; without it, the engine does not answer. */
 async function startDuty(report?: EngineReport, isFenced = true) {
   const clock = new ManualClock();
   const topic = new MemoryKeyedTopic();
   const sent: FromHolder[] = [];
-  const told: Array<{isEnding: boolean}> = [];
+  const sentOrders: Array<{isEnding: boolean}> = [];
   let orders = 0;
   const duty: SchedulingDuty = new SchedulingDuty({
     clock,
@@ -77,7 +77,7 @@
           report ?? new TypedError('backend-unreachable', 'No answer.'),
         ),
     },
-    tellLastOrders: ({isEnding}) => told.push({isEnding}),
+    sendLastOrders: ({isEnding}) => sentOrders.push({isEnding}),
     send: (_address, message) => sent.push(message),
     listServices: () => [makeEngineService()],
     listServers: () => [
@@ -86,13 +86,13 @@
     onHolder: () => undefined,
   });
   duty.start();
-  const pass = async (ms: number) => {
-    for (let passed = 0; passed < ms; passed += 50) {
+  const advance = async (ms: number) => {
+    for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += 50) {
       clock.advance(50);
       await settle();
     }
   };
-  await pass(500);
+  await advance(500);
   assert.ok(duty.isHeld);
   const ask = async (askId: string) => {
     duty.receive('b:1', makeAsk(askId));
@@ -100,83 +100,68 @@
     return sent.find(message => message.askId === askId)?.type;
   };
   const countOrders = () => orders;
-  return {topic, duty, pass, ask, told, countOrders};
+  return {topic, duty, advance, ask, sentOrders, countOrders};
 }
 
-/*
- * A node that schedules is stopped as planned where engines check no fences. If it
- * told nothing, the next one would order no engine for seconds, and users would
- * wait for models meanwhile.
- */
-test('the next one is told whom this one has ordered', async () => {
-  const {duty, pass, ask, told, countOrders} = await startDuty(
+// Guards against a successor that waits a whole lease before its first order
+// where engines do not check fencing tokens.
+test('a handover sends the last orders to the successor', async () => {
+  const {duty, advance, ask, sentOrders, countOrders} = await startDuty(
     EMPTY_REPORT,
     false,
   );
   await ask('a1');
-  await pass(1_000);
+  await advance(1_000);
   assert.ok(countOrders() > 0);
   await duty.handOver(() => SUCCESSOR);
   assert.not(duty.isHeld);
-  assert.equal(told, [{isEnding: false}]);
+  assert.equal(sentOrders, [{isEnding: false}]);
 });
 
-/*
- * The node that schedules is stopped while the store is down. It has told the
- * others that it orders no more, and the next one orders at once; meanwhile its
- * own try to give the duty away ends in vain. Ordering on, it would order by turns
- * with the next one.
- */
-test('a node that has retired orders no more', async () => {
-  const {topic, duty, pass, ask, told, countOrders} =
+// Guards against orders from two nodes when a handover fails after the node has
+// announced that it sends no more orders.
+test('a node sends no orders after it has stopped ordering', async () => {
+  const {topic, duty, advance, ask, sentOrders, countOrders} =
     await startDuty(EMPTY_REPORT);
   await ask('a1');
-  await pass(1_000);
+  await advance(1_000);
   assert.ok(countOrders() > 0);
   topic.isDown = true;
   void duty.handOver(() => SUCCESSOR);
-  duty.retire();
+  duty.stopOrdering();
   const before = countOrders();
-  await pass(2_000);
+  await advance(2_000);
   await ask('a2');
-  await pass(2_000);
+  await advance(2_000);
   assert.is(countOrders(), before);
-  assert.equal(told, [{isEnding: true}]);
+  assert.equal(sentOrders, [{isEnding: true}]);
 });
 
-/*
- * The node that schedules is stopped as planned while the store is down. Its
- * duty can't be given away, and all others still hear it: requests for models
- * that they send it must go on being scheduled, or they wait until their
- * callers leave.
- */
+// Guards against unscheduled requests when the store is down during a shutdown.
 test('schedules on while the duty can not be handed over', async () => {
-  const {topic, duty, pass, ask} = await startDuty();
+  const {topic, duty, advance, ask} = await startDuty();
   topic.isDown = true;
   let isOver = false;
   void duty.handOver(() => SUCCESSOR).then(() => (isOver = true));
-  await pass(1_000);
+  await advance(1_000);
   assert.is(await ask('r1'), 'assigned');
   assert.not(isOver);
   topic.isDown = false;
-  await pass(1_000);
+  await advance(1_000);
   assert.ok(isOver);
   assert.not(duty.isHeld);
   assert.is(duty.holder?.nodeName, 'b');
 });
 
-/*
- * Another node has the duty already, and a node that has not heard of it still
- * sends its requests here. Told so at once, it chooses by itself.
- */
-test('says at once when it does not schedule', async () => {
-  const {duty, pass, ask} = await startDuty();
+// Guards against requests that wait for a node that no longer schedules.
+test('answers not-scheduling at once when it does not hold the duty', async () => {
+  const {duty, advance, ask} = await startDuty();
   await duty.handOver(() => SUCCESSOR);
-  await pass(100);
+  await advance(100);
   assert.is(await ask('r1'), 'not-scheduling');
 });
 
-test('ends a hand-over when there is nobody to take it', async () => {
+test('a handover ends when there is no successor', async () => {
   const {duty, ask} = await startDuty();
   await duty.handOver(() => null);
   assert.is(await ask('r1'), 'assigned');
--- a/packages/serving-node/src/scheduling_duty.ts
+++ b/packages/serving-node/src/scheduling_duty.ts
@@ -1,4 +1,4 @@
-/** The duty of scheduling for all nodes, and the work that comes with it. */
+/** Runs the scheduler while this node holds the scheduling duty. */
 import {type Clock, sleep} from '@mimosatack/clock';
 import {
   type DutyAuthority,
@@ -21,13 +21,12 @@
 import {type BackendServerEntry, type ServiceSpec} from '@mimosatack/types';
 import {type ServerChange} from './server_follower.js';
 
-/** The teams' quotas are held by whoever schedules. */
+/** Team quotas, which the scheduling node accounts for. */
 export interface DutyQuotas extends HeldQuotas {
   startHolding(): void;
   stopHolding(): void;
 }
 
-/** What the duty is built from. */
 export interface SchedulingDutyOptions {
   clock: Clock;
   logger: EventLogger;
@@ -35,33 +34,33 @@
   orders: EngineOrders;
   quotas: DutyQuotas;
   send: (nodeAddress: string, message: FromHolder) => void;
-  /** Tells nodes, or all, which engines this one has ordered lately. */
-  tellLastOrders: (
-    told: {orders: readonly EngineOrderAge[]; isEnding: boolean},
+  /** Sends this node's recent engine orders to some nodes, or to all. */
+  sendLastOrders: (
+    message: {orders: readonly EngineOrderAge[]; isEnding: boolean},
     addresses?: readonly string[],
   ) => void;
   listServices: () => readonly ServiceSpec[];
   listServers: () => readonly BackendServerEntry[];
-  /** Another node, or this one, schedules from now on. */
+  /** Called when the holder of the scheduling duty has changed. */
   onHolder: (holder: DutyHolder | null, isSelf: boolean) => void;
 }
 
-/** A stop takes some seconds at most, so that this is soon enough. */
+/** Short compared with a shutdown, which takes a few seconds. */
 const HAND_OVER_RETRY_MS = 200;
 
-/** Schedules while this node holds the duty, and only then. */
+/** Schedules only while this node holds the duty. */
 export class SchedulingDuty {
   private readonly task: DutyTask;
-  private host: SchedulingHost | null = null;
-  private isGivingAway = false;
-  /** It orders no more, whatever comes of giving the duty away. */
-  private hasRetired = false;
+  private scheduler: SchedulingHost | null = null;
+  private isHandingOver = false;
+  /** Stays set even if the handover fails. */
+  private hasStoppedOrdering = false;
 
   constructor(private readonly options: SchedulingDutyOptions) {
     this.task = new DutyTask({
       ...options.duty,
       clock: options.clock,
-      onHolder: holder => this.takeHolder(holder),
+      onHolder: holder => this.handleHolderChange(holder),
     });
   }
 
@@ -86,81 +85,81 @@
   }
 
   /**
-   * Gives the duty away; resolves once that is done, or nobody can take it.
+   * Hands the duty over; resolves once that is done or there is no successor.
    *
-   * Guards against requests that wait until their callers leave: while the
-   * store can't be reached the duty stays here, and all other nodes go on
-   * sending their requests to this one. So it schedules on until another node
-   * stands in the record, and tries again.
+   * Guards against unscheduled requests while the store is unavailable: other
+   * nodes keep sending requests here, so this node schedules between attempts.
    */
   async handOver(findSuccessor: () => Successor | null): Promise<void> {
     while (this.task.isHeld) {
       const successor = findSuccessor();
       if (!successor) return;
-      // An order on its way could arrive behind the successor's first one.
-      this.isGivingAway = true;
+      // An order sent now could arrive after the successor's first one.
+      this.isHandingOver = true;
       const lastOrders = this.listLastOrders();
       const isDone = await this.task.handOver(successor);
-      this.isGivingAway = false;
-      if (isDone) this.tellSuccessor(successor, lastOrders);
+      this.isHandingOver = false;
+      if (isDone) this.sendOrdersTo(successor, lastOrders);
       else await sleep(this.options.clock, HAND_OVER_RETRY_MS);
     }
   }
 
-  private tellSuccessor(
+  private sendOrdersTo(
     {address}: Successor,
     orders: readonly EngineOrderAge[] | null,
   ): void {
     if (!orders) return;
-    this.options.tellLastOrders({orders, isEnding: false}, [address]);
+    this.options.sendLastOrders({orders, isEnding: false}, [address]);
   }
 
   /**
-   * Null while this holder still waits for the orders of the one before it: what
-   * it could tell of its own would not be all that the next one has to know.
+   * Null while this node still waits out the previous holder's orders: without
+   * them, the list would be incomplete.
    */
   private listLastOrders(): readonly EngineOrderAge[] | null {
     if (this.findQuietForMs() > 0) return null;
-    return this.host?.listLastOrders() ?? [];
+    return this.scheduler?.listLastOrders() ?? [];
   }
 
-  /** Ends ordering for good, since the process ends, and tells the others. */
-  retire(): void {
-    this.hasRetired = true;
+  /** Stops ordering before the process exits, and informs the other nodes. */
+  stopOrdering(): void {
+    this.hasStoppedOrdering = true;
     const orders = this.task.isHeld ? this.listLastOrders() : null;
-    if (orders) this.options.tellLastOrders({orders, isEnding: true});
+    if (orders) this.options.sendLastOrders({orders, isEnding: true});
   }
 
-  noteLastOrders(told: LastOrders): void {
+  noteLastOrders(lastOrders: LastOrders): void {
     this.options.logger.log('last-orders-told', {
-      holderIncarnation: told.incarnation,
-      engines: told.atMsByTarget.size,
+      holderIncarnation: lastOrders.incarnation,
+      engines: lastOrders.atMsByTarget.size,
     });
-    this.task.noteLastOrders(told);
+    this.task.noteLastOrders(lastOrders);
   }
 
   configure(services: readonly ServiceSpec[]): void {
-    this.host?.configure(services);
+    this.scheduler?.configure(services);
   }
 
-  takeServers(changes: readonly ServerChange[]): void {
-    const {host} = this;
-    if (!host) return;
-    changes.filter(({entry}) => !entry).forEach(({id}) => host.dropServer(id));
+  updateServers(changes: readonly ServerChange[]): void {
+    const {scheduler} = this;
+    if (!scheduler) return;
+    changes
+      .filter(({entry}) => !entry)
+      .forEach(({id}) => scheduler.dropServer(id));
     const present = changes.flatMap(({entry}) => (entry ? [entry] : []));
-    if (present.length > 0) host.putServers(present);
+    if (present.length > 0) scheduler.putServers(present);
   }
 
   receive(nodeAddress: string, message: ToHolder): void {
-    if (this.host) {
-      this.host.receive(nodeAddress, message);
+    if (this.scheduler) {
+      this.scheduler.receive(nodeAddress, message);
     } else if (message.type === 'ask' || message.type === 'charge') {
       const {askId} = message.type === 'ask' ? message.ask : message;
       this.options.send(nodeAddress, {type: 'not-scheduling', askId});
     }
   }
 
-  private takeHolder(holder: DutyHolder | null): void {
+  private handleHolderChange(holder: DutyHolder | null): void {
     const isSelf = this.task.isHeld;
     this.options.logger.log('duty-holder-changed', {
       holderNodeName: holder?.nodeName,
@@ -168,24 +167,24 @@
       isSelf,
       quietForMs: this.findQuietForMs(),
     });
-    if (isSelf && this.host) return;
-    this.stopHost();
-    if (isSelf) this.host = this.startHost();
+    if (isSelf && this.scheduler) return;
+    this.stopScheduler();
+    if (isSelf) this.scheduler = this.startScheduler();
     this.options.onHolder(holder, isSelf);
   }
 
-  /** What an engine has to wait of which nothing else is known. */
+  /** Remaining wait before orders to an engine without a known last order. */
   private findQuietForMs(): number {
     const untilMs = this.task.findQuietUntilMs('');
     const nowMs = this.options.clock.monotonicMs();
     return Math.max(0, Math.round(untilMs - nowMs));
   }
 
-  private startHost(): SchedulingHost {
+  private startScheduler(): SchedulingHost {
     const {clock, logger, orders, quotas, send, listServices, listServers} =
       this.options;
     quotas.startHolding();
-    const host = new SchedulingHost({
+    const scheduler = new SchedulingHost({
       ...{clock, logger, orders, quotas, send},
       policy: new BatchWorthPolicy(),
       authority: () => this.findAuthority(),
@@ -193,22 +192,22 @@
       onFenced: fencingToken => {
         logger.log('duty-lost', {fencingToken});
         this.task.refresh();
-        if (this.host === host) this.stopHost();
-        else host.stop();
+        if (this.scheduler === scheduler) this.stopScheduler();
+        else scheduler.stop();
       },
     });
-    host.start(listServices(), listServers());
-    return host;
+    scheduler.start(listServices(), listServers());
+    return scheduler;
   }
 
   private findAuthority(): DutyAuthority | null {
-    const isSilent = this.isGivingAway || this.hasRetired;
-    return isSilent ? null : this.task.findAuthority();
+    const mustNotOrder = this.isHandingOver || this.hasStoppedOrdering;
+    return mustNotOrder ? null : this.task.findAuthority();
   }
 
-  private stopHost(): void {
+  private stopScheduler(): void {
     this.options.quotas.stopHolding();
-    this.host?.stop();
-    this.host = null;
+    this.scheduler?.stop();
+    this.scheduler = null;
   }
 }
--- a/packages/serving-node/src/server_follower.test.ts
+++ b/packages/serving-node/src/server_follower.test.ts
@@ -8,9 +8,9 @@
 import {type PlatformAdapter} from './platform_adapter.js';
 import {ServerFollower} from './server_follower.js';
 
-const test = suite('list of servers');
+const test = suite('server follower');
 
-const DECODER = {
+const START_TIME_DECODER = {
   decodeServer: (id: string, value: Uint8Array) => {
     const text = Buffer.from(value).toString('utf8');
     if (text === 'junk') throw new TypedError('record-invalid', 'Unreadable.');
@@ -22,25 +22,21 @@
   const faults: unknown[] = [];
   const follower = new ServerFollower({
     ...{clock: new ManualClock(), random: new SeededRandom(1)},
-    platform: DECODER,
+    platform: START_TIME_DECODER,
     ...{isReader: () => false, peerAgeMs: () => 0},
-    ...{onChanges: () => undefined, onState: () => undefined},
+    ...{onChanges: () => undefined, onStateChange: () => undefined},
     ...{onRead: () => undefined, onFault: error => faults.push(error)},
     ...{onLost: () => undefined, onRegained: () => undefined},
   });
   let offset = 0;
   const write = (key: string, text: string) => {
     const value = Buffer.from(text);
-    follower.takeFromPeer(offset, [{key, value, offset}], ++offset);
+    follower.applyFromPeer(offset, [{key, value, offset}], ++offset);
   };
   return {follower, faults, write};
 }
 
-/*
- * Somebody else writes under a server's key what nobody can read. Users' requests
- * would still be sent there for as long as it stands, though nothing is known of
- * the server any more; all other servers must stay usable.
- */
+// Guards against sending requests to a server whose entry was overwritten.
 test('an entry that can not be read names no server to use', () => {
   const {follower, faults, write} = makeFollower();
   write('s1', '1000');
@@ -55,7 +51,7 @@
   assert.is(follower.listReady('writers').length, 2);
 });
 
-const DESCRIBED = {
+const JSON_DECODER = {
   decodeServer: (id: string, value: Uint8Array) => {
     const {state, holds, startedAtMs} = JSON.parse(
       Buffer.from(value).toString(),
@@ -68,103 +64,90 @@
   },
 } as unknown as PlatformAdapter;
 
-/** A node that reads for the others, and what it passes on to them. */
+/** A follower that reads the store, and the ids that it passes on to peers. */
 function makeReader() {
   const clock = new ManualClock();
   const topic = new MemoryKeyedTopic();
-  const passed: string[][] = [];
+  const broadcasts: string[][] = [];
   const reader: ServerFollower = new ServerFollower({
     ...{clock, random: new SeededRandom(1)},
-    platform: {...DESCRIBED, serversTopic: topic},
+    platform: {...JSON_DECODER, serversTopic: topic},
     ...{isReader: () => true, peerAgeMs: () => Infinity},
-    ...{onChanges: () => undefined, onState: () => undefined},
+    ...{onChanges: () => undefined, onStateChange: () => undefined},
     onRead: fromOffset =>
-      passed.push(reader.passedOn.listSince(fromOffset).map(({key}) => key)),
+      broadcasts.push(
+        reader.routingTable.listSince(fromOffset).map(({key}) => key),
+      ),
     ...{onFault: () => undefined, onLost: () => undefined},
     onRegained: () => undefined,
   });
   const write = (key: string, value: object | null) =>
     topic.append([{key, value: value && Buffer.from(JSON.stringify(value))}]);
-  const pass = async (durationMs: number) => {
-    for (let passedMs = 0; passedMs < durationMs; passedMs += 50) {
+  const advance = async (durationMs: number) => {
+    for (let elapsedMs = 0; elapsedMs < durationMs; elapsedMs += 50) {
       clock.advance(50);
       await new Promise(resolve => setImmediate(resolve));
     }
   };
-  return {reader, topic, passed, write, pass};
+  return {reader, topic, broadcasts, write, advance};
 }
 
-/*
- * Story: hundreds of nodes that serve a request a second use a tenth of their
- * links and half of their work to hear what each engine holds, which only the
- * node that schedules needs. Every heartbeat of every server went to all nodes.
- */
-test('of heartbeats, only what changes where requests go is passed on', async () => {
-  const {reader, passed, write, pass} = makeReader();
+// Guards against passing every heartbeat of every server on to all nodes.
+test('only changes that affect routing are passed on', async () => {
+  const {reader, broadcasts, write, advance} = makeReader();
   await write('s1', {state: 'ready', holds: 'm1'});
   await write('s2', {state: 'ready', holds: 'm1'});
   reader.start();
-  await pass(2_000);
-  assert.equal(passed, [['s1', 's2']]);
+  await advance(2_000);
+  assert.equal(broadcasts, [['s1', 's2']]);
   for (const holds of ['m2', 'm3', 'm4']) {
     await write('s1', {state: 'ready', holds});
-    await pass(1_000);
+    await advance(1_000);
   }
-  assert.is(passed.length, 1);
+  assert.is(broadcasts.length, 1);
   assert.is(reader.find('s1')?.residents[0]?.model, 'm4');
   await write('s1', {state: 'draining', holds: 'm4'});
   await write('s2', null);
-  await pass(1_000);
-  assert.equal(passed.slice(1).flat().sort(), ['s1', 's2']);
+  await advance(1_000);
+  assert.equal(broadcasts.slice(1).flat().sort(), ['s1', 's2']);
   reader.stop();
 });
 
-/*
- * Story: requests go to a server for models that it holds no more. A heartbeat
- * of its former life was long on its way to the store.
- */
-test('a late entry of an earlier life changes nothing, here or elsewhere', async () => {
-  const {reader, passed, write, pass} = makeReader();
+// Guards against a delayed heartbeat that names models of an earlier process.
+test('a delayed entry of an earlier process is neither applied nor passed on', async () => {
+  const {reader, broadcasts, write, advance} = makeReader();
   await write('s1', {state: 'ready', holds: 'm1', startedAtMs: 1_000});
   reader.start();
-  await pass(1_000);
+  await advance(1_000);
   await write('s1', {state: 'ready', holds: 'm2', startedAtMs: 9_000});
-  await pass(1_000);
-  const before = passed.length;
+  await advance(1_000);
+  const before = broadcasts.length;
   await write('s1', {state: 'ready', holds: 'm1', startedAtMs: 1_000});
-  await pass(1_000);
+  await advance(1_000);
   assert.is(reader.find('s1')?.startedAtMs, 9_000);
-  assert.is(passed.length, before);
-  const [told] = reader.passedOn.listSince(0);
-  assert.match(Buffer.from(told?.value ?? []).toString(), /9000/);
+  assert.is(broadcasts.length, before);
+  const [shared] = reader.routingTable.listSince(0);
+  assert.match(Buffer.from(shared?.value ?? []).toString(), /9000/);
   reader.stop();
 });
 
-/*
- * Story: requests wait for models that an engine is believed not to hold. A node
- * took over the scheduling, and had been told of servers by another one, which
- * passes on only where requests may go.
- */
-test('a node that begins to read takes all entries anew', async () => {
-  const {reader, topic, write, pass} = makeReader();
-  const told = Buffer.from(JSON.stringify({state: 'ready', holds: 'm1'}));
+// Guards against a new scheduling node that keeps a peer's partial entries.
+test('a node that becomes the reader reads all entries again', async () => {
+  const {reader, topic, write, advance} = makeReader();
+  const fromPeer = Buffer.from(JSON.stringify({state: 'ready', holds: 'm1'}));
   await write('s1', {state: 'ready', holds: 'm1'});
   await write('s1', {state: 'ready', holds: 'm2'});
-  reader.takeFromPeer(0, [{key: 's1', value: told, offset: 0}], 1);
+  reader.applyFromPeer(0, [{key: 's1', value: fromPeer, offset: 0}], 1);
   assert.is(reader.find('s1')?.residents[0]?.model, 'm1');
   topic.firstOffset = 2;
   reader.start();
-  await pass(1_000);
+  await advance(1_000);
   assert.is(reader.find('s1')?.residents[0]?.model, 'm2');
   reader.stop();
 });
 
-/*
- * Story: a server whose host's clock was set back gets no requests from most
- * nodes. The one that reads believes its second heartbeat and passes that one
- * on; the others waited for a second one, which never came.
- */
-test('a life that the reader believes is believed by those it tells', () => {
+// Guards against peers that reject a server whose host's clock was set back.
+test('peers accept an earlier start time that the reader has accepted', () => {
   const {follower, write} = makeFollower();
   write('s1', '9000');
   write('s1', '1000');
--- a/packages/serving-node/src/server_lives.test.ts
+++ b/packages/serving-node/src/server_lives.test.ts
@@ -2,14 +2,10 @@
 import * as assert from 'uvu/assert';
 import {ServerLives} from './server_lives.js';
 
-const test = suite('lives of a server by its entries');
+const test = suite('server lives');
 
-/*
- * A server crashes and starts again under its id. The last heartbeat of the old
- * life was held up on its way to the store and is written after the first one of
- * the new life. Requests would go to it for models that it holds no more.
- */
-test('a late entry of a life that has ended is passed over', () => {
+// Guards against a delayed heartbeat that names models of an earlier process.
+test('a delayed entry of an earlier process is rejected', () => {
   const lives = new ServerLives();
   assert.ok(lives.accepts('s1', 1_000));
   assert.ok(lives.accepts('s1', 9_000));
@@ -18,11 +14,8 @@
   assert.not(lives.accepts('s1', 1_000));
 });
 
-/*
- * The clock of a server's host is set back while it is down. Its new life then
- * seems to be an old one, and passed over for ever it would serve nobody.
- */
-test('a server whose clock was set back is believed at its second entry', () => {
+// Guards against rejecting a server whose host's clock was set back.
+test('the second entry in a row with an earlier start time is accepted', () => {
   const lives = new ServerLives();
   lives.accepts('s1', 9_000);
   assert.not(lives.accepts('s1', 4_000));
@@ -31,14 +24,14 @@
   assert.ok(lives.accepts('s1', 9_500));
 });
 
-test('an entry that tells no start is taken and changes nothing', () => {
+test('an entry without a start time is accepted and changes nothing', () => {
   const lives = new ServerLives();
   lives.accepts('s1', 9_000);
   assert.ok(lives.accepts('s1', null));
   assert.not(lives.accepts('s1', 1_000));
 });
 
-test('memory of servers that are gone is bounded', () => {
+test('the number of tracked servers is bounded', () => {
   const lives = new ServerLives();
   lives.accepts('first', 9_000);
   Array.from({length: 2_000}, (_, at) => lives.accepts(`s${at}`, 9_000));
--- a/packages/serving-node/src/server_lives.ts
+++ b/packages/serving-node/src/server_lives.ts
@@ -1,50 +1,49 @@
-/** Which life of each backend server the newest entry may tell of. */
+/** Rejects entries that a backend server's earlier process wrote. */
 import {
   type BackendServerId,
   type ServerStartMs,
   compareLives,
 } from '@mimosatack/types';
 
-/** What is known of one server's lives. */
+/** Start times that the entries of one server gave. */
 interface KnownLife {
   startedAtMs: ServerStartMs;
-  /** An earlier life that the entry before this one told of. */
-  doubtedMs: ServerStartMs;
+  /** Earlier start time in the last entry, which was rejected. */
+  rejectedStartMs: ServerStartMs;
 }
 
 /**
- * Ids are remembered after their entries are gone, since a late write may come
- * after that. This many is three lives of each server at the target size.
+ * Servers stay tracked after their entries are deleted, because a delayed write
+ * may follow. Allows three ids for each server at the target size.
  */
-const MAX_REMEMBERED = 2_000;
+const MAX_TRACKED_SERVERS = 2_000;
 
 /**
- * Guards against an entry of a life that has ended, which was long on its way
- * to the store and comes after the first one of the next life: it names models
- * that the server no longer holds, or says that it leaves. It is passed over. A
- * server whose host's clock was set back seems to have started earlier too, but
- * goes on writing, so the second such entry in a row is believed.
+ * Guards against a delayed entry of a process that has crashed, which names
+ * models that the restarted server no longer holds. A server whose host's clock
+ * was set back reports an earlier start too, but keeps writing, so the second
+ * such entry in a row is accepted.
  */
 export class ServerLives {
   private readonly lives = new Map<BackendServerId, KnownLife>();
 
-  /** Whether an entry may take the place of what is known. */
+  /** Whether an entry may replace the known one. */
   accepts(id: BackendServerId, startedAtMs: ServerStartMs): boolean {
     const known = this.lives.get(id);
     const order = compareLives(startedAtMs, known?.startedAtMs ?? null);
-    if (known && order === 'earlier' && known.doubtedMs !== startedAtMs) {
-      known.doubtedMs = startedAtMs;
+    if (known && order === 'earlier' && known.rejectedStartMs !== startedAtMs) {
+      known.rejectedStartMs = startedAtMs;
       return false;
     }
-    this.remember(id, startedAtMs ?? known?.startedAtMs ?? null);
+    this.track(id, startedAtMs ?? known?.startedAtMs ?? null);
     return true;
   }
 
-  private remember(id: BackendServerId, startedAtMs: ServerStartMs): void {
+  private track(id: BackendServerId, startedAtMs: ServerStartMs): void {
     this.lives.delete(id);
-    this.lives.set(id, {startedAtMs, doubtedMs: null});
+    this.lives.set(id, {startedAtMs, rejectedStartMs: null});
     const [oldest] = this.lives.keys();
-    if (this.lives.size > MAX_REMEMBERED && oldest !== undefined) {
+    if (this.lives.size > MAX_TRACKED_SERVERS && oldest !== undefined) {
       this.lives.delete(oldest);
     }
   }
--- a/packages/serving-node/src/serving_node.ts
+++ b/packages/serving-node/src/serving_node.ts
@@ -1,4 +1,4 @@
-/** One node: its tasks and its listeners, wired together. */
+/** Wires the tasks and listeners of one serving node. */
 import {type BackendConnections} from '@mimosatack/backend-connections';
 import {CallerEdge} from '@mimosatack/caller-edge';
 import {DrainGate, InFlight, ShutdownTask} from '@mimosatack/drain-node';
@@ -26,7 +26,7 @@
 import {NodeDeparture} from './node_departure.js';
 import {NodeRegister} from './node_register.js';
 import {type NodeSettings} from './node_settings.js';
-import {noteNodeState} from './node_state_metrics.js';
+import {recordNodeState} from './node_state_metrics.js';
 import {SchedulingDuty} from './scheduling_duty.js';
 import {logServerChange} from './log_server_change.js';
 import {ServerFollower} from './server_follower.js';
@@ -35,19 +35,19 @@
 import {SharedRecords} from './shared_records.js';
 import {StatusServer} from './status_server.js';
 import {logQuotaRefusal, makeTeamTasks} from './team_tasks.js';
-import {END_MARGIN_MS, TELL_CALLERS_MS} from './stop_times.js';
+import {CLOSE_MARGIN_MS, KEEP_LISTENING_MS} from './stop_times.js';
 
 const DUTY_KEY = 'scheduler';
-const EXPIRY_INTERVAL_MS = 1_000;
+const MAINTENANCE_INTERVAL_MS = 1_000;
 
-/** A node of the system, before backend servers that it does not run. */
+/** Routes requests to backend servers that the platform runs. */
 export class ServingNode {
   private readonly self: KnownNode;
   private readonly faults: FaultLog;
   private readonly servers: ServerFollower;
   private readonly configuration: ConfigurationFollower;
   private readonly register: NodeRegister;
-  private readonly shared: SharedRecords;
+  private readonly sharedRecords: SharedRecords;
   private readonly duty: SchedulingDuty;
   private readonly containment: ContainmentTask;
   private readonly access: CallerAccess;
@@ -57,10 +57,10 @@
   private readonly pipeline: RequestPipeline;
   private readonly edge: CallerEdge;
   private readonly status: StatusServer;
-  private readonly entries: EntryPoints;
+  private readonly entryPoints: EntryPoints;
   private readonly connections: BackendConnections;
   private readonly startedAtMs: number;
-  private greetedHolder = '';
+  private notifiedHolder = '';
   private readonly gate: DrainGate;
   private readonly shutdown: ShutdownTask;
   private readonly departure: NodeDeparture;
@@ -81,7 +81,7 @@
     this.access = teams.access;
     this.quotas = teams.quotas;
     this.register = this.makeRegister();
-    this.shared = new SharedRecords({
+    this.sharedRecords = new SharedRecords({
       ...{configuration: this.configuration, servers: this.servers},
       nodes: this.register,
       isReader: () => this.duty.isHeld,
@@ -91,7 +91,7 @@
     this.links = this.makeLinks();
     this.chooser = this.makeChooser();
     this.pipeline = this.makePipeline();
-    this.entries = new EntryPoints({
+    this.entryPoints = new EntryPoints({
       ...{clock, settings, self: this.self},
       listNodes: () => this.register.list(),
       isServing: () => this.isServing,
@@ -103,7 +103,7 @@
       dialect: options.platform.callerDialect,
       screen: head => this.pipeline.screen(head),
       serve: (request, sink) => this.pipeline.serve(request, sink),
-      onFault: error => this.faults.note(error, 'callers'),
+      onFault: error => this.faults.logTaskFailure(error, 'callers'),
     });
     this.departure = new NodeDeparture({
       ...{clock, graceMs: settings.graceMs, edge: this.edge},
@@ -112,7 +112,7 @@
     this.status = new StatusServer({
       platform: options.platform,
       isReady: () => this.isServing,
-      listEntries: () => this.entries.list(),
+      listEntries: () => this.entryPoints.list(),
       formatMetrics: () => this.formatMetrics(),
     });
   }
@@ -123,14 +123,14 @@
     await this.status.listen(settings.readyAddress);
     await this.status.listen(settings.directoryAddress);
     await this.status.tryListen(settings.metricsAddress, thrown =>
-      this.faults.note(thrown, 'metrics'),
+      this.faults.logTaskFailure(thrown, 'metrics'),
     );
     await this.links.start();
     this.configuration.start();
     this.servers.start();
     this.register.start();
     this.duty.start();
-    this.scheduleExpiry();
+    this.scheduleMaintenance();
     logger.log('node-started', {
       incarnation: this.self.incarnation,
       callerPort: settings.callerAddress.port,
@@ -145,9 +145,9 @@
     return this.shutdown.exited;
   }
 
-  /** Begins a graceful shutdown; a second call ends it at once. */
+  /** Starts a graceful shutdown; a second call stops the node immediately. */
   requestStop(signal: string): void {
-    this.departure.noteRequested();
+    this.departure.recordStopRequest();
     this.shutdown.requestStop(signal);
   }
 
@@ -155,18 +155,18 @@
     const {clock, logger, settings} = this.options;
     return new ShutdownTask({
       ...{clock, logger, gate: this.gate},
-      tellCallersMs: TELL_CALLERS_MS,
-      graceMs: settings.graceMs - END_MARGIN_MS,
+      tellCallersMs: KEEP_LISTENING_MS,
+      graceMs: settings.graceMs - CLOSE_MARGIN_MS,
       actions: {
         abortStart: () => undefined,
         announce: () => this.departure.announce(),
-        handOver: () => this.departure.leave(),
+        handOver: () => this.departure.handOverAndDeregister(),
         close: async () => this.edge.closeAll(),
       },
     });
   }
 
-  /** Takes new settings; those that only a start can take are told. */
+  /** Applies reloadable settings and logs those that need a restart. */
   reload(settings: NodeSettings): void {
     const outcome = reloadSettings(this.options.settings, settings);
     this.options.logger.log('settings-reloaded', {...outcome});
@@ -174,14 +174,14 @@
 
   private formatMetrics(): Promise<string> {
     const {metrics} = this.options;
-    noteNodeState(metrics, {
+    recordNodeState(metrics, {
       configurationVersion: this.configuration.version,
       servers: this.servers.count,
       serversAgeMs: this.servers.ageMs,
       dutiesHeld: this.duty.isHeld ? 1 : 0,
       configurationAgeMs: this.configuration.ageMs,
       teams: this.quotas.list(),
-      ...this.containment.figures,
+      ...this.containment.gauges,
     });
     return metrics.format();
   }
@@ -199,7 +199,7 @@
     return {
       isServing: this.isServing,
       uptimeMs: this.options.clock.monotonicMs() - this.startedAtMs,
-      ...this.shared.describe(),
+      ...this.sharedRecords.describeProgress(),
     };
   }
 
@@ -211,8 +211,8 @@
       findRank: () => this.links.findRank(),
       revokeMs: () => this.options.settings.revokeMs,
       onConfiguration: configuration => this.configure(configuration),
-      onFault: thrown => this.faults.note(thrown, 'configuration'),
-      ...this.faults.watch('configuration'),
+      onFault: thrown => this.faults.logTaskFailure(thrown, 'configuration'),
+      ...this.faults.watchDependency('configuration'),
     });
   }
 
@@ -236,12 +236,13 @@
       ...{clock, random, platform},
       isReader: () => this.duty.isHeld,
       peerAgeMs: () => this.links.holderServersAgeMs,
-      onChanges: changes => this.duty.takeServers(changes),
-      onState: change =>
+      onChanges: changes => this.duty.updateServers(changes),
+      onStateChange: change =>
         logServerChange(options.logger, change, this.duty.isHeld),
-      onRead: fromOffset => this.shared.passOn('servers', fromOffset),
-      onFault: thrown => this.faults.note(thrown, 'servers'),
-      ...this.faults.watch('servers'),
+      onRead: fromOffset =>
+        this.sharedRecords.broadcastSince('servers', fromOffset),
+      onFault: thrown => this.faults.logTaskFailure(thrown, 'servers'),
+      ...this.faults.watchDependency('servers'),
     });
   }
 
@@ -251,12 +252,13 @@
       ...{clock, random, self: this.self},
       topic: platform.nodesTopic,
       isReader: () => this.duty.isHeld,
-      isTold: () => this.links.isToldOfNodes,
-      onRead: fromOffset => this.shared.passOn('nodes', fromOffset),
-      onContained: value => this.containment.take(value),
-      onStruck: nodeName =>
+      isUpdatedByPeer: () => this.links.isToldOfNodes,
+      onRead: fromOffset =>
+        this.sharedRecords.broadcastSince('nodes', fromOffset),
+      onContainmentRecord: value => this.containment.applyRecord(value),
+      onRemoved: nodeName =>
         this.options.logger.log('node-lost', {lostNodeName: nodeName}),
-      ...this.faults.watch('nodes'),
+      ...this.faults.watchDependency('nodes'),
     });
   }
 
@@ -265,7 +267,7 @@
     return new ContainmentTask({
       ...{clock, logger, topic: platform.nodesTopic},
       isWriter: () => this.duty.isHeld,
-      onFault: error => this.faults.note(error, 'containment'),
+      onFault: error => this.faults.logTaskFailure(error, 'containment'),
     });
   }
 
@@ -290,10 +292,10 @@
         leaseMs: settings.leaseMs,
         isEligible: () =>
           !this.shutdown.isStopping && this.configuration.version >= 0,
-        ...this.faults.watch('duty'),
+        ...this.faults.watchDependency('duty'),
       },
       send: (address, message) => this.links.sendToNode(address, message),
-      tellLastOrders: ({orders, isEnding}, addresses) =>
+      sendLastOrders: ({orders, isEnding}, addresses) =>
         this.links.tellLastOrders(
           {type: 'last-orders', incarnation, orders: [...orders], isEnding},
           addresses,
@@ -301,14 +303,14 @@
       listServices: () => this.configuration.configuration?.services ?? [],
       listServers: () => this.servers.list(),
       onHolder: (holder, isSelf) => {
-        if (isSelf) this.greet(holder);
+        if (isSelf) this.reportOpenRequests(holder);
       },
     });
   }
 
-  private greet(holder: DutyHolder | null): void {
-    if (!holder || holder.incarnation === this.greetedHolder) return;
-    this.greetedHolder = holder.incarnation;
+  private reportOpenRequests(holder: DutyHolder | null): void {
+    if (!holder || holder.incarnation === this.notifiedHolder) return;
+    this.notifiedHolder = holder.incarnation;
     this.chooser.greetHolder();
   }
 
@@ -324,28 +326,29 @@
       crashes: this.containment.exchange,
       ...{quotas: this.quotas, confirmation: this.configuration},
       serversAgeMs: () => this.servers.ageMs,
-      readRecords: (topic, fromOffset) => this.shared.read(topic, fromOffset),
-      onRecords: message => this.shared.take(message),
+      readRecords: (topic, fromOffset) =>
+        this.sharedRecords.read(topic, fromOffset),
+      onRecords: message => this.sharedRecords.applyFromPeer(message),
       onHolder: holder => this.duty.noteHolder(holder),
-      onNodes: nodes => this.register.noteTold(nodes),
-      onNodeLost: node => void this.register.strike(node),
-      onLastOrders: told => this.duty.noteLastOrders(told),
+      onNodes: nodes => this.register.addUnknown(nodes),
+      onNodeLost: node => void this.register.removeLost(node),
+      onLastOrders: lastOrders => this.duty.noteLastOrders(lastOrders),
       onToHolder: (from, message) => this.duty.receive(from, message),
       onFromHolder: message => this.chooser.receive(message),
-      onServingNodes: names => this.noteServing(names),
+      onServingNodes: names => this.updateServingNodes(names),
       onContact: isAlive => {
         if (isAlive) return;
         this.chooser.loseHolder();
         this.duty.refresh();
       },
-      onFault: error => this.faults.note(error, 'links'),
+      onFault: error => this.faults.logTaskFailure(error, 'links'),
     });
   }
 
-  private noteServing(nodeNames: readonly string[]): void {
-    this.greet(this.duty.holder);
-    this.register.noteNames(nodeNames);
-    if (this.entries.noteServing(nodeNames)) {
+  private updateServingNodes(nodeNames: readonly string[]): void {
+    this.reportOpenRequests(this.duty.holder);
+    this.register.checkServingNames(nodeNames);
+    if (this.entryPoints.updateServingNodes(nodeNames)) {
       this.options.logger.log('node-list-changed', {nodeNames});
     }
   }
@@ -384,11 +387,11 @@
     });
   }
 
-  private scheduleExpiry(): void {
-    this.options.clock.setTimer(EXPIRY_INTERVAL_MS, () => {
+  private scheduleMaintenance(): void {
+    this.options.clock.setTimer(MAINTENANCE_INTERVAL_MS, () => {
       this.connections.closeExpired();
-      void this.containment.look();
-      this.scheduleExpiry();
+      void this.containment.syncRecord();
+      this.scheduleMaintenance();
     });
   }
 }
--- a/packages/serving-node/src/serving_node_options.ts
+++ b/packages/serving-node/src/serving_node_options.ts
@@ -1,4 +1,4 @@
-/** What a node is built from. */
+/** Options of a serving node. */
 import {type BackendConnections} from '@mimosatack/backend-connections';
 import {type Clock} from '@mimosatack/clock';
 import {type EventLogger} from '@mimosatack/logger';
@@ -7,7 +7,7 @@
 import {type NodeSettings} from './node_settings.js';
 import {type PlatformAdapter} from './platform_adapter.js';
 
-/** Made by the program that starts the node. */
+/** Settings and services that the program passes to the node. */
 export interface ServingNodeOptions {
   settings: NodeSettings;
   clock: Clock;
--- a/packages/serving-node/src/settings_reload.test.ts
+++ b/packages/serving-node/src/settings_reload.test.ts
@@ -3,7 +3,7 @@
 import {type NodeSettings} from './node_settings.js';
 import {reloadSettings} from './settings_reload.js';
 
-const test = suite('new settings for a node that runs');
+const test = suite('settings reload');
 
 const ADDRESS = {ip: '127.0.0.1', port: 1};
 
@@ -27,7 +27,7 @@
   };
 }
 
-test('takes what can change and tells what waits for a start', () => {
+test('applies reloadable settings and lists those that need a restart', () => {
   const current = makeSettings();
   const retryBound = {ratio: 0.1, slack: 20, windowMs: 10_000};
   const outcome = reloadSettings(
@@ -38,7 +38,7 @@
   assert.equal(current, makeSettings({retryBound}));
 });
 
-test('settings that are the same change nothing', () => {
+test('equal settings change nothing', () => {
   assert.equal(reloadSettings(makeSettings(), makeSettings()), {
     ...{changed: [], atNextStart: []},
   });
--- a/packages/serving-node/src/settings_reload.ts
+++ b/packages/serving-node/src/settings_reload.ts
@@ -1,16 +1,16 @@
-/** Takes new settings into a node that runs. */
+/** Applies new settings to a running node. */
 import {type NodeSettings} from './node_settings.js';
 
-/** What came of new settings, by the names of the settings. */
+/** Names of the settings that differ after a reload. */
 export interface ReloadOutcome {
-  /** In force now. */
+  /** Already in effect. */
   changed: readonly string[];
-  /** Different, and only taken at the next start. */
+  /** Applied only at the next start. */
   atNextStart: readonly string[];
 }
 
-/** Settings that are looked up each time that they are needed. */
-const LIVE: ReadonlyArray<keyof NodeSettings> = [
+/** Settings that are read at each use. */
+const RELOADABLE_SETTINGS: ReadonlyArray<keyof NodeSettings> = [
   'retryBound',
   'revokeMs',
   'quotaBounds',
@@ -19,11 +19,10 @@
 ];
 
 /**
- * Puts what can change while the node runs in force. Addresses, the lease and
- * the node's name are part of what other nodes were told, so they wait for the
- * next start.
+ * Applies the reloadable settings. Addresses, the lease and the node's name are
+ * known to other nodes, so changing them needs a restart.
  *
- * @param current is changed in place, since every task looks things up there.
+ * @param current changed in place, because every task reads from it.
  */
 export function reloadSettings(
   current: NodeSettings,
@@ -33,10 +32,10 @@
   const different = names.filter(
     name => JSON.stringify(current[name]) !== JSON.stringify(next[name]),
   );
-  const changed = different.filter(name => LIVE.includes(name));
+  const changed = different.filter(name => RELOADABLE_SETTINGS.includes(name));
   changed.forEach(name => Object.assign(current, {[name]: next[name]}));
   return {
     changed,
-    atNextStart: different.filter(name => !LIVE.includes(name)),
+    atNextStart: different.filter(name => !RELOADABLE_SETTINGS.includes(name)),
   };
 }
--- a/packages/serving-node/src/shared_records.ts
+++ b/packages/serving-node/src/shared_records.ts
@@ -1,4 +1,4 @@
-/** The records of the store that nodes pass on to each other. */
+/** Exchanges records of the store between nodes. */
 import {type KeyedTable} from '@mimosatack/keyed-store';
 import {
   type NodeStatus,
@@ -9,31 +9,31 @@
 import {type NodeRegister} from './node_register.js';
 import {type ServerFollower} from './server_follower.js';
 
-/** Who keeps the records of which topic, and to whom they are passed on. */
+/** The followers of the topics, and the connection to other nodes. */
 export interface SharedRecordsOptions {
   configuration: ConfigurationFollower;
   servers: ServerFollower;
   nodes: NodeRegister;
-  /** Whether this node reads for the others too. */
+  /** Whether this node reads the store on behalf of the others. */
   isReader: () => boolean;
   broadcast: (message: RecordsMessage) => void;
 }
 
-/** What a node tells other nodes of the store, and takes from them. */
+/** Sends records to other nodes and applies those received from them. */
 export class SharedRecords {
   constructor(private readonly options: SharedRecordsOptions) {}
 
-  /** How far this node knows each topic. */
-  describe(): Omit<NodeStatus, 'isServing' | 'uptimeMs'> {
+  /** How far this node has followed each topic. */
+  describeProgress(): Omit<NodeStatus, 'isServing' | 'uptimeMs'> {
     const {configuration, servers, nodes} = this.options;
     return {
       configurationVersion: configuration.version,
-      serversEndOffset: servers.passedOn.endOffset,
+      serversEndOffset: servers.routingTable.endOffset,
       nodesEndOffset: nodes.table.endOffset,
     };
   }
 
-  /** The records from an offset on, for a peer that asks. */
+  /** The records from an offset on, as a message to a peer. */
   read(topic: SharedTopic, fromOffset: number): RecordsMessage {
     const table = this.findTable(topic);
     return {
@@ -43,21 +43,20 @@
     };
   }
 
-  /** Takes records that a peer has passed on. */
-  take({topic, fromOffset, endOffset, records}: RecordsMessage): void {
+  applyFromPeer({topic, fromOffset, endOffset, records}: RecordsMessage): void {
     const {configuration, servers, nodes} = this.options;
     switch (topic) {
       case 'configuration':
-        return configuration.takeFromPeer(records);
+        return configuration.applyFromPeer(records);
       case 'servers':
-        return servers.takeFromPeer(fromOffset, records, endOffset);
+        return servers.applyFromPeer(fromOffset, records, endOffset);
       case 'nodes':
-        return nodes.takeFromPeer(fromOffset, records, endOffset);
+        return nodes.applyFromPeer(fromOffset, records, endOffset);
     }
   }
 
-  /** Tells the others what this node has read, if it reads for them. */
-  passOn(topic: SharedTopic, fromOffset: number): void {
+  /** Broadcasts the records from an offset on, if this node is the reader. */
+  broadcastSince(topic: SharedTopic, fromOffset: number): void {
     const {isReader, broadcast} = this.options;
     if (isReader()) broadcast(this.read(topic, fromOffset));
   }
@@ -65,6 +64,6 @@
   private findTable(topic: SharedTopic): KeyedTable {
     const {configuration, servers, nodes} = this.options;
     const tables = {configuration: configuration.table, nodes: nodes.table};
-    return topic === 'servers' ? servers.passedOn : tables[topic];
+    return topic === 'servers' ? servers.routingTable : tables[topic];
   }
 }
--- a/packages/serving-node/src/status_server.ts
+++ b/packages/serving-node/src/status_server.ts
@@ -1,8 +1,6 @@
 /**
- * Answers whether the node is ready, where callers may connect, and with the
- * metrics. It works
- * on Node's own server: a framework would cost 12 MB of memory and 50 ms at
- * every start for two paths without a body.
+ * Serves readiness, caller addresses and metrics over HTTP. Uses Node's own
+ * server to avoid the memory and start-up time of a framework.
  */
 import {
   type IncomingMessage,
@@ -14,7 +12,6 @@
 import {type EntryList} from './entry_list.js';
 import {type PlatformAdapter} from './platform_adapter.js';
 
-/** What the server is built from. */
 export interface StatusServerOptions {
   platform: Pick<
     PlatformAdapter,
@@ -22,7 +19,7 @@
   >;
   isReady: () => boolean;
   listEntries: () => EntryList;
-  /** The metrics as text. */
+  /** Metrics in the Prometheus text format. */
   formatMetrics: () => Promise<string>;
 }
 
@@ -33,7 +30,7 @@
 const STATUS_NOT_FOUND = 404;
 const STATUS_NOT_READY = 503;
 
-/** One set of paths, reachable at several addresses. */
+/** Serves the same paths at several addresses. */
 export class StatusServer {
   private readonly servers: Server[] = [];
 
@@ -50,7 +47,7 @@
     });
   }
 
-  /** Callers are served all the same when nobody can read the metrics. */
+  /** Reports a failed bind instead of rejecting: the node serves without it. */
   async tryListen(
     address: SocketAddress | null,
     onFault: (thrown: unknown) => void,
--- a/packages/serving-node/src/stop_times.ts
+++ b/packages/serving-node/src/stop_times.ts
@@ -1,14 +1,14 @@
-/** How the time that a stop may take is used. */
+/** Time limits of the steps of a graceful shutdown. */
 
 /**
- * Callers that still know the address find it open for this long. They ask the
- * directory again after 1.5 s, and requests sent within 3 s have to be served.
+ * How long the node still accepts callers with a cached address. Callers query
+ * the directory again after 1.5 s; requests sent within 3 s have to be served.
  */
-export const TELL_CALLERS_MS = 2_500;
+export const KEEP_LISTENING_MS = 2_500;
 /**
- * Kept from the time that a stop may take, to end in order: callers that are
- * cut off get 500 ms to hear of it, and timers are late on a busy host.
+ * Reserved at the end of a shutdown: callers that are cut off have 500 ms to
+ * receive the error, and timers run late on a busy host.
  */
-export const END_MARGIN_MS = 900;
-/** Part of what is left of a stop in which the duty may still be given away. */
-export const LEAVE_PART = 0.8;
+export const CLOSE_MARGIN_MS = 900;
+/** Fraction of the remaining shutdown time that the handover may use. */
+export const HANDOVER_FRACTION = 0.8;
--- a/packages/serving-node/src/team_tasks.ts
+++ b/packages/serving-node/src/team_tasks.ts
@@ -1,4 +1,4 @@
-/** What a node needs for the keys and quotas of teams. */
+/** Builds the checks of team keys and quotas. */
 import {type EventLogger} from '@mimosatack/logger';
 import {
   type QuotaCharge,
@@ -8,9 +8,9 @@
 import {CallerAccess} from './caller_access.js';
 import {type ServingNodeOptions} from './serving_node_options.js';
 
-/** What the rest of the node knows. */
+/** Values that the checks read from the rest of the node. */
 export interface TeamTaskSources {
-  /** How long ago the configuration was known to be the newest. */
+  /** Time since the configuration was last known to be the newest. */
   configurationAgeMs: () => number;
   countNodes: () => number;
 }
@@ -31,7 +31,6 @@
   };
 }
 
-/** A request that this node found beyond its team's quota. */
 export function logQuotaRefusal(
   logger: EventLogger,
   requestId: string,
