--- a/packages/engine-board/src/board_entry.ts
+++ b/packages/engine-board/src/board_entry.ts
@@ -1,4 +1,4 @@
-/** What is known of one backend server, put together from several sources. */
+/** Merges reports of several kinds into the state of one backend server. */
 import {
   type BackendServerId,
   type EngineState,
@@ -21,16 +21,16 @@
   ageMs: 0,
 };
 
-/** The newest of each kind of news on one backend server. */
+/** The newest report of each kind on one backend server. */
 export class BoardEntry {
   status: EngineStatus | null = null;
-  /** The view that readers of the board get. */
+  /** The merged report that readers of the board get. */
   report: BackendReport;
   private engine: EngineState | null = null;
   private engineVersion: ReportVersion | null = null;
-  private sample: LoadSample | null = null;
-  /** When the steward was last heard of; null without a steward. */
-  private heardAtMs: number | null = null;
+  private loadSample: LoadSample | null = null;
+  /** When the steward last confirmed any state; null without a steward. */
+  private confirmedAtMs: number | null = null;
   private isStale = false;
 
   constructor(backendServerId: BackendServerId) {
@@ -43,7 +43,7 @@
     };
   }
 
-  /** Whether the whole state of the engine is as new as the warm state. */
+  /** Whether the full engine state is at least as new as the warm state. */
   get isEngineCurrent(): boolean {
     if (!this.engine || !this.status) return this.engine !== null;
     return (
@@ -52,9 +52,9 @@
     );
   }
 
-  /** Takes a whole report; returns false if a newer one is known. */
-  noteReport(report: BackendReport, nowMs: number | null): boolean {
-    if (this.isOutdated(report)) return false;
+  /** Applies a full report; returns false if a newer one is known. */
+  applyReport(report: BackendReport, nowMs: number | null): boolean {
+    if (this.isSuperseded(report)) return false;
     this.engine = report.engine;
     this.engineVersion = report.version ?? null;
     this.report = report;
@@ -62,7 +62,7 @@
     return true;
   }
 
-  noteStatus(status: EngineStatus, nowMs: number): boolean {
+  applyStatus(status: EngineStatus, nowMs: number): boolean {
     if (
       this.status &&
       compareVersions(status.version, this.status.version) <= 0
@@ -71,26 +71,25 @@
     }
     this.status = status;
     this.confirm(nowMs);
-    this.rebuild();
+    this.rebuildReport();
     return true;
   }
 
   /**
-   * Guards against a late sample of a former steward: it would make a busy
-   * engine look idle. The epoch comes from the agreed claim, so a sample of
-   * an earlier claim is below all that a later steward has told.
+   * Guards against a delayed sample of a former steward, which makes a busy
+   * engine look idle: samples of an earlier claim epoch are rejected.
    */
-  noteLoad(sample: LoadSample, ageMs: number, nowMs: number): boolean {
+  applyLoad(sample: LoadSample, ageMs: number, nowMs: number): boolean {
     const {epoch, stampMs} = sample;
     if (this.status && epoch < this.status.version.epoch) return false;
-    const known = this.sample;
+    const known = this.loadSample;
     if (known && epoch < known.epoch) return false;
     if (known && epoch === known.epoch && stampMs <= known.stampMs) {
       return false;
     }
-    this.sample = sample;
+    this.loadSample = sample;
     this.confirm(nowMs);
-    this.rebuild();
+    this.rebuildReport();
     if (sample.load) {
       this.report.reportedAtMs = stampMs;
       this.report.load = {...this.report.load, ...sample.load, ageMs};
@@ -98,8 +97,8 @@
     return true;
   }
 
-  /** Takes the whole state as pulled from the steward. */
-  noteEngine(engine: EngineState, version: ReportVersion): boolean {
+  /** Applies the full engine state fetched from the steward. */
+  applyEngine(engine: EngineState, version: ReportVersion): boolean {
     if (
       this.engineVersion &&
       compareVersions(version, this.engineVersion) < 0
@@ -108,58 +107,59 @@
     }
     this.engine = engine;
     this.engineVersion = version;
-    this.rebuild();
+    this.rebuildReport();
     return true;
   }
 
-  /** Counts as not known from now on if it was silent; tells if it changed. */
+  /** Marks the state as stale after silence; returns whether that is new. */
   expire(nowMs: number, staleAfterMs: number): boolean {
-    if (this.isStale || this.heardAtMs === null) return false;
-    if (nowMs - this.heardAtMs < staleAfterMs) return false;
+    if (this.isStale || this.confirmedAtMs === null) return false;
+    if (nowMs - this.confirmedAtMs < staleAfterMs) return false;
     this.isStale = true;
-    this.rebuild();
+    this.rebuildReport();
     return true;
   }
 
   private confirm(nowMs: number): void {
-    this.heardAtMs = nowMs;
+    this.confirmedAtMs = nowMs;
     this.isStale = false;
   }
 
-  private isOutdated(report: BackendReport): boolean {
+  private isSuperseded(report: BackendReport): boolean {
     const {version} = report;
     if (!version) return this.report.reportedAtMs >= report.reportedAtMs;
-    if (this.sample && this.sample.epoch > version.epoch) return true;
+    if (this.loadSample && this.loadSample.epoch > version.epoch) return true;
     const known = this.status?.version;
     return known !== undefined && compareVersions(version, known) < 0;
   }
 
-  private rebuild(): void {
+  private rebuildReport(): void {
     const {status, report} = this;
     const maxRunningRequests =
       status?.maxRunningRequests ?? report.load.maxRunningRequests;
     this.report = {
       ...report,
-      engine: this.describeEngine(),
+      engine: this.mergeEngineState(),
       load: {...report.load, maxRunningRequests},
-      isReachable: this.findReachable(),
+      isReachable: this.resolveReachability(),
       version: status?.version ?? report.version,
     };
   }
 
-  private findReachable(): boolean | undefined {
+  private resolveReachability(): boolean | undefined {
     if (this.isStale) return undefined;
-    const {status, sample} = this;
+    const {status, loadSample} = this;
     const isLoadNewer =
-      sample !== null && (!status || sample.epoch > status.version.epoch);
-    return isLoadNewer ? sample.load !== null : status?.isReachable;
+      loadSample !== null &&
+      (!status || loadSample.epoch > status.version.epoch);
+    return isLoadNewer ? loadSample.load !== null : status?.isReachable;
   }
 
   /**
-   * The state that was pulled last, with what the warm state says of use since
-   * then. An engine that has restarted since holds nothing of it.
+   * The last fetched engine state, with slot use taken from the warm state.
+   * Null if the engine is unreachable or has restarted since the fetch.
    */
-  private describeEngine(): EngineState | null {
+  private mergeEngineState(): EngineState | null {
     const {engine, status} = this;
     if (!engine || !status) return engine;
     if (hashText(engine.incarnation) !== status.incarnationHash) return null;
--- a/packages/engine-board/src/engine_board.ts
+++ b/packages/engine-board/src/engine_board.ts
@@ -1,6 +1,6 @@
 /**
- * What this node has heard of the backend servers: hints that may be late or
- * wrong. Requests are routed by them; no promise depends on them.
+ * Caches reports on backend servers for request routing. Reports may be late or
+ * wrong, so correctness must not depend on them.
  */
 import {readBaseSlotId} from '@mimosatack/steward-orders';
 import {type BackendServerId, type EngineState} from '@mimosatack/types';
@@ -22,17 +22,20 @@
   slotId: string;
 }
 
-/** The newest news of each backend server, indexed by warm model. */
+/** The newest report on each backend server, indexed by warm model. */
 export class EngineBoard {
   private readonly entries = new Map<BackendServerId, BoardEntry>();
-  private readonly warm = new Map<string, Map<BackendServerId, WarmReplica>>();
+  private readonly warmIndex = new Map<
+    string,
+    Map<BackendServerId, WarmReplica>
+  >();
   private readonly warmKeys = new Map<BackendServerId, string[]>();
   private readonly listeners: ((report: BackendReport) => void)[] = [];
 
-  /** @param slots what the hashes of warm slots stand for. */
+  /** @param slots resolves the hashes of warm slots. */
   constructor(private readonly slots: SlotLookup = EMPTY_LOOKUP) {}
 
-  /** Calls `listener` with every report that is taken. */
+  /** Calls `listener` with each updated report. */
   onChange(listener: (report: BackendReport) => void): void {
     this.listeners.push(listener);
   }
@@ -45,60 +48,73 @@
     return [...this.entries.values()].map(entry => entry.report);
   }
 
-  /** The backend servers that have a model, and the adapter if any, warm. */
+  /** Backend servers where a model, with its adapter if any, is warm. */
   listWarm(model: string, adapter: string | null): WarmReplica[] {
-    return [...(this.warm.get(warmKey(model, adapter))?.values() ?? [])];
+    return [
+      ...(this.warmIndex.get(makeWarmKey(model, adapter))?.values() ?? []),
+    ];
   }
 
   /**
-   * Takes a whole report unless a newer one is known. Returns whether it did.
+   * Applies a full report; returns false if a newer one is known.
    *
-   * @param nowMs monotonic; a report with a version goes stale if no other
-   *     news of its steward follows.
+   * @param nowMs monotonic; a report with a version goes stale unless another
+   *     report from its steward follows.
    */
   note(report: BackendReport, nowMs: number | null = null): boolean {
     const id = report.backendServerId;
-    return this.change(id, entry => entry.noteReport(report, nowMs), true);
+    return this.updateEntry(
+      id,
+      entry => entry.applyReport(report, nowMs),
+      true,
+    );
   }
 
-  /** Takes a warm state unless a newer one is known. */
+  /** Applies a warm state; returns false if a newer one is known. */
   noteStatus(status: EngineStatus, nowMs: number): boolean {
     const id = status.backendServerId;
-    return this.change(id, entry => entry.noteStatus(status, nowMs), true);
+    return this.updateEntry(
+      id,
+      entry => entry.applyStatus(status, nowMs),
+      true,
+    );
   }
 
-  /** Takes a load unless a newer one is known. */
+  /** Applies a load sample; returns false if a newer one is known. */
   noteLoad(sample: LoadSample, ageMs: number, nowMs: number): boolean {
-    return this.change(
+    return this.updateEntry(
       sample.backendServerId,
-      entry => entry.noteLoad(sample, ageMs, nowMs),
+      entry => entry.applyLoad(sample, ageMs, nowMs),
       false,
     );
   }
 
-  /** Takes the whole state of an engine as its steward told it on request. */
+  /** Applies a full engine state fetched from the engine's steward. */
   noteEngine(engine: EngineState, version: ReportVersion): boolean {
     const id = engine.backendServerId;
-    return this.change(id, entry => entry.noteEngine(engine, version), true);
+    return this.updateEntry(
+      id,
+      entry => entry.applyEngine(engine, version),
+      true,
+    );
   }
 
-  /** Whether the whole state of the engine is known as it is now. */
+  /** Whether the full engine state is at least as new as the warm state. */
   isEngineCurrent(id: BackendServerId): boolean {
     return this.entries.get(id)?.isEngineCurrent ?? false;
   }
 
   /**
-   * Guards against a frozen steward whose last report would hold for ever:
-   * what was not confirmed for that long counts as not known, and routers go
-   * by what they see themselves.
+   * Guards against routing by the last report of a frozen steward: reachability
+   * becomes undefined, so that routers rely on their own observations.
    */
   expire(nowMs: number, staleAfterMs: number): void {
     [...this.entries.keys()].forEach(id =>
-      this.change(id, entry => entry.expire(nowMs, staleAfterMs), false),
+      this.updateEntry(id, entry => entry.expire(nowMs, staleAfterMs), false),
     );
   }
 
-  /** Looks slots up again after the agreed state has moved on. */
+  /** Resolves warm slots again after a change of the agreed state. */
   refreshSlots(): void {
     this.entries.forEach((entry, id) => {
       if (entry.status) this.indexWarm(id, entry);
@@ -106,11 +122,11 @@
   }
 
   forget(id: BackendServerId): void {
-    this.forgetWarm(id);
+    this.unindexWarm(id);
     this.entries.delete(id);
   }
 
-  private change(
+  private updateEntry(
     id: BackendServerId,
     apply: (entry: BoardEntry) => boolean,
     isWarmChanged: boolean,
@@ -124,12 +140,13 @@
   }
 
   private indexWarm(id: BackendServerId, entry: BoardEntry): void {
-    this.forgetWarm(id);
+    this.unindexWarm(id);
     const keys = this.listWarmKeys(id, entry);
     keys.forEach(({key, slotId}) => {
-      const replicas = this.warm.get(key) ?? new Map<string, WarmReplica>();
+      const replicas =
+        this.warmIndex.get(key) ?? new Map<string, WarmReplica>();
       replicas.set(id, {backendServerId: id, slotId});
-      this.warm.set(key, replicas);
+      this.warmIndex.set(key, replicas);
     });
     if (keys.length > 0) {
       this.warmKeys.set(
@@ -145,7 +162,7 @@
       return (report.engine?.replicas ?? [])
         .filter(replica => replica.status === 'warm')
         .map(replica => ({
-          key: warmKey(replica.model, replica.adapter),
+          key: makeWarmKey(replica.model, replica.adapter),
           slotId: readBaseSlotId(replica.slotId),
         }));
     }
@@ -155,21 +172,21 @@
       .listContents(id)
       .filter(content => warmSlots.has(hashText(content.engineSlotId)))
       .map(({model, adapter, slotId}) => ({
-        key: warmKey(model, adapter),
+        key: makeWarmKey(model, adapter),
         slotId,
       }));
   }
 
-  private forgetWarm(id: BackendServerId): void {
+  private unindexWarm(id: BackendServerId): void {
     this.warmKeys.get(id)?.forEach(key => {
-      const replicas = this.warm.get(key);
+      const replicas = this.warmIndex.get(key);
       replicas?.delete(id);
-      if (replicas?.size === 0) this.warm.delete(key);
+      if (replicas?.size === 0) this.warmIndex.delete(key);
     });
     this.warmKeys.delete(id);
   }
 }
 
-function warmKey(model: string, adapter: string | null): string {
+function makeWarmKey(model: string, adapter: string | null): string {
   return adapter === null ? model : `${model}:${adapter}`;
 }
--- a/packages/engine-board/src/report.ts
+++ b/packages/engine-board/src/report.ts
@@ -1,4 +1,4 @@
-/** What is told of a backend server, and what orders two tellings. */
+/** Reports on backend servers and their order. */
 import {createHash} from 'node:crypto';
 import {
   type BackendServerId,
@@ -6,45 +6,43 @@
   type LoadReport,
 } from '@mimosatack/types';
 
-/**
- * Orders the reports on one backend server: first by the agreed claim under
- * which its steward read it, then by the steward's own count.
- */
+/** Orders the reports on one backend server by epoch, then rank, then count. */
 export interface ReportVersion {
+  /** Epoch of the agreed claim that the steward holds. */
   epoch: number;
-  /** The steward's place under the claim; a successor is above its holder. */
+  /** Rank of the steward under its claim; a successor outranks the holder. */
   rank: number;
   count: number;
 }
 
-/** One whole report on a backend server. */
+/** A full report on a backend server. */
 export interface BackendReport {
   backendServerId: BackendServerId;
   /** Wall-clock time of the steward. */
   reportedAtMs: number;
   /**
-   * Null for plain services, for engines that do not answer, and where only
-   * the warm state is known.
+   * Null for plain services, for engines that do not answer, and if only the
+   * warm state is known.
    */
   engine: EngineState | null;
   load: LoadReport;
-  /** Undefined when nothing was heard for so long that it is not known. */
+  /** Undefined if the last report is too old. */
   isReachable: boolean | undefined;
-  /** Left out where there is no steward, as in tests. */
+  /** Omitted without a steward, as in tests. */
   version?: ReportVersion;
 }
 
-/** The warm state of a backend server; it changes rarely. */
+/** The warm state of a backend server, which changes rarely. */
 export interface EngineStatus {
   backendServerId: BackendServerId;
   version: ReportVersion;
-  /** Hash of the engine's incarnation; 0 when it was never read. */
+  /** Hash of the engine's incarnation; 0 if it was never read. */
   incarnationHash: number;
   isReachable: boolean;
   maxRunningRequests: number;
   /** Hashes of the engine's slot ids that are warm. */
   warmSlots: number[];
-  /** The part of `warmSlots` that ran requests lately. */
+  /** Subset of `warmSlots` that ran requests recently. */
   busySlots: number[];
 }
 
@@ -52,29 +50,29 @@
 export interface LoadSample {
   backendServerId: BackendServerId;
   epoch: number;
-  /** Wall-clock time of the steward; grows with each sample of a claim. */
+  /** Wall-clock time of the steward; increases within an epoch. */
   stampMs: number;
-  /** Null when the engine does not answer its steward. */
+  /** Null if the engine does not answer its steward. */
   load: Pick<LoadReport, 'runningRequests' | 'queuedRequests'> | null;
 }
 
-/** A backend server that has a model warm. */
+/** A slot of a backend server where a model is warm. */
 export interface WarmReplica {
   backendServerId: BackendServerId;
   slotId: string;
 }
 
-/** What an engine may hold under one of its slot ids. */
+/** Model and adapter that a slot of an engine may hold. */
 export interface SlotContent {
-  /** As the engine names it, with the adapter. */
+  /** The engine's own slot id, which includes the adapter. */
   engineSlotId: string;
-  /** The decided replica. */
+  /** Slot id of the replica in the agreed state. */
   slotId: string;
   model: string;
   adapter: string | null;
 }
 
-/** Reads from the agreed state what may be warm on a backend server. */
+/** Reads possible slot contents from the agreed state. */
 export interface SlotLookup {
   listContents(id: BackendServerId): SlotContent[];
 }
