--- a/packages/dispatch-requests/src/backend_pools.ts
+++ b/packages/dispatch-requests/src/backend_pools.ts
@@ -1,11 +1,11 @@
 /**
- * Kept connections to the backend servers, for requests that may be sent
- * again. What must not be sent twice goes by `sendOnce`.
+ * Connection pools to the backend servers, for requests that may be retried.
+ * Requests that must not run twice use `sendOnce`.
  */
 import {TypedError} from '@mimosatack/errors';
 import {type Dispatcher, Pool} from 'undici';
 
-/** A request that may be sent again. */
+/** A request that may be retried. */
 export interface PooledRequest {
   baseUrl: string;
   path: string;
@@ -14,12 +14,11 @@
   signal: AbortSignal;
 }
 
-/** Limits of the pools. */
 export interface PoolLimits {
-  /** Connections to one backend server. */
+  /** Limit for each backend server. */
   maxConnections: number;
   connectTimeoutMs: number;
-  /** The longest silence in the middle of an answer. */
+  /** Longest time between two chunks of a response body. */
   bodyTimeoutMs: number;
 }
 
@@ -28,7 +27,7 @@
   connectTimeoutMs: 1_000,
   bodyTimeoutMs: 30_000,
 };
-/** Errors that come before a connection is there. */
+/** Error codes of failures before a connection is established. */
 const CONNECT_ERRORS: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -37,19 +36,19 @@
 ]);
 const CANCEL_TIMEOUT_MS = 2_000;
 
-/** One pool of connections for each backend server. */
+/** Keeps one connection pool for each backend server. */
 export class BackendPools {
   private readonly pools = new Map<string, Pool>();
 
   constructor(private readonly limits: PoolLimits = DEFAULT_LIMITS) {}
 
   /**
-   * Posts a request and resolves with the head of the answer. Rejects with
-   * `backend-unreachable`; `run` is `not-run` only when no connection was made.
+   * Posts a request and resolves with the response head. Rejects with
+   * `backend-unreachable`; `run` is `not-run` only if no connection was made.
    */
   async send(spec: PooledRequest): Promise<Dispatcher.ResponseData> {
     try {
-      return await this.openPool(spec.baseUrl).request({
+      return await this.getPool(spec.baseUrl).request({
         path: spec.path,
         method: 'POST',
         headers: spec.headers,
@@ -57,25 +56,25 @@
         signal: spec.signal,
       });
     } catch (thrown) {
-      throw toUnreachable(thrown);
+      throw toUnreachableError(thrown);
     }
   }
 
-  /** Asks an engine to stop working on a request; failures don't matter. */
+  /** Asks an engine to cancel a request; ignores failures. */
   async cancel(baseUrl: string, engineRequestId: string): Promise<void> {
     try {
-      const answer = await this.openPool(baseUrl).request({
+      const answer = await this.getPool(baseUrl).request({
         path: `/v1/requests/${encodeURIComponent(engineRequestId)}/cancel`,
         method: 'POST',
         headersTimeout: CANCEL_TIMEOUT_MS,
       });
       await answer.body.dump();
     } catch {
-      // An engine that can't be reached ends its work by itself.
+      // An unreachable engine stops the request on its own.
     }
   }
 
-  /** Closes the connections to a backend server that is gone. */
+  /** Closes the connections to a removed backend server. */
   async forget(baseUrl: string): Promise<void> {
     const pool = this.pools.get(baseUrl);
     this.pools.delete(baseUrl);
@@ -88,7 +87,7 @@
     await Promise.all(pools.map(pool => pool.destroy()));
   }
 
-  private openPool(baseUrl: string): Pool {
+  private getPool(baseUrl: string): Pool {
     const known = this.pools.get(baseUrl);
     if (known) return known;
     const {maxConnections, connectTimeoutMs, bodyTimeoutMs} = this.limits;
@@ -96,7 +95,7 @@
       connections: maxConnections,
       pipelining: 1,
       connect: {timeout: connectTimeoutMs},
-      // Each request brings a signal that ends at its deadline.
+      // The request's signal enforces its deadline.
       headersTimeout: 0,
       bodyTimeout: bodyTimeoutMs,
     });
@@ -105,7 +104,7 @@
   }
 }
 
-function toUnreachable(thrown: unknown): TypedError {
+function toUnreachableError(thrown: unknown): TypedError {
   const cause = thrown instanceof Error ? thrown : new Error(String(thrown));
   const code = (thrown as {code?: unknown}).code;
   const isConnectError = typeof code === 'string' && CONNECT_ERRORS.has(code);
--- a/packages/dispatch-requests/src/own_connection.test.ts
+++ b/packages/dispatch-requests/src/own_connection.test.ts
@@ -6,26 +6,26 @@
 import {exchangeOnce} from './index.js';
 
 const BODY = Buffer.alloc(4 * 1024 * 1024, 'x');
-const ANSWER = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok';
+const RESPONSE = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok';
 
 type Behaviour = (socket: Socket, bytesRead: number) => void;
 
-const atOnce: Behaviour = socket => socket.resetAndDestroy();
-const amid: Behaviour = (socket, bytesRead) => {
+const resetOnConnect: Behaviour = socket => socket.resetAndDestroy();
+const resetDuringRequest: Behaviour = (socket, bytesRead) => {
   if (bytesRead > 0) socket.resetAndDestroy();
 };
-const afterAll: Behaviour = (socket, bytesRead) => {
+const resetAfterRequest: Behaviour = (socket, bytesRead) => {
   if (bytesRead >= BODY.length) socket.resetAndDestroy();
 };
-const amidAnswer: Behaviour = (socket, bytesRead) => {
+const resetDuringResponse: Behaviour = (socket, bytesRead) => {
   if (bytesRead < BODY.length) return;
-  socket.write(ANSWER.slice(0, -1), () => socket.resetAndDestroy());
+  socket.write(RESPONSE.slice(0, -1), () => socket.resetAndDestroy());
 };
-const answer: Behaviour = (socket, bytesRead) => {
-  if (bytesRead >= BODY.length) socket.end(ANSWER);
+const respond: Behaviour = (socket, bytesRead) => {
+  if (bytesRead >= BODY.length) socket.end(RESPONSE);
 };
 
-/** A server that counts what reaches it. */
+/** A server that counts the connections and bytes that it receives. */
 async function createServerThat(behave: Behaviour) {
   const seen = {connections: 0, bytes: 0};
   const server = createServer(socket => {
@@ -45,7 +45,7 @@
   return {seen, server, baseUrl: `http://127.0.0.1:${port}`};
 }
 
-/** Sends one request; resolves with what is known of its run. */
+/** Sends one request; resolves with its run outcome. */
 async function send(
   baseUrl: string,
   extra: {signal?: AbortSignal; maxAnswerBytes?: number} = {},
@@ -69,14 +69,13 @@
 
 const test = suite('own connection');
 
-// A member gets one ping twice: a library saw its connection reset and sent
-// the request again on a new one, although the first had been read.
+// Guards against an HTTP client that resends a request after a reset.
 [
-  {name: 'during the request', behave: amid},
-  {name: 'after the request', behave: afterAll},
-  {name: 'during the answer', behave: amidAnswer},
+  {name: 'during the request', behave: resetDuringRequest},
+  {name: 'after the request', behave: resetAfterRequest},
+  {name: 'during the response', behave: resetDuringResponse},
 ].forEach(({name, behave}) =>
-  test(`a reset ${name} is unknown, and nothing sends it again`, async () => {
+  test(`a reset ${name} is unknown, and the request is not resent`, async () => {
     const {seen, server, baseUrl} = await createServerThat(behave);
     assert.is(await send(baseUrl), 'unknown');
     assert.is(seen.connections, 1);
@@ -84,18 +83,17 @@
   }),
 );
 
-test('a reset before the request is not sent again either', async () => {
-  // A library that still holds the unsent request opens a second connection
-  // for it, while its first is taken for lost and given to another server.
-  const {seen, server, baseUrl} = await createServerThat(atOnce);
+test('a request is not resent after a reset before it was sent', async () => {
+  // Guards against an HTTP client that reconnects for an unsent request.
+  const {seen, server, baseUrl} = await createServerThat(resetOnConnect);
   const runs = await Promise.all(Array.from({length: 40}, () => send(baseUrl)));
   assert.ok(runs.every(run => run === 'not-run' || run === 'unknown'));
   assert.is(seen.connections, 40);
   server.close();
 });
 
-test('no connection, or no time left, is not-run', async () => {
-  const {seen, server, baseUrl} = await createServerThat(answer);
+test('a failed connection or a passed deadline is not-run', async () => {
+  const {seen, server, baseUrl} = await createServerThat(respond);
   assert.is(await send(baseUrl, {signal: AbortSignal.abort()}), 'not-run');
   const abort = new AbortController();
   const sent = send(baseUrl, {signal: abort.signal});
@@ -107,7 +105,7 @@
   assert.is(seen.bytes, 0);
 });
 
-test('time that is over after the request was begun is unknown', async () => {
+test('an abort after sending has started is unknown', async () => {
   const abort = new AbortController();
   const {server, baseUrl} = await createServerThat((_socket, bytesRead) => {
     if (bytesRead > 0) abort.abort();
@@ -116,8 +114,8 @@
   server.close();
 });
 
-test('an answer over its limit says that it ran', async () => {
-  const {server, baseUrl} = await createServerThat(answer);
+test('a response over its limit is reported as ran', async () => {
+  const {server, baseUrl} = await createServerThat(respond);
   assert.is(await send(baseUrl), 'answered');
   assert.is(await send(baseUrl, {maxAnswerBytes: 1}), 'ran');
   server.close();
--- a/packages/dispatch-requests/src/own_connection.ts
+++ b/packages/dispatch-requests/src/own_connection.ts
@@ -1,9 +1,7 @@
 /**
- * One request on a connection of its own. A kept connection that fails cannot
- * tell whether the other side saw the request: a reset of an idle connection
- * and a reset after the whole request look the same. Here the connection is
- * made first; until something is written to it nothing can have run, and
- * after that nobody can tell.
+ * Sends one request on a dedicated connection. On a reused connection, a reset
+ * while idle and a reset after the request look the same; on a new connection,
+ * nothing can have run before the first byte is written.
  */
 import {type Socket, connect, isIP} from 'node:net';
 import {TLSSocket, connect as connectTls} from 'node:tls';
@@ -21,19 +19,19 @@
   headers: Readonly<Record<string, string>>;
   body: Uint8Array;
   connectTimeoutMs: number;
-  /** Ends the request; before it is written, with `not-run`. */
+  /** Aborts the request; `not-run` if nothing has been written yet. */
   signal?: AbortSignal;
 }
 
-/** An answer, with the connection that must be closed after reading it. */
+/** A response and its connection, to be closed after reading the body. */
 export interface OwnConnectionAnswer {
   response: Dispatcher.ResponseData;
   close(): Promise<void>;
 }
 
 /**
- * Sends a request once. Rejects with `run: 'not-run'` when nothing of it was
- * handed to a connection, and with `run: 'unknown'` for everything after that.
+ * Sends a request once. Rejects with `run: 'not-run'` if nothing was written to
+ * the connection, otherwise with `run: 'unknown'`.
  */
 export async function sendOnce(
   spec: OwnConnectionRequest,
@@ -51,7 +49,7 @@
     });
     return {response, close: () => client.destroy()};
   } catch (thrown) {
-    const error = describeFailure(socket, asError(thrown));
+    const error = toSendError(socket, asError(thrown));
     socket.destroy();
     await client.destroy();
     throw error;
@@ -59,26 +57,26 @@
 }
 
 /**
- * The count of written bytes holds all that the socket was ever given, also
- * what has not left the machine, so at 0 the request can't have run. What the
- * layer of TLS counts is not that sure, so there it is left unknown.
+ * `bytesWritten` includes bytes buffered on this machine, so the request cannot
+ * have run if it is 0. For TLS sockets the count is not reliable.
  */
-function describeFailure(socket: Socket, cause: Error): TypedError {
+function toSendError(socket: Socket, cause: Error): TypedError {
   if (socket.bytesWritten === 0 && !isTls(socket)) {
-    return makeUnreachable('The connection broke before it was used.', cause);
+    return makeUnreachableError(
+      'The connection closed before the request was sent.',
+      cause,
+    );
   }
   return new TypedError(
     'outcome-unknown',
-    'The connection to the backend server broke after the request was begun.',
+    'The connection to the backend server failed; the request may have run.',
     {run: 'unknown', cause},
   );
 }
 
 /**
- * Guards against a library that sends a request again by itself, which runs it
- * twice: a client that lost its connection makes another for what it still
- * has to send. This one is refused a second connection, and one that has
- * broken before it was used.
+ * Guards against a request that runs twice because undici reconnects and sends
+ * it again: the client gets a single connection.
  */
 function makeSingleUseClient(url: URL, socket: Socket): Client {
   let isUsed = false;
@@ -86,11 +84,14 @@
     pipelining: 1,
     connect: (_options, callback) => {
       if (isUsed || socket.destroyed) {
-        callback(new Error('The connection is used up.'), null);
+        callback(
+          new Error('The connection was already used or has closed.'),
+          null,
+        );
         return;
       }
       isUsed = true;
-      // The client expects its connector to answer later, never at once.
+      // The client requires an asynchronous connector.
       setImmediate(() => callback(null, socket));
     },
   });
@@ -100,26 +101,34 @@
   return new Promise((resolve, reject) => {
     const {signal} = spec;
     if (signal?.aborted) {
-      reject(makeUnreachable('There was no time left.', undefined));
+      reject(
+        makeUnreachableError(
+          'The request was aborted before it was sent.',
+          undefined,
+        ),
+      );
       return;
     }
     const socket = beginConnecting(url);
     const fail = (cause: Error) => {
       signal?.removeEventListener('abort', onAbort);
       socket.destroy();
-      reject(makeUnreachable('No connection could be made.', cause));
+      reject(
+        makeUnreachableError('Could not connect to the backend server.', cause),
+      );
     };
-    const onAbort = () => fail(new Error('The time was over.'));
+    const onAbort = () =>
+      fail(new Error('The request was aborted while connecting.'));
     signal?.addEventListener('abort', onAbort, {once: true});
     socket.setTimeout(spec.connectTimeoutMs, () =>
-      fail(new Error('Connecting took too long.')),
+      fail(new Error('The connection attempt timed out.')),
     );
     socket.once('error', fail);
     socket.once(isTls(socket) ? 'secureConnect' : 'connect', () => {
       signal?.removeEventListener('abort', onAbort);
       socket.setTimeout(0);
       socket.off('error', fail);
-      // A reset may come before the client listens; unheard it ends the process.
+      // Without a listener, an early reset would crash the process.
       socket.on('error', () => undefined);
       resolve(socket);
     });
@@ -142,7 +151,7 @@
   return socket instanceof TLSSocket;
 }
 
-function makeUnreachable(message: string, cause: Error | undefined) {
+function makeUnreachableError(message: string, cause: Error | undefined) {
   return new TypedError('backend-unreachable', message, {
     run: 'not-run',
     cause,
--- a/packages/dispatch-requests/src/read_refusal.ts
+++ b/packages/dispatch-requests/src/read_refusal.ts
@@ -1,4 +1,4 @@
-/** Maps the errors that engines tell to kinds. */
+/** Maps error responses of engines to typed errors. */
 import {TypedError} from '@mimosatack/errors';
 import {type Dispatcher} from 'undici';
 import {z} from 'zod';
@@ -11,8 +11,8 @@
   }),
 });
 /**
- * The error that an answer with a status of 300 or more tells. The engine had
- * the request in hand, but one that it refuses (4xx) did not run.
+ * Converts a response with a status of 300 or more to an error. A request that
+ * the engine rejects (4xx) has not run.
  */
 export async function readRefusal(
   response: Dispatcher.ResponseData,
@@ -20,9 +20,11 @@
   const {statusCode} = response;
   const text = await readText(response).catch(() => '');
   const parsed = errorSchema.safeParse(parseJson(text));
-  const told = parsed.success ? parsed.data.error : {kind: '', message: ''};
-  const message = `The engine answered ${statusCode}: ${told.message}`;
-  if (statusCode === 404 && told.kind === 'unknown-model') {
+  const engineError = parsed.success
+    ? parsed.data.error
+    : {kind: '', message: ''};
+  const message = `The engine answered ${statusCode}: ${engineError.message}`;
+  if (statusCode === 404 && engineError.kind === 'unknown-model') {
     return new TypedError('not-warm', message, {run: 'not-run'});
   }
   if (statusCode === 429) {
--- a/packages/dispatch-requests/src/whole_answer.ts
+++ b/packages/dispatch-requests/src/whole_answer.ts
@@ -1,14 +1,14 @@
-/** A request that is sent once and answered in one piece. */
+/** Sends a request once and buffers its whole response. */
 import {TypedError} from '@mimosatack/errors';
 import {type Dispatcher} from 'undici';
 import {type OwnConnectionRequest, sendOnce} from './own_connection.js';
 
-/** A request that must not be sent twice, with a bound on its answer. */
+/** A request that must not run twice, with a limit on its response. */
 export interface WholeAnswerRequest extends OwnConnectionRequest {
   maxAnswerBytes: number;
 }
 
-/** The answer as it came, whatever its status. */
+/** A response of any status, unmodified. */
 export interface WholeAnswer {
   statusCode: number;
   headers: Dispatcher.ResponseData['headers'];
@@ -17,9 +17,8 @@
 }
 
 /**
- * Sends a request once and reads its whole answer. Every error says by `run`
- * what is known: `ran` for an answer that is too large, `unknown` for one that
- * breaks off.
+ * Sends a request once and reads its whole response. The `run` of an error is
+ * `ran` for a response that is too large and `unknown` for a truncated one.
  */
 export async function exchangeOnce(
   spec: WholeAnswerRequest,
@@ -48,23 +47,27 @@
     for await (const chunk of body) {
       chunks.push(chunk);
       byteCount += chunk.length;
-      if (byteCount > maxBytes) throw makeTooLarge(maxBytes);
+      if (byteCount > maxBytes) throw makeTooLargeError(maxBytes);
     }
   } catch (thrown) {
     if (thrown instanceof TypedError) throw thrown;
     const cause = thrown instanceof Error ? thrown : new Error(String(thrown));
-    throw new TypedError('outcome-unknown', 'The answer broke off.', {
-      run: 'unknown',
-      cause,
-    });
+    throw new TypedError(
+      'outcome-unknown',
+      'The response ended before it was complete.',
+      {
+        run: 'unknown',
+        cause,
+      },
+    );
   }
   return Buffer.concat(chunks);
 }
 
-function makeTooLarge(maxBytes: number): TypedError {
+function makeTooLargeError(maxBytes: number): TypedError {
   return new TypedError(
     'answer-too-large',
-    `The request ran, but its answer is over ${maxBytes} bytes.`,
+    `The request ran, but its response exceeds ${maxBytes} bytes.`,
     {run: 'ran'},
   );
 }
