--- a/packages/dispatch-requests/src/own_connection.ts
+++ b/packages/dispatch-requests/src/own_connection.ts
@@ -63,13 +63,13 @@
 function toSendError(socket: Socket, cause: Error): TypedError {
   if (socket.bytesWritten === 0 && !isTls(socket)) {
     return makeUnreachableError(
-      'The connection closed before the request was sent.',
+      'The connection broke before it was used.',
       cause,
     );
   }
   return new TypedError(
     'outcome-unknown',
-    'The connection to the backend server failed; the request may have run.',
+    'The connection to the backend server broke after the request was begun.',
     {run: 'unknown', cause},
   );
 }
@@ -84,10 +84,7 @@
     pipelining: 1,
     connect: (_options, callback) => {
       if (isUsed || socket.destroyed) {
-        callback(
-          new Error('The connection was already used or has closed.'),
-          null,
-        );
+        callback(new Error('The connection is used up.'), null);
         return;
       }
       isUsed = true;
@@ -101,27 +98,19 @@
   return new Promise((resolve, reject) => {
     const {signal} = spec;
     if (signal?.aborted) {
-      reject(
-        makeUnreachableError(
-          'The request was aborted before it was sent.',
-          undefined,
-        ),
-      );
+      reject(makeUnreachableError('There was no time left.', undefined));
       return;
     }
     const socket = beginConnecting(url);
     const fail = (cause: Error) => {
       signal?.removeEventListener('abort', onAbort);
       socket.destroy();
-      reject(
-        makeUnreachableError('Could not connect to the backend server.', cause),
-      );
+      reject(makeUnreachableError('No connection could be made.', cause));
     };
-    const onAbort = () =>
-      fail(new Error('The request was aborted while connecting.'));
+    const onAbort = () => fail(new Error('The time was over.'));
     signal?.addEventListener('abort', onAbort, {once: true});
     socket.setTimeout(spec.connectTimeoutMs, () =>
-      fail(new Error('The connection attempt timed out.')),
+      fail(new Error('Connecting took too long.')),
     );
     socket.once('error', fail);
     socket.once(isTls(socket) ? 'secureConnect' : 'connect', () => {
--- a/packages/dispatch-requests/src/whole_answer.ts
+++ b/packages/dispatch-requests/src/whole_answer.ts
@@ -52,14 +52,10 @@
   } catch (thrown) {
     if (thrown instanceof TypedError) throw thrown;
     const cause = thrown instanceof Error ? thrown : new Error(String(thrown));
-    throw new TypedError(
-      'outcome-unknown',
-      'The response ended before it was complete.',
-      {
-        run: 'unknown',
-        cause,
-      },
-    );
+    throw new TypedError('outcome-unknown', 'The answer broke off.', {
+      run: 'unknown',
+      cause,
+    });
   }
   return Buffer.concat(chunks);
 }
@@ -67,7 +63,7 @@
 function makeTooLargeError(maxBytes: number): TypedError {
   return new TypedError(
     'answer-too-large',
-    `The request ran, but its response exceeds ${maxBytes} bytes.`,
+    `The request ran, but its answer is over ${maxBytes} bytes.`,
     {run: 'ran'},
   );
 }
--- a/packages/serving-node/src/caller_access.ts
+++ b/packages/serving-node/src/caller_access.ts
@@ -76,7 +76,7 @@
 function makeUnconfirmedError(): TypedError {
   return new TypedError(
     'platform-unavailable',
-    'The configuration is too old to verify keys.',
+    'The keys in force could not be confirmed lately.',
     {run: 'not-run', retryAfterMs: UNCONFIRMED_RETRY_MS},
   );
 }
--- a/packages/serving-node/src/containment_task.ts
+++ b/packages/serving-node/src/containment_task.ts
@@ -90,7 +90,7 @@
 function makeInvalidRecordError(): TypedError {
   return new TypedError(
     'record-invalid',
-    'The record of contained requests could not be decoded.',
+    'The record of contained requests has another form.',
     {run: 'not-run'},
   );
 }
