--- a/packages/membership/src/finding.test.ts
+++ b/packages/membership/src/finding.test.ts
@@ -10,11 +10,10 @@
   nameOf,
 } from './network_fixture.js';
 
-const finding = suite('finding dead nodes');
+const detection = suite('failure detection');
 
-finding('a dead node is found by all', () => {
-  // Requests go on to a host that was reclaimed without notice.
-  // A node dies; its probes stay unanswered, directly and through others.
+// Guards against requests still being routed to a host reclaimed without notice.
+detection('all nodes detect a crashed node', () => {
   const network = createNetwork();
   network.kill(addressOf(5));
   const tookMs = network.runUntil(
@@ -25,9 +24,8 @@
   assert.is(network.get(addressOf(0)).listUsable().length, 7);
 });
 
-finding('one lost message makes nobody gone or suspect', () => {
-  // A healthy node gets no work, because a single probe to it was lost.
-  // Each probe in turn is lost once; the target is reached through others.
+// Guards against a healthy node receiving no work because one probe was lost.
+detection('a single lost probe makes no member suspect or gone', () => {
   const network = createNetwork();
   const versionsBefore = network.listNodes().map(node => node.version);
   let sentCount = 0;
@@ -40,25 +38,23 @@
 });
 
 [1, 2, 3, 4, 5].forEach(seed => {
-  finding(`a suspect that still runs refutes, seed ${seed}`, () => {
-    // A healthy node would be dropped after a short fault of the network.
-    // All it sends is lost until some node suspects it; then the fault ends.
+  // Guards against a healthy node being dropped after a short network fault.
+  detection(`a running node refutes its suspicion, seed ${seed}`, () => {
     const network = createNetwork({seed});
     network.isLost = ({fromAddress}) => fromAddress === addressOf(3);
-    const isSuspect = () => network.isSeenBySome(nameOf(3), 'suspect');
+    const isSuspect = () => network.isSeenByAny(nameOf(3), 'suspect');
     assert.is.not(network.runUntil(isSuspect, 5_000), null);
     network.isLost = () => false;
     assert.is(countGone(network, 10_000), 0);
-    assert.ok(network.isComplete());
+    assert.ok(network.isConverged());
   });
 });
 
-finding('a node that thaws does not end a suspect that refuted', () => {
-  // After a pause, one node drops a peer that all others see as alive.
-  // It hears a suspicion and is frozen; the peer's refutation waits unread
-  // while the time to refute runs out, and timers run first on the thaw.
+// Guards against a resumed node declaring a peer gone because the suspicion
+// timeout fires before the peer's queued refutation is read.
+detection('a resumed node keeps a suspect that has refuted', () => {
   const network = createNetwork();
-  const [frozen, peer] = [network.get(addressOf(2)), network.get(addressOf(3))];
+  const [paused, peer] = [network.get(addressOf(2)), network.get(addressOf(3))];
   const {nodeName, startedAtMs, counter} = peer.self;
   const suspicion = {
     nodeName,
@@ -66,29 +62,28 @@
     counter,
     status: 'suspect',
   } as const;
-  [frozen, peer].forEach(node =>
+  [paused, peer].forEach(node =>
     node.receive(
       addressOf(0),
       {type: 'probe', sequence: 1, updates: [suspicion]},
       network.nowMs,
     ),
   );
-  assert.is(statusOf(frozen, nodeName), 'suspect');
-  network.freeze(addressOf(2));
+  assert.is(statusOf(paused, nodeName), 'suspect');
+  network.pause(addressOf(2));
   network.run(1_500);
-  network.thaw(addressOf(2));
-  assert.is(statusOf(frozen, nodeName), 'suspect');
+  network.resume(addressOf(2));
+  assert.is(statusOf(paused, nodeName), 'suspect');
   network.step();
-  assert.is(statusOf(frozen, nodeName), 'alive');
+  assert.is(statusOf(paused, nodeName), 'alive');
 });
 
-finding('a frozen node that thaws refutes and accuses nobody', () => {
-  // After a long pause of one process, it and the others lose each other.
-  // While it is frozen it is found gone; on the thaw its own open probes
-  // look unanswered, and it hears that it is held for gone.
+// Guards against a node and its peers dropping each other after its process was
+// paused long enough to be declared gone.
+detection('a resumed node refutes and suspects no other node', () => {
   const network = createNetwork();
-  const victim = addressOf(2);
-  network.freeze(victim);
+  const pausedAddress = addressOf(2);
+  network.pause(pausedAddress);
   network.run(30_000);
   assert.ok(
     network
@@ -99,36 +94,35 @@
           statusOf(node, nameOf(2)) === 'gone',
       ),
   );
-  network.thaw(victim);
-  const accused = network.get(victim);
+  network.resume(pausedAddress);
+  const resumed = network.get(pausedAddress);
   const tookMs = network.runUntil(() => {
-    assert.is(accused.listUsable().length, 8);
-    return network.isComplete();
+    assert.is(resumed.listUsable().length, 8);
+    return network.isConverged();
   }, 30_000);
   assert.is.not(tookMs, null);
 });
 
-finding('a late alive does not bring a gone node back', () => {
-  // A dead node gets work again, because an old message said it is alive.
-  // It is found gone; then its last `alive` arrives, and a whole old list.
+// Guards against a crashed node receiving work because of a delayed message.
+detection('a delayed alive does not restore a gone node', () => {
   const network = createNetwork();
-  const dead = network.get(addressOf(5)).self;
+  const crashed = network.get(addressOf(5)).self;
   network.kill(addressOf(5));
   network.run(10_000);
-  const {nodeName, startedAtMs, counter} = dead;
-  const late = {nodeName, startedAtMs, counter, status: 'alive'} as const;
+  const {nodeName, startedAtMs, counter} = crashed;
+  const delayed = {nodeName, startedAtMs, counter, status: 'alive'} as const;
   const node = network.get(addressOf(0));
   node.receive(
     addressOf(1),
-    {type: 'probe', sequence: 1, updates: [late]},
+    {type: 'probe', sequence: 1, updates: [delayed]},
     network.nowMs,
   );
   node.receive(
     addressOf(1),
-    {type: 'details', members: [{...createInfo(5), ...late}]},
+    {type: 'details', members: [{...createInfo(5), ...delayed}]},
     network.nowMs,
   );
   assert.is(statusOf(node, nodeName), 'gone');
 });
 
-finding.run();
+detection.run();
--- a/packages/membership/src/gossip.ts
+++ b/packages/membership/src/gossip.ts
@@ -1,4 +1,4 @@
-/** Believes, refutes and passes on what nodes say about each other. */
+/** Applies, refutes and disseminates member updates. */
 import {
   type Member,
   type MemberInfo,
@@ -12,17 +12,16 @@
 import {type OutgoingMessage} from './messages.js';
 import {
   type MembershipOptions,
-  suspicionMs,
+  suspicionTimeoutMs,
   transmissionLimit,
 } from './options.js';
 import {UpdateQueue} from './update_queue.js';
 
-/** The members and the updates about them that still spread. */
 export class Gossip {
   readonly table: MemberTable;
   private readonly queue = new UpdateQueue();
   private readonly selfName: string;
-  /** Members whose update must not wait for the usual round. */
+  /** Members whose updates are sent without waiting for the next probe. */
   private readonly urgent = new Set<string>();
 
   constructor(
@@ -31,14 +30,14 @@
   ) {
     this.selfName = self.nodeName;
     this.table = new MemberTable({
-      suspicionMs: nodeCount => suspicionMs(options, nodeCount),
+      suspicionTimeoutMs: nodeCount => suspicionTimeoutMs(options, nodeCount),
       goneKeepMs: options.goneKeepMs,
       maxGoneCount: options.maxGoneCount,
     });
     this.table.applyRecord({...self, counter: 0, status: 'alive'}, 0);
   }
 
-  /** This node as it tells of itself. */
+  /** This node's own entry. */
   get self(): Member {
     return this.table.get(this.selfName)!;
   }
@@ -47,13 +46,13 @@
     return nodeName === this.selfName;
   }
 
-  /** Sets the status by this node's own finding and spreads it. */
-  declare(nodeName: string, status: MemberStatus, nowMs: number): void {
+  /** Sets a status detected by this node and queues it for gossip. */
+  declareStatus(nodeName: string, status: MemberStatus, nowMs: number): void {
     this.table.setStatus(nodeName, status, nowMs);
     this.queue.add(nodeName);
   }
 
-  /** Tells of this node anew, above everything said of it so far. */
+  /** Updates this node's entry and increments its counter to override reports. */
   announceSelf(change: Partial<MemberRecord>, nowMs: number): void {
     const {counter} = this.self;
     this.table.applyRecord(
@@ -63,12 +62,12 @@
     this.queue.add(this.selfName);
   }
 
-  /** Has the member's update told to all probed peers at once. */
-  hurry(nodeName: string): void {
+  /** Marks the member's update for sending to all probe targets on `tick`. */
+  markUrgent(nodeName: string): void {
     this.urgent.add(nodeName);
   }
 
-  /** The updates to be told at once; those over the bound only spread. */
+  /** Returns urgent updates; any over the limit are left to regular gossip. */
   takeUrgent(): MemberUpdate[] {
     const updates = [...this.urgent]
       .slice(0, this.options.maxPiggybackCount)
@@ -79,7 +78,7 @@
     return updates;
   }
 
-  /** Takes in updates; asks the sender about lives not known here. */
+  /** Applies updates and requests details of unknown members from the sender. */
   applyUpdates(
     fromAddress: string,
     updates: readonly MemberUpdate[],
@@ -98,19 +97,19 @@
         ];
   }
 
-  /** Takes in one update and spreads it if it is news. */
+  /** Applies an update and queues it for gossip if it changed the table. */
   applyUpdate(update: MemberUpdate, nowMs: number): ApplyOutcome {
     if (this.isSelf(update.nodeName)) return this.refute(update, nowMs);
     const outcome = this.table.applyUpdate(update, nowMs);
-    if (outcome === 'news') this.queue.add(update.nodeName);
+    if (outcome === 'applied') this.queue.add(update.nodeName);
     return outcome;
   }
 
-  /** Takes in full records; `isNews` tells whether others lack them too. */
+  /** Applies full records; `enqueue` also queues changes for gossip. */
   applyRecords(
     records: readonly MemberRecord[],
     nowMs: number,
-    isNews: boolean,
+    enqueue: boolean,
   ): void {
     records.forEach(record => {
       if (this.isSelf(record.nodeName)) {
@@ -118,45 +117,46 @@
         return;
       }
       const outcome = this.table.applyRecord(record, nowMs);
-      if (outcome === 'news' && isNews) this.queue.add(record.nodeName);
+      if (outcome === 'applied' && enqueue) this.queue.add(record.nodeName);
     });
   }
 
   /**
-   * The updates that ride on a message: first what the receiver must hear of
-   * itself, so that it can refute, then those sent least often.
+   * Selects the updates to piggyback on a message: a report about the receiver
+   * first, so that it can refute, then those sent least often.
    */
   pickUpdates(
     toAddress: string,
-    rumors: readonly MemberUpdate[] = [],
+    leadingUpdates: readonly MemberUpdate[] = [],
   ): MemberUpdate[] {
     const receiver = this.table.findByAddress(toAddress);
-    const isAccused =
+    const isReceiverSuspected =
       receiver?.status === 'suspect' || receiver?.status === 'gone';
-    const first = isAccused ? [toUpdate(receiver), ...rumors] : rumors;
+    const first = isReceiverSuspected
+      ? [toUpdate(receiver), ...leadingUpdates]
+      : leadingUpdates;
     const names = this.queue.take(
       this.options.maxPiggybackCount - first.length,
       transmissionLimit(this.table.size),
     );
-    const spread = names
+    const queued = names
       .map(nodeName => this.table.get(nodeName))
       .filter(member => member !== undefined)
       .map(member => toUpdate(member));
-    return [...first, ...spread];
+    return [...first, ...queued];
   }
 
   /**
-   * Guards against this node being taken for dead while it only was frozen,
-   * overloaded or cut off: it hears the accusation on the next message and
-   * raises its counter, which outranks the accusation everywhere. It hurries,
-   * as a suspicion would else come to its end before the refutation is known.
+   * Guards against a running node being declared gone after a pause, overload
+   * or partition: a higher counter overrides the report on every node. The
+   * refutation is urgent, as it must arrive before the suspicion expires.
    */
   private refute(update: MemberUpdate, nowMs: number): ApplyOutcome {
-    const isThisLife = update.startedAtMs === this.self.startedAtMs;
-    if (isThisLife && isNewer(update, this.self)) {
+    const isThisIncarnation = update.startedAtMs === this.self.startedAtMs;
+    if (isThisIncarnation && isNewer(update, this.self)) {
       this.announceSelf({counter: update.counter + 1}, nowMs);
-      this.hurry(this.selfName);
+      this.markUrgent(this.selfName);
     }
-    return 'old';
+    return 'stale';
   }
 }
--- a/packages/membership/src/in_memory_network.ts
+++ b/packages/membership/src/in_memory_network.ts
@@ -1,40 +1,38 @@
-/** Several memberships in one process, for tests and measurements. */
+/** Simulates a cluster in one process, for tests and measurements. */
 import {SeededRandom} from '@mimosatack/random';
 import {type MemberInfo, type MemberStatus} from './member.js';
 import {Membership} from './membership.js';
 import {type MembershipMessage, type OutgoingMessage} from './messages.js';
 import {type MembershipOptions} from './options.js';
 
-/** How often members are called; also how long a message travels. */
+/** Tick interval and message latency. */
 export const STEP_MS = 100;
 
-/** A message on its way. */
 export interface Envelope extends OutgoingMessage {
   fromAddress: string;
 }
 
-/** What a node of the network is started with. */
 export interface NodeSetup {
   info: MemberInfo;
   seeds: string[];
   options?: Partial<MembershipOptions>;
 }
 
-/** Carries messages in a fixed order, one step at a time. */
+/** Delivers messages in a deterministic order, one step at a time. */
 export class InMemoryNetwork {
   nowMs = 0;
-  /** Decides whether a message is lost; none is unless a test says so. */
+  /** Decides whether a message is lost; none is by default. */
   isLost: (envelope: Envelope) => boolean = () => false;
-  /** Told of every message that is sent, lost ones included. */
+  /** Called for every sent message, including lost ones. */
   onSend: (envelope: Envelope) => void = () => {};
   private readonly nodes = new Map<string, Membership>();
-  private readonly frozen = new Set<string>();
-  private waiting: Envelope[] = [];
+  private readonly paused = new Set<string>();
+  private inFlight: Envelope[] = [];
 
-  /** @param nextSeed fixes the random choices of all nodes. */
+  /** @param nextSeed seeds the random choices of all nodes. */
   constructor(private nextSeed = 1) {}
 
-  /** Starts a process; it replaces one at the same address. */
+  /** Starts a node, replacing any at the same address. */
   start({info, seeds, options}: NodeSetup): Membership {
     const random = new SeededRandom(this.nextSeed++);
     const node = new Membership(info, options ?? {}, random);
@@ -43,19 +41,19 @@
     return node;
   }
 
-  /** Ends a process without a word. */
+  /** Stops a node without a leave message. */
   kill(address: string): void {
     this.nodes.delete(address);
   }
 
-  /** Stops a process from running; what it is sent waits for the thaw. */
-  freeze(address: string): void {
-    this.frozen.add(address);
+  /** Pauses a node; its messages are queued until `resume`. */
+  pause(address: string): void {
+    this.paused.add(address);
   }
 
-  /** As in an event loop, timers that are due run before sockets are read. */
-  thaw(address: string): void {
-    this.frozen.delete(address);
+  /** Runs due timers before reading sockets, as an event loop does. */
+  resume(address: string): void {
+    this.paused.delete(address);
     this.post(address, this.get(address).tick(this.nowMs));
   }
 
@@ -74,20 +72,20 @@
       .map(message => ({...message, fromAddress}))
       .forEach(envelope => {
         this.onSend(envelope);
-        if (!this.isLost(envelope)) this.waiting.push(envelope);
+        if (!this.isLost(envelope)) this.inFlight.push(envelope);
       });
   }
 
-  /** Delivers what waits, then lets every node act. */
+  /** Delivers the messages in flight, then calls `tick` on every node. */
   step(): void {
     this.nowMs += STEP_MS;
-    const due = this.waiting;
-    this.waiting = due.filter(({toAddress}) => this.frozen.has(toAddress));
+    const due = this.inFlight;
+    this.inFlight = due.filter(({toAddress}) => this.paused.has(toAddress));
     due
-      .filter(({toAddress}) => !this.frozen.has(toAddress))
+      .filter(({toAddress}) => !this.paused.has(toAddress))
       .forEach(envelope => this.deliver(envelope));
     [...this.nodes]
-      .filter(([address]) => !this.frozen.has(address))
+      .filter(([address]) => !this.paused.has(address))
       .forEach(([address, node]) => this.post(address, node.tick(this.nowMs)));
   }
 
@@ -96,27 +94,26 @@
     Array.from({length: stepCount}).forEach(() => this.step());
   }
 
-  /** Runs until it is so; returns how long that took, or null if it is not. */
-  runUntil(isSo: () => boolean, limitMs: number): number | null {
+  /** Returns the elapsed time in ms, or null if `limitMs` is exceeded. */
+  runUntil(condition: () => boolean, limitMs: number): number | null {
     const startMs = this.nowMs;
-    while (!isSo() && this.nowMs - startMs < limitMs) this.step();
-    return isSo() ? this.nowMs - startMs : null;
+    while (!condition() && this.nowMs - startMs < limitMs) this.step();
+    return condition() ? this.nowMs - startMs : null;
   }
 
-  /** Whether all nodes but the one itself give it the status. */
+  /** Whether all nodes except the named one list it with the status. */
   isSeenAs(nodeName: string, status: MemberStatus | undefined): boolean {
     return this.listNodes().every(
-      node => statusOf(node, nodeName) === status || isAt(node, nodeName),
+      node => statusOf(node, nodeName) === status || isSelf(node, nodeName),
     );
   }
 
-  /** Whether any node gives it the status. */
-  isSeenBySome(nodeName: string, status: MemberStatus): boolean {
+  isSeenByAny(nodeName: string, status: MemberStatus): boolean {
     return this.listNodes().some(node => statusOf(node, nodeName) === status);
   }
 
-  /** Whether every node lists every running one as alive, and no others. */
-  isComplete(): boolean {
+  /** Whether every node lists exactly the running nodes, all as alive. */
+  isConverged(): boolean {
     return this.listNodes().every(
       node =>
         node.listUsable().length === this.nodes.size &&
@@ -132,7 +129,6 @@
   }
 }
 
-/** What a node believes of another. */
 export function statusOf(
   node: Membership,
   nodeName: string,
@@ -140,6 +136,6 @@
   return node.list().find(member => member.nodeName === nodeName)?.status;
 }
 
-function isAt(node: Membership, nodeName: string): boolean {
+function isSelf(node: Membership, nodeName: string): boolean {
   return node.self.nodeName === nodeName;
 }
--- a/packages/membership/src/list_exchange.ts
+++ b/packages/membership/src/list_exchange.ts
@@ -1,4 +1,4 @@
-/** Joins through seeds and compares whole lists now and then. */
+/** Joining through seeds and periodic comparison of member lists. */
 import {type RandomSource, pickOne} from '@mimosatack/random';
 import {type Gossip} from './gossip.js';
 import {
@@ -9,42 +9,45 @@
 } from './member.js';
 import {
   bucketOf,
-  digestAll,
+  digestOfBuckets,
   digestBuckets,
-  listDifferent,
+  listDifferingBuckets,
 } from './member_digests.js';
 import {type MessageOf, type OutgoingMessage} from './messages.js';
 import {type MembershipOptions} from './options.js';
-import {pickSome} from './random_choice.js';
+import {pickSample} from './random_choice.js';
 import {Schedule} from './schedule.js';
 
 const RECORDS_PER_PAGE = 50;
 const BUCKETS_PER_PAGE = 16;
-/** How many members' details are asked for at once. */
+/** Maximum number of members in one reply to a details request. */
 const MAX_DETAILS_COUNT = 100;
-/** How often the peer of a comparison is of another region. */
-const OTHER_REGION_SHARE = 0.5;
+/** Probability of picking a sync peer from another region. */
+const REMOTE_REGION_SHARE = 0.5;
 
-/** Told of members that others hold for gone and this node does not. */
-export type DoubtListener = (nodeName: string, rumor: MemberUpdate) => void;
+/** Called with members that a peer reports gone and this node does not. */
+export type GoneReportListener = (
+  nodeName: string,
+  report: MemberUpdate,
+) => void;
 
-/** Exchanges lists of members, whole at first and then by digest. */
+/** Exchanges full lists on joining, then only the buckets that differ. */
 export class ListExchange {
-  /** Whether a seed has answered, or there is none to ask. */
+  /** True once a seed has answered, or if there are no other seeds. */
   isJoined = true;
   private seeds: string[] = [];
   private nextJoinMs = 0;
-  private readonly syncRound: Schedule;
-  private readonly seedRound: Schedule;
+  private readonly syncSchedule: Schedule;
+  private readonly seedSchedule: Schedule;
 
   constructor(
     private readonly gossip: Gossip,
     private readonly options: MembershipOptions,
     private readonly random: RandomSource,
-    private readonly onDoubt: DoubtListener,
+    private readonly onGoneReport: GoneReportListener,
   ) {
-    this.syncRound = new Schedule(options.syncPeriodMs, random);
-    this.seedRound = new Schedule(options.seedPeriodMs, random);
+    this.syncSchedule = new Schedule(options.syncPeriodMs, random);
+    this.seedSchedule = new Schedule(options.seedPeriodMs, random);
   }
 
   join(seedAddresses: readonly string[], nowMs: number): OutgoingMessage[] {
@@ -62,9 +65,9 @@
     ];
   }
 
-  /** Begins to compare lists with the node at an address. */
+  /** Starts a list comparison with the node at `toAddress`. */
   makeSync(toAddress: string): OutgoingMessage {
-    const digest = digestAll(digestBuckets(this.listUpdates()));
+    const digest = digestOfBuckets(digestBuckets(this.listUpdates()));
     return {toAddress, message: {type: 'sync', digest}};
   }
 
@@ -88,8 +91,10 @@
   ): OutgoingMessage[] {
     this.isJoined = true;
     this.gossip.applyRecords(members, nowMs, false);
-    const isOutdone = members.some(member => this.outdo(member, nowMs));
-    return isOutdone ? [this.makeJoin(fromAddress)] : [];
+    const isSuperseding = members.some(member =>
+      this.supersedePredecessor(member, nowMs),
+    );
+    return isSuperseding ? [this.makeJoin(fromAddress)] : [];
   }
 
   receiveSync(
@@ -97,7 +102,7 @@
     {digest}: MessageOf<'sync'>,
   ): OutgoingMessage[] {
     const digests = digestBuckets(this.listUpdates());
-    if (digestAll(digests) === digest) return [];
+    if (digestOfBuckets(digests) === digest) return [];
     return [{toAddress: fromAddress, message: {type: 'sync-digests', digests}}];
   }
 
@@ -106,7 +111,7 @@
     {digests}: MessageOf<'sync-digests'>,
   ): OutgoingMessage[] {
     const own = digestBuckets(this.listUpdates());
-    return paginate(listDifferent(own, digests), BUCKETS_PER_PAGE).map(
+    return paginate(listDifferingBuckets(own, digests), BUCKETS_PER_PAGE).map(
       buckets => this.makeSyncMembers(fromAddress, buckets, false),
     );
   }
@@ -119,10 +124,10 @@
     const reply = isReply
       ? []
       : [this.makeSyncMembers(fromAddress, buckets, true)];
-    const believed = updates.filter(update => !this.isDoubtful(update));
+    const accepted = updates.filter(update => !this.needsVerification(update));
     return [
       ...reply,
-      ...this.gossip.applyUpdates(fromAddress, believed, nowMs),
+      ...this.gossip.applyUpdates(fromAddress, accepted, nowMs),
     ];
   }
 
@@ -145,7 +150,7 @@
   private retryJoin(nowMs: number): OutgoingMessage[] {
     if (this.isJoined || nowMs < this.nextJoinMs) return [];
     this.nextJoinMs = nowMs + this.options.joinRetryMs;
-    return pickSome(this.random, this.seeds, this.options.joinSeedCount).map(
+    return pickSample(this.random, this.seeds, this.options.joinSeedCount).map(
       seed => this.makeJoin(seed),
     );
   }
@@ -156,23 +161,23 @@
   }
 
   /**
-   * Guards against a replaced node being ignored because the wall clock of
-   * its host is behind that of the one before: the others would hold the new
-   * life for the older one. While it joins, it starts its life above.
+   * Guards against a replacement node being ignored because its host's wall
+   * clock is behind its predecessor's: raises the announced start time above
+   * the predecessor's. Returns whether that was needed.
    */
-  private outdo(record: MemberRecord, nowMs: number): boolean {
+  private supersedePredecessor(record: MemberRecord, nowMs: number): boolean {
     const {self} = this.gossip;
-    const isOutdone =
+    const isOutranked =
       record.nodeName === self.nodeName &&
       record.incarnation !== self.incarnation &&
       record.startedAtMs >= self.startedAtMs;
-    if (!isOutdone) return false;
+    if (!isOutranked) return false;
     this.gossip.announceSelf({startedAtMs: record.startedAtMs + 1}, nowMs);
     return true;
   }
 
   private syncWithPeer(nowMs: number): OutgoingMessage[] {
-    if (!this.syncRound.isDue(nowMs)) return [];
+    if (!this.syncSchedule.isDue(nowMs)) return [];
     const peer = this.pickSyncPeer();
     return peer ? [this.makeSync(peer.peerAddress)] : [];
   }
@@ -181,20 +186,21 @@
     const peers = this.gossip.table
       .listPresent()
       .filter(member => !this.gossip.isSelf(member.nodeName));
-    const others = peers.filter(
+    const remotePeers = peers.filter(
       member => member.region !== this.gossip.self.region,
     );
-    const isElsewhere =
-      others.length > 0 && this.random.nextFraction() < OTHER_REGION_SHARE;
-    return pickOne(this.random, isElsewhere ? others : peers);
+    const usesRemote =
+      remotePeers.length > 0 &&
+      this.random.nextFraction() < REMOTE_REGION_SHARE;
+    return pickOne(this.random, usesRemote ? remotePeers : peers);
   }
 
   /**
-   * Guards against groups that never heard of each other, as when all nodes
-   * start at once and each joins through another seed.
+   * Guards against separate clusters, such as when all nodes start at the same
+   * time and join through different seeds.
    */
   private syncWithSeed(nowMs: number): OutgoingMessage[] {
-    if (!this.seedRound.isDue(nowMs)) return [];
+    if (!this.seedSchedule.isDue(nowMs)) return [];
     const present = new Set(
       this.gossip.table.listPresent().map(member => member.peerAddress),
     );
@@ -220,18 +226,18 @@
   }
 
   /**
-   * Guards against a healed cut ending members that are well: the other side
-   * held all of this side for gone. Such a word is checked by a probe first.
+   * Guards against running members being dropped after a partition heals, when
+   * the other side still lists them as gone: a probe verifies each report.
    */
-  private isDoubtful(update: MemberUpdate): boolean {
+  private needsVerification(update: MemberUpdate): boolean {
     const member = this.gossip.table.get(update.nodeName);
-    const isDoubtful =
+    const isUnverified =
       update.status === 'gone' &&
       member !== undefined &&
       member.status !== 'gone' &&
       !this.gossip.isSelf(update.nodeName);
-    if (isDoubtful) this.onDoubt(update.nodeName, update);
-    return isDoubtful;
+    if (isUnverified) this.onGoneReport(update.nodeName, update);
+    return isUnverified;
   }
 
   private listUpdates(): MemberUpdate[] {
--- a/packages/membership/src/measure_main.ts
+++ b/packages/membership/src/measure_main.ts
@@ -1,8 +1,7 @@
 /**
- * Prints what membership costs a node, at several numbers of nodes, all run
- * in this process in simulated time. Bytes are those of the messages a node
- * sends, packed as the peer transport does; WebSocket frames, connections and
- * TCP come on top.
+ * Measures the cost of membership per node at several cluster sizes, in
+ * simulated time. Bytes cover messages packed as by the peer transport, without
+ * the overhead of WebSocket frames and TCP.
  */
 import {cpuUsage} from 'node:process';
 import {Packr} from 'msgpackr';
@@ -13,36 +12,35 @@
 const ADDRESSES_PER_BLOCK = 250;
 const REGION_COUNT = 3;
 const SEED_COUNT = 5;
-/** Long enough for all that a common start makes nodes tell to be told. */
+/** Lets the updates queued by the simultaneous start drain. */
 const WARM_UP_MS = 400_000;
 const MEASURED_MS = 60_000;
-const CUT_MS = 120_000;
-const MAX_FIND_MS = 300_000;
+const PARTITION_MS = 120_000;
+const MAX_WAIT_MS = 300_000;
 const MS_PER_S = 1_000;
 const MICROS_PER_S = 1_000_000;
 
-/** Set as in the peer transport, which writes repeated field names once. */
+/** Configured as in the peer transport. */
 const packr = new Packr();
 
-/** What one number of nodes cost. */
 interface Measurement {
   nodes: number;
   joinMs: number | null;
   messagesPerS: string;
   bytesPerS: string;
-  /** Milliseconds of one core a node and second. */
+  /** CPU milliseconds per node and second. */
   cpuMsPerS: string;
-  /** Death of a node to `gone` at the first and at the last node. */
+  /** Time from a crash until the first and the last node list it as gone. */
   firstGoneMs: number | null;
   allGoneMs: number | null;
   leavingMs: number | null;
-  /** From the end of a cut between all regions until all is seen as before. */
+  /** Time from the end of a partition of all regions until convergence. */
   healMs: number | null;
-  /** What a node sends each second of that time. */
+  /** Bytes sent per node and second during `healMs`. */
   healBytesPerS: string;
 }
 
-/** What was sent while a stretch of simulated time ran. */
+/** Messages, bytes and CPU time of a simulated interval. */
 interface Cost {
   messageCount: number;
   byteCount: number;
@@ -93,37 +91,37 @@
   return {...cost, cpuMicros: user + system};
 }
 
-/** Cuts all regions off from each other and lets them find together. */
-function heal(network: InMemoryNetwork): {
+/** Partitions all regions, then measures how they reconnect. */
+function measureHealing(network: InMemoryNetwork): {
   healMs: number | null;
   healBytesPerS: string;
 } {
   network.isLost = ({fromAddress, toAddress}) =>
     regionOf(fromAddress) !== regionOf(toAddress);
-  network.run(CUT_MS);
+  network.run(PARTITION_MS);
   network.isLost = () => false;
   let healMs: number | null = null;
   const {byteCount} = runMeasured(network, () => {
-    healMs = network.runUntil(() => network.isComplete(), MAX_FIND_MS);
+    healMs = network.runUntil(() => network.isConverged(), MAX_WAIT_MS);
   });
   const nodeSeconds =
-    (network.listNodes().length * (healMs ?? MAX_FIND_MS)) / MS_PER_S;
+    (network.listNodes().length * (healMs ?? MAX_WAIT_MS)) / MS_PER_S;
   return {healMs, healBytesPerS: (byteCount / nodeSeconds).toFixed(0)};
 }
 
-function findDead(
+function measureDetection(
   network: InMemoryNetwork,
 ): Pick<Measurement, 'firstGoneMs' | 'allGoneMs'> {
   const {nodeName} = network.get(addressOf(2)).self;
   network.kill(addressOf(2));
   const startMs = network.nowMs;
   const firstGoneMs = network.runUntil(
-    () => network.isSeenBySome(nodeName, 'gone'),
-    MAX_FIND_MS,
+    () => network.isSeenByAny(nodeName, 'gone'),
+    MAX_WAIT_MS,
   );
   const restMs = network.runUntil(
     () => network.isSeenAs(nodeName, 'gone'),
-    MAX_FIND_MS,
+    MAX_WAIT_MS,
   );
   return {
     firstGoneMs,
@@ -131,12 +129,12 @@
   };
 }
 
-function leave(network: InMemoryNetwork): number | null {
+function measureLeave(network: InMemoryNetwork): number | null {
   const leaving = network.get(addressOf(1));
   network.post(addressOf(1), leaving.leave(network.nowMs));
   const leavingMs = network.runUntil(
     () => network.isSeenAs(leaving.self.nodeName, 'leaving'),
-    MAX_FIND_MS,
+    MAX_WAIT_MS,
   );
   network.kill(addressOf(1));
   network.run(MEASURED_MS);
@@ -145,7 +143,7 @@
 
 function measure(nodeCount: number): Measurement {
   const network = startNetwork(nodeCount);
-  const joinMs = network.runUntil(() => network.isComplete(), WARM_UP_MS);
+  const joinMs = network.runUntil(() => network.isConverged(), WARM_UP_MS);
   network.run(WARM_UP_MS);
   const cost = runMeasured(network, () => network.run(MEASURED_MS));
   const nodeSeconds = (nodeCount * MEASURED_MS) / MS_PER_S;
@@ -156,9 +154,9 @@
     messagesPerS: (cost.messageCount / nodeSeconds).toFixed(2),
     bytesPerS: (cost.byteCount / nodeSeconds).toFixed(0),
     cpuMsPerS: (cpuMs / nodeSeconds).toFixed(3),
-    leavingMs: leave(network),
-    ...findDead(network),
-    ...heal(network),
+    leavingMs: measureLeave(network),
+    ...measureDetection(network),
+    ...measureHealing(network),
   };
 }
 
--- a/packages/membership/src/member.ts
+++ b/packages/membership/src/member.ts
@@ -1,4 +1,4 @@
-/** What nodes say about each other, and which of two statements is newer. */
+/** Member records and updates, and the precedence between them. */
 import {
   type FailureDomain,
   type NodeIncarnation,
@@ -6,19 +6,19 @@
 } from '@mimosatack/types';
 
 /**
- * What is believed of a node: `suspect` did not answer and may still refute,
- * `leaving` shuts down gracefully, `gone` is dead or unreachable.
+ * `suspect`: did not answer probes and may still refute the suspicion;
+ * `leaving`: shutting down gracefully; `gone`: dead or unreachable.
  */
 export type MemberStatus = 'alive' | 'suspect' | 'leaving' | 'gone';
 
-/** What a node says of itself; fixed for the life of its process. */
+/** A node's description of itself, constant while its process runs. */
 export interface MemberInfo {
   /** Unique among the nodes; a replaced node may keep it. */
   nodeName: string;
   incarnation: NodeIncarnation;
-  /** When this life began, by the node's own wall clock. */
+  /** When this process started, by the node's own wall clock. */
   startedAtMs: number;
-  /** Where other nodes reach it, such as `10.0.0.5:7000`. */
+  /** The address for peer connections, such as `10.0.0.5:7000`. */
   peerAddress: string;
   callerBaseUrl: string;
   adminBaseUrl: string;
@@ -27,24 +27,24 @@
   release: string;
 }
 
-/** The short form in which a member's status is spread. */
+/** The compact form of a member's status that is gossiped. */
 export interface MemberUpdate {
   nodeName: string;
   startedAtMs: number;
-  /** Raised by the member itself alone, to refute what others say of it. */
+  /** Incremented only by the member itself, to refute reports about it. */
   counter: number;
   status: MemberStatus;
 }
 
-/** The full form: what a node says of itself with its status. */
+/** A member's full description with its status. */
 export interface MemberRecord extends MemberInfo {
   counter: number;
   status: MemberStatus;
 }
 
-/** A member as seen from this node. */
+/** A member in this node's view. */
 export interface Member extends MemberRecord {
-  /** Since when this node has believed the status. */
+  /** When the member got its current status in this node's view. */
   sinceMs: number;
 }
 
@@ -56,9 +56,8 @@
 };
 
 /**
- * Whether `first` is newer than `second`, by the start of the life, then the
- * counter, then the status. Only a member itself raises its counter, so a
- * late `alive` of others never outranks a `gone`.
+ * Compares by process start, then counter, then status. Only a member itself
+ * increments its counter, so a delayed `alive` never overrides a `gone`.
  */
 export function isNewer(first: MemberUpdate, second: MemberUpdate): boolean {
   const difference =
@@ -68,13 +67,12 @@
   return difference > 0;
 }
 
-/** Cuts a record down to the form that is spread. */
 export function toUpdate(record: MemberUpdate): MemberUpdate {
   const {nodeName, startedAtMs, counter, status} = record;
   return {nodeName, startedAtMs, counter, status};
 }
 
-/** Leaves out what only this node knows, as others are told. */
+/** Drops the fields that are local to this node. */
 export function toRecord(member: Member): MemberRecord {
   const {sinceMs: _, ...record} = member;
   return record;
--- a/packages/membership/src/member_table.ts
+++ b/packages/membership/src/member_table.ts
@@ -1,4 +1,4 @@
-/** The members this node knows, gone ones included for a while. */
+/** The known members, including gone ones until their retention ends. */
 import {
   type Member,
   type MemberRecord,
@@ -9,35 +9,34 @@
   toUpdate,
 } from './member.js';
 
-/** What became of a statement about a member. */
-export type ApplyOutcome = 'news' | 'old' | 'unknown';
+/** `unknown`: the member or its incarnation is not in the table. */
+export type ApplyOutcome = 'applied' | 'stale' | 'unknown';
 
-/** How long things are kept, and when a suspect is gone. */
 export interface TableLimits {
-  suspicionMs(nodeCount: number): number;
+  suspicionTimeoutMs(nodeCount: number): number;
   goneKeepMs: number;
   maxGoneCount: number;
 }
 
 interface Entry {
   member: Member;
-  /** Whether it went by itself, so that nobody looks for it again. */
-  wasLeaving: boolean;
+  /** Whether the member left gracefully; such members are not probed again. */
+  leftGracefully: boolean;
   suspectUntilMs: number;
-  /** Until when the platform's word that it leaves holds. */
+  /** When the platform's `leaving` hint expires; 0 if there is none. */
   hintedUntilMs: number;
 }
 
-/** The state of every member; decides which statements are believed. */
+/** Stores every member's state and applies updates by precedence. */
 export class MemberTable {
-  /** Grows with every change that a reader could see. */
+  /** Increases with every visible change. */
   version = 0;
   private readonly entries = new Map<string, Entry>();
   private presentCount = 0;
 
   constructor(private readonly limits: TableLimits) {}
 
-  /** How many members are not gone. */
+  /** The number of members that are not gone. */
   get size(): number {
     return this.presentCount;
   }
@@ -46,7 +45,7 @@
     return this.entries.get(nodeName)?.member;
   }
 
-  /** The member at an address, a gone one only if there is no other. */
+  /** Returns a gone member only if no other has the address. */
   findByAddress(peerAddress: string): Member | undefined {
     const found = [...this.entries.values()]
       .map(({member}) => member)
@@ -54,62 +53,64 @@
     return found.find(member => member.status !== 'gone') ?? found[0];
   }
 
-  /** All members, with the platform's word on leaving ones worked in. */
+  /** All members, with the platform's `leaving` hints applied. */
   list(): Member[] {
-    return [...this.entries.values()].map(toVisibleMember);
+    return [...this.entries.values()].map(applyLeavingHint);
   }
 
   listPresent(): Member[] {
     return this.list().filter(member => member.status !== 'gone');
   }
 
-  /** All members as they are told to others. */
+  /** All members in the gossiped form, without the platform's hints. */
   listUpdates(): MemberUpdate[] {
     return [...this.entries.values()].map(({member}) => toUpdate(member));
   }
 
-  /** All members in the full form. */
   listRecords(): MemberRecord[] {
     return [...this.entries.values()].map(({member}) => toRecord(member));
   }
 
-  /** Gone members that may only be out of reach. */
-  listLost(): Member[] {
+  /** Gone members that did not leave and may still be running. */
+  listUnreachable(): Member[] {
     const present = new Set(
       this.listPresent().map(member => member.peerAddress),
     );
     return [...this.entries.values()]
-      .filter(({member, wasLeaving}) => member.status === 'gone' && !wasLeaving)
+      .filter(
+        ({member, leftGracefully}) =>
+          member.status === 'gone' && !leftGracefully,
+      )
       .map(({member}) => member)
       .filter(member => !present.has(member.peerAddress));
   }
 
-  /** Believes a short statement if it is newer than what is known. */
+  /** Applies an update if it is newer than the stored state. */
   applyUpdate(update: MemberUpdate, nowMs: number): ApplyOutcome {
     const entry = this.entries.get(update.nodeName);
     if (!entry || update.startedAtMs > entry.member.startedAtMs) {
-      return update.status === 'gone' ? 'old' : 'unknown';
+      return update.status === 'gone' ? 'stale' : 'unknown';
     }
-    if (!isNewer(update, entry.member)) return 'old';
+    if (!isNewer(update, entry.member)) return 'stale';
     this.store({...entry.member, ...update}, nowMs);
-    return 'news';
+    return 'applied';
   }
 
-  /** Believes a full statement if it is newer than what is known. */
+  /** Applies a full record if it is newer than the stored state. */
   applyRecord(record: MemberRecord, nowMs: number): ApplyOutcome {
     const entry = this.entries.get(record.nodeName);
-    if (entry && !isNewer(record, entry.member)) return 'old';
+    if (entry && !isNewer(record, entry.member)) return 'stale';
     this.store(record, nowMs);
-    return 'news';
+    return 'applied';
   }
 
-  /** Changes the status of a member by this node's own finding. */
+  /** Sets a status detected by this node, regardless of precedence. */
   setStatus(nodeName: string, status: MemberStatus, nowMs: number): void {
     const member = this.get(nodeName);
     if (member) this.store({...member, status}, nowMs);
   }
 
-  /** Takes the platform's word that a member leaves, for a while. */
+  /** Lists the member as leaving until `untilMs`, in this node's view only. */
   hintLeaving(nodeName: string, untilMs: number): void {
     const entry = this.entries.get(nodeName);
     if (!entry || entry.member.status === 'gone') return;
@@ -117,22 +118,21 @@
     entry.hintedUntilMs = untilMs;
   }
 
-  /** Suspects whose time to refute is over. */
-  listOverdue(nowMs: number): Member[] {
+  /** Suspects whose suspicion timeout has expired. */
+  listExpiredSuspects(nowMs: number): Member[] {
     return [...this.entries.values()]
       .filter(({member}) => member.status === 'suspect')
       .filter(({suspectUntilMs}) => suspectUntilMs <= nowMs)
       .map(({member}) => member);
   }
 
-  /** Gives all suspects more time. */
-  prolongSuspicions(byMs: number): void {
+  extendSuspicions(byMs: number): void {
     this.entries.forEach(entry => {
       entry.suspectUntilMs += byMs;
     });
   }
 
-  /** Drops hints and gone members that are too old or too many. */
+  /** Drops expired hints, and gone members over the age or count limit. */
   expire(nowMs: number): void {
     const entries = [...this.entries.values()];
     entries
@@ -151,26 +151,29 @@
           index >= this.limits.maxGoneCount ||
           member.sinceMs + this.limits.goneKeepMs <= nowMs,
       )
-      .forEach(member => this.forget(member.nodeName));
+      .forEach(member => this.remove(member.nodeName));
   }
 
-  private forget(nodeName: string): void {
+  private remove(nodeName: string): void {
     this.entries.delete(nodeName);
     this.version++;
   }
 
   private store(record: MemberRecord, nowMs: number): void {
     const before = this.entries.get(record.nodeName);
-    const isSameLife = before?.member.startedAtMs === record.startedAtMs;
-    const isSameStatus = isSameLife && before.member.status === record.status;
+    const isSameIncarnation = before?.member.startedAtMs === record.startedAtMs;
+    const isSameStatus =
+      isSameIncarnation && before.member.status === record.status;
     const sinceMs = isSameStatus ? before.member.sinceMs : nowMs;
     this.entries.set(record.nodeName, {
       member: {...record, sinceMs},
-      wasLeaving:
+      leftGracefully:
         record.status === 'leaving' ||
-        (record.status === 'gone' && isSameLife && before.wasLeaving),
-      suspectUntilMs: nowMs + this.limits.suspicionMs(this.presentCount),
-      hintedUntilMs: isSameLife ? before.hintedUntilMs : 0,
+        (record.status === 'gone' &&
+          isSameIncarnation &&
+          before.leftGracefully),
+      suspectUntilMs: nowMs + this.limits.suspicionTimeoutMs(this.presentCount),
+      hintedUntilMs: isSameIncarnation ? before.hintedUntilMs : 0,
     });
     this.presentCount +=
       countPresent(record.status) - countPresent(before?.member.status);
@@ -182,7 +185,7 @@
   return status === undefined || status === 'gone' ? 0 : 1;
 }
 
-function toVisibleMember(entry: Entry): Member {
+function applyLeavingHint(entry: Entry): Member {
   const {member, hintedUntilMs} = entry;
   const isHinted =
     hintedUntilMs > 0 &&
--- a/packages/membership/src/membership.test.ts
+++ b/packages/membership/src/membership.test.ts
@@ -11,32 +11,31 @@
   nameOf,
 } from './network_fixture.js';
 
-/** Whether a message crosses from even to odd nodes or back. */
-function isAcross({fromAddress, toAddress}: Envelope): boolean {
+/** Whether a message passes between an even and an odd node. */
+function crossesPartition({fromAddress, toAddress}: Envelope): boolean {
   const [from, to] = [fromAddress, toAddress].map(
     address => Number(/\.(\d+):/.exec(address)![1]) % 2,
   );
   return from !== to;
 }
 
-const replacing = suite('replaced and leaving nodes');
+const replacement = suite('replaced and leaving nodes');
 
 [
   {title: 'the same name', change: {}},
   {title: 'another name', change: {nodeName: 'node-5b'}},
-  {title: 'the same name and a late clock', change: {startedAtMs: 5}},
+  {title: 'the same name and a lagging clock', change: {startedAtMs: 5}},
   {
-    title: 'another name and a late clock',
+    title: 'another name and a lagging clock',
     change: {nodeName: 'node-5b', startedAtMs: 5},
   },
 ].forEach(({title, change}) => {
-  replacing(`a replacement at the same address, ${title}, takes over`, () => {
-    // Work meant for the new process is held back, or the dead one is listed
-    // beside it. A host is replaced at once at the same address, and the
-    // probes to the dead process are answered by the new one.
+  // Guards against work being withheld from a replacement process, and against
+  // its predecessor staying listed, when both have the same address.
+  replacement(`a replacement at the same address, ${title}, takes over`, () => {
     const network = createNetwork();
     const info = createInfo(5, {
-      incarnation: 'second-life',
+      incarnation: 'second-process',
       startedAtMs: 2_000_000,
       ...change,
     });
@@ -46,18 +45,20 @@
         const listed = node
           .listUsable()
           .filter(member => member.peerAddress === addressOf(5));
-        return listed.length === 1 && listed[0]!.incarnation === 'second-life';
+        return (
+          listed.length === 1 && listed[0]!.incarnation === 'second-process'
+        );
       });
     assert.is.not(network.runUntil(isTakenOver, 10_000), null);
     network.run(MINUTE_MS);
     assert.ok(isTakenOver());
-    assert.ok(network.isComplete());
+    assert.ok(network.isConverged());
   });
 });
 
-replacing('a leaving node is seen by all within a second', () => {
-  // Callers are sent to a host that shuts down.
-  // The node tells its peers, who pass it on; a message of it is lost.
+// Guards against callers being sent to a host that is shutting down, also if
+// one leave message is lost.
+replacement('all nodes list a leaving node within a second', () => {
   const network = createNetwork({nodeCount: 30});
   const node = network.get(addressOf(4));
   let isFirst = true;
@@ -78,7 +79,7 @@
   assert.ok(network.isSeenAs(nameOf(4), 'gone'));
 });
 
-replacing('a hint of the host list holds for a while', () => {
+replacement('a leaving hint from the host list expires', () => {
   const network = createNetwork();
   const node = network.get(addressOf(0));
   node.noteHint({nodeName: nameOf(3), state: 'leaving'}, network.nowMs);
@@ -87,44 +88,43 @@
   assert.is(statusOf(node, nameOf(3)), 'alive');
 });
 
-replacing('a gone hint does not end a node that answers', () => {
-  // A fresh host is dropped, because the platform's list lags and still
-  // tells of the end of the host that had its name before.
+// Guards against a new host being dropped because the platform's list lags and
+// still reports the end of the previous host with that name.
+replacement('a gone hint does not drop a node that answers', () => {
   const network = createNetwork();
   const node = network.get(addressOf(0));
   node.noteHint({nodeName: nameOf(3), state: 'gone'}, network.nowMs);
   assert.is(countGone(network, 10_000), 0);
 });
 
-replacing.run();
+replacement.run();
 
-const healing = suite('cuts');
+const partitions = suite('network partitions');
 
-healing('two halves cut for an hour find each other again', () => {
-  // After a cut between regions is over, each serves only its own half.
-  // Both hold the other for gone, so nobody would talk across any more, and
-  // when lists are compared each side says that the other is gone.
+// Guards against regions staying separated after a partition because each lists
+// the other as gone.
+partitions('two regions reconnect after an hour of partition', () => {
   const network = createNetwork({
     options: {seedPeriodMs: 1_000 * MINUTE_MS},
   });
-  network.isLost = isAcross;
+  network.isLost = crossesPartition;
   network.run(60 * MINUTE_MS);
   assert.ok(network.listNodes().every(node => node.listUsable().length === 4));
   network.isLost = () => false;
   const tookMs = network.runUntil(() => {
     network.listNodes().forEach(node => {
       const {region} = node.self;
-      const near = node.listUsable().filter(one => one.region === region);
-      assert.is(near.length, 4, 'healing drops nobody of the own half');
+      const local = node.listUsable().filter(one => one.region === region);
+      assert.is(local.length, 4, 'no member of the own region is dropped');
     });
-    return network.isComplete();
+    return network.isConverged();
   }, 2 * MINUTE_MS);
   assert.is.not(tookMs, null);
 });
 
-healing('nodes that start at once through other seeds become one', () => {
-  // Two groups serve side by side: each node's seeds are of its own group.
-  // One node also has a seed of the other, but joins through one seed only.
+// Guards against two separate clusters when nodes start at the same time through
+// different seeds and only one node has a seed in the other group.
+partitions('nodes that join through different seeds form one cluster', () => {
   const network = new InMemoryNetwork();
   const nodes = Array.from({length: 8}, (_, index) => index);
   nodes.forEach(index =>
@@ -134,8 +134,8 @@
       options: {joinSeedCount: 1},
     }),
   );
-  const tookMs = network.runUntil(() => network.isComplete(), MINUTE_MS);
+  const tookMs = network.runUntil(() => network.isConverged(), MINUTE_MS);
   assert.is.not(tookMs, null);
 });
 
-healing.run();
+partitions.run();
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,7 +1,6 @@
 /**
- * Which nodes are there. SWIM-like: each node probes a few peers, suspects
- * before it gives up, and news rides on the probes. Everything here is a hint
- * that may be late or wrong; no promise of the system depends on it.
+ * SWIM-style cluster membership and failure detection. The member list may be
+ * stale or wrong, so no correctness guarantee may depend on it.
  */
 import {type RandomSource} from '@mimosatack/random';
 import {Gossip} from './gossip.js';
@@ -15,22 +14,22 @@
 import {DEFAULT_MEMBERSHIP_OPTIONS, type MembershipOptions} from './options.js';
 import {Probing} from './probing.js';
 
-/** What the platform's lagging host list says of a node. */
+/** A node's state in the platform's host list, which may lag behind. */
 export interface MembershipHint {
   nodeName: string;
   state: 'leaving' | 'gone';
 }
 
 /**
- * The membership as one node sees it. It owns no socket and no timer: the
- * caller passes the time, sends what is returned, and calls `tick` about
- * every 100 ms. Times are milliseconds of one clock that never goes back.
+ * One node's view of the membership, without sockets or timers of its own: the
+ * caller sends the returned messages and calls `tick` about every 100 ms. All
+ * times are milliseconds of one monotonic clock.
  */
 export class Membership {
   private readonly options: MembershipOptions;
   private readonly gossip: Gossip;
   private readonly probing: Probing;
-  private readonly lists: ListExchange;
+  private readonly listExchange: ListExchange;
   private lastTickMs: number | null = null;
 
   constructor(
@@ -41,53 +40,53 @@
     this.options = {...DEFAULT_MEMBERSHIP_OPTIONS, ...options};
     this.gossip = new Gossip(self, this.options);
     this.probing = new Probing(this.gossip, this.options, random);
-    this.lists = new ListExchange(
+    this.listExchange = new ListExchange(
       this.gossip,
       this.options,
       random,
-      (nodeName, rumor) => this.probing.doubt(nodeName, rumor),
+      (nodeName, report) => this.probing.verifyGoneReport(nodeName, report),
     );
   }
 
-  /** Grows with every change of what `list` shows. */
+  /** Increases with every visible change of `list`. */
   get version(): number {
     return this.gossip.table.version;
   }
 
-  /** This node as the others are told of it. */
+  /** This node's own entry, as announced to other members. */
   get self(): Member {
     return this.gossip.self;
   }
 
-  /** Whether a seed has answered, or there is none to ask. */
+  /** True once a seed has answered, or if there are no other seeds. */
   get isJoined(): boolean {
-    return this.lists.isJoined;
+    return this.listExchange.isJoined;
   }
 
-  /** All members, this node and those lately gone included. */
+  /** All members, including this node and recently gone ones. */
   list(): Member[] {
     return this.gossip.table.list();
   }
 
-  /** The members that new work may be given to, this node included. */
+  /** The members that may receive new work, including this node. */
   listUsable(): Member[] {
     return this.list().filter(
       ({status}) => status === 'alive' || status === 'suspect',
     );
   }
 
-  /** Makes this node known; repeated by `tick` until a seed answers. */
+  /** Announces this node to the seeds; `tick` retries until one answers. */
   join(seedAddresses: readonly string[], nowMs: number): OutgoingMessage[] {
-    return this.lists.join(seedAddresses, nowMs);
+    return this.listExchange.join(seedAddresses, nowMs);
   }
 
   tick(nowMs: number): OutgoingMessage[] {
-    this.forgetPause(nowMs);
+    this.compensateForPause(nowMs);
     this.gossip.table.expire(nowMs);
-    return [...this.probing.tick(nowMs), ...this.lists.tick(nowMs)];
+    return [...this.probing.tick(nowMs), ...this.listExchange.tick(nowMs)];
   }
 
-  /** Takes in a message that `membershipMessageSchema` has let through. */
+  /** Handles a message already validated by `membershipMessageSchema`. */
   receive(
     fromAddress: string,
     message: MembershipMessage,
@@ -96,26 +95,26 @@
     const before = this.gossip.table.findByAddress(fromAddress);
     const replies = this.dispatch(fromAddress, message, nowMs);
     const after = this.gossip.table.findByAddress(fromAddress);
-    const isBack = before?.status === 'gone' && after?.status !== 'gone';
-    const isStranger = message.type === 'probe' && after === undefined;
-    return isBack || isStranger
-      ? [...replies, this.lists.makeSync(fromAddress)]
+    const hasRejoined = before?.status === 'gone' && after?.status !== 'gone';
+    const isUnknownProber = message.type === 'probe' && after === undefined;
+    return hasRejoined || isUnknownProber
+      ? [...replies, this.listExchange.makeSync(fromAddress)]
       : replies;
   }
 
-  /** Tells at once that this node shuts down; it still answers probes. */
+  /** Announces that this node is shutting down; it still answers probes. */
   leave(nowMs: number): OutgoingMessage[] {
     this.gossip.announceSelf({status: 'leaving'}, nowMs);
-    return this.spreadLeave(this.gossip.self.nodeName, null);
+    return this.broadcastLeave(this.gossip.self.nodeName, null);
   }
 
   /**
-   * Takes a hint of the platform's host list. `leaving` holds for a while on
-   * this node only. `gone` is checked by a probe, as the list may lag and
-   * mean an earlier host of that name.
+   * Applies a hint from the platform's host list. A `leaving` hint affects
+   * this node's view only and expires after `hintKeepMs`. A `gone` hint
+   * triggers a probe, because it may refer to a previous host of that name.
    */
   noteHint({nodeName, state}: MembershipHint, nowMs: number): void {
-    if (state === 'gone') this.probing.doubt(nodeName, null);
+    if (state === 'gone') this.probing.verifyGoneReport(nodeName, null);
     else {
       this.gossip.table.hintLeaving(nodeName, nowMs + this.options.hintKeepMs);
     }
@@ -132,29 +131,33 @@
       case 'probe-request':
         return [
           ...this.gossip.applyUpdates(fromAddress, message.updates, nowMs),
-          ...this.receiveProbing(fromAddress, message, nowMs),
+          ...this.receiveProbeMessage(fromAddress, message, nowMs),
         ];
       case 'join':
-        return this.lists.receiveJoin(fromAddress, message, nowMs);
+        return this.listExchange.receiveJoin(fromAddress, message, nowMs);
       case 'join-ack':
-        return this.lists.receiveJoinAck(fromAddress, message, nowMs);
+        return this.listExchange.receiveJoinAck(fromAddress, message, nowMs);
       case 'leave':
         return this.receiveLeave(fromAddress, message, nowMs);
       case 'sync':
-        return this.lists.receiveSync(fromAddress, message);
+        return this.listExchange.receiveSync(fromAddress, message);
       case 'sync-digests':
-        return this.lists.receiveSyncDigests(fromAddress, message);
+        return this.listExchange.receiveSyncDigests(fromAddress, message);
       case 'sync-members':
-        return this.lists.receiveSyncMembers(fromAddress, message, nowMs);
+        return this.listExchange.receiveSyncMembers(
+          fromAddress,
+          message,
+          nowMs,
+        );
       case 'details-request':
-        return this.lists.receiveDetailsRequest(fromAddress, message);
+        return this.listExchange.receiveDetailsRequest(fromAddress, message);
       case 'details':
-        this.lists.receiveDetails(message, nowMs);
+        this.listExchange.receiveDetails(message, nowMs);
         return [];
     }
   }
 
-  private receiveProbing(
+  private receiveProbeMessage(
     fromAddress: string,
     message: MessageOf<'probe' | 'probe-ack' | 'probe-request'>,
     nowMs: number,
@@ -171,24 +174,24 @@
         );
         return replacedAddress === null
           ? replies
-          : [...replies, this.lists.makeSync(replacedAddress)];
+          : [...replies, this.listExchange.makeSync(replacedAddress)];
       }
     }
   }
 
-  /** Passes a leave on the first time it is heard, to reach all at once. */
+  /** Forwards a leave on first receipt, to reach all members quickly. */
   private receiveLeave(
     fromAddress: string,
     {update}: MessageOf<'leave'>,
     nowMs: number,
   ): OutgoingMessage[] {
     const outcome = this.gossip.applyUpdate(update, nowMs);
-    return outcome === 'news'
-      ? this.spreadLeave(update.nodeName, fromAddress)
+    return outcome === 'applied'
+      ? this.broadcastLeave(update.nodeName, fromAddress)
       : [];
   }
 
-  private spreadLeave(
+  private broadcastLeave(
     nodeName: string,
     exceptAddress: string | null,
   ): OutgoingMessage[] {
@@ -205,16 +208,16 @@
   }
 
   /**
-   * Guards against a node that was frozen taking the others for dead: after
-   * the thaw its open probes look unanswered, though it only could not read
-   * the answers. It forgets those probes and gives suspects more time.
+   * Guards against a node declaring its peers gone after its own process was
+   * paused, when acknowledgements are still unread: drops pending probes and
+   * extends the suspicion timeouts by the length of the pause.
    */
-  private forgetPause(nowMs: number): void {
+  private compensateForPause(nowMs: number): void {
     const pauseMs = this.lastTickMs === null ? 0 : nowMs - this.lastTickMs;
     this.lastTickMs = nowMs;
     const {probeTimeoutMs, indirectTimeoutMs} = this.options;
     if (pauseMs >= probeTimeoutMs + indirectTimeoutMs) {
-      this.probing.forgetPause(pauseMs);
+      this.probing.handlePause(pauseMs);
     }
   }
 }
--- a/packages/membership/src/messages.ts
+++ b/packages/membership/src/messages.ts
@@ -1,13 +1,12 @@
-/** The messages between members, with the schema that refuses bad ones. */
+/** The messages between members and their validation schema. */
 import {z} from 'zod';
 import {type MemberRecord, type MemberUpdate} from './member.js';
 
 const MAX_NAME_CHARS = 200;
 const MAX_URL_CHARS = 400;
 const MAX_PIGGYBACK_UPDATES = 64;
-/** The most members one message may list. */
 export const MAX_LISTED_MEMBERS = 4096;
-/** How many groups members are put in to compare them by digest. */
+/** Number of buckets for comparing member lists by digest. */
 export const BUCKET_COUNT = 64;
 
 const nameSchema = z.string().min(1).max(MAX_NAME_CHARS);
@@ -53,7 +52,7 @@
 const probeAckSchema = z.object({
   type: z.literal('probe-ack'),
   sequence: countSchema,
-  /** The life that answers, which may have replaced the one asked. */
+  /** Start of the answering process, which may have replaced the probed one. */
   startedAtMs: timeSchema,
   updates: piggybackSchema,
 });
@@ -100,7 +99,7 @@
   members: z.array(recordSchema).max(MAX_LISTED_MEMBERS),
 });
 
-/** Refuses every message that does not have one of the known forms. */
+/** Validates messages received from peers. */
 export const membershipMessageSchema = z.discriminatedUnion('type', [
   probeSchema,
   probeAckSchema,
@@ -115,16 +114,14 @@
   detailsSchema,
 ]);
 
-/** A message between two members. */
 export type MembershipMessage = z.infer<typeof membershipMessageSchema>;
 
-/** The message of one type. */
 export type MessageOf<T extends MembershipMessage['type']> = Extract<
   MembershipMessage,
   {type: T}
 >;
 
-/** A message that the caller is to send. */
+/** A message for the caller to send. */
 export interface OutgoingMessage {
   toAddress: string;
   message: MembershipMessage;
--- a/packages/membership/src/network_fixture.ts
+++ b/packages/membership/src/network_fixture.ts
@@ -1,4 +1,4 @@
-/** Networks of nodes that know each other, for the tests of this package. */
+/** Converged clusters for the tests of this package. */
 import * as assert from 'uvu/assert';
 import {InMemoryNetwork} from './in_memory_network.js';
 import {type MemberInfo} from './member.js';
@@ -15,11 +15,10 @@
   return `node-${index}`;
 }
 
-/** What a node tells of itself. */
 export function createInfo(index: number, change: Partial<MemberInfo> = {}) {
   return {
     nodeName: nameOf(index),
-    incarnation: `life-${index}`,
+    incarnation: `process-${index}`,
     startedAtMs: 1_000_000 + index,
     peerAddress: addressOf(index),
     callerBaseUrl: `http://10.0.0.${index}:8000`,
@@ -31,15 +30,13 @@
   };
 }
 
-/** How a network differs from the usual one. */
 export interface NetworkSetup {
   nodeCount?: number;
   options?: Partial<MembershipOptions>;
-  /** Fixes the random choices. */
   seed?: number;
 }
 
-/** Nodes that know each other and have settled. */
+/** Starts a cluster and runs it until it has converged. */
 export function createNetwork({
   nodeCount = 8,
   options,
@@ -49,13 +46,13 @@
   Array.from({length: nodeCount}, (_, index) =>
     network.start({info: createInfo(index), seeds: SEEDS, options}),
   );
-  const joinedMs = network.runUntil(() => network.isComplete(), MINUTE_MS);
-  assert.is.not(joinedMs, null, 'all nodes know each other');
+  const joinedMs = network.runUntil(() => network.isConverged(), MINUTE_MS);
+  assert.is.not(joinedMs, null, 'the cluster converges');
   network.run(MINUTE_MS);
   return network;
 }
 
-/** Counts how often any node sees any other as `gone` while it runs. */
+/** Runs the network and sums the `gone` entries in all lists over all steps. */
 export function countGone(
   network: InMemoryNetwork,
   durationMs: number,
--- a/packages/membership/src/options.ts
+++ b/packages/membership/src/options.ts
@@ -1,42 +1,41 @@
-/** The periods and bounds of membership, with their defaults. */
+/** Configuration of membership and its defaults. */
 
-/** How often and how much members talk, and when one counts as gone. */
 export interface MembershipOptions {
-  /** How often one peer is probed. */
+  /** Interval between probes; each probes one peer. */
   probePeriodMs: number;
-  /** How long a direct probe waits before peers are asked to probe too. */
+  /** Time before an unanswered direct probe is retried through peers. */
   probeTimeoutMs: number;
-  /** How long the probes through peers wait before the target is suspect. */
+  /** Time before an unanswered indirect probe makes the target suspect. */
   indirectTimeoutMs: number;
-  /** How many peers are asked to probe a target that did not answer. */
+  /** Number of peers asked to probe an unresponsive target. */
   indirectProbeCount: number;
-  /** The fewest peers that one node probes in turn. */
+  /** Minimum number of peers that a node probes in rotation. */
   minProbeTargetCount: number;
-  /** From suspect to gone, in probe periods, for up to 8 nodes. */
+  /** Suspicion timeout in probe periods, for up to 8 nodes. */
   suspicionPeriodCount: number;
-  /** How much longer suspects get from a node that nobody answers. */
+  /** Extra suspicion timeout while this node receives no acknowledgements. */
   isolationGraceMs: number;
-  /** The most updates that ride on one probe or acknowledgement. */
+  /** Maximum number of updates piggybacked on one message. */
   maxPiggybackCount: number;
-  /** How often the whole list is compared with a random peer. */
+  /** Interval of the full list comparison with a random peer. */
   syncPeriodMs: number;
-  /** How often one gone member is probed, to find regions again. */
+  /** Interval of probes to gone members, to reconnect after a partition. */
   goneProbePeriodMs: number;
-  /** How often one seed that is not a usable member is asked again. */
+  /** Interval of syncs with a seed whose address no present member has. */
   seedPeriodMs: number;
-  /** How often a node that has not joined yet tries again. */
+  /** Interval between attempts to join. */
   joinRetryMs: number;
-  /** How many seeds are asked at once. */
+  /** Number of seeds contacted per attempt to join. */
   joinSeedCount: number;
-  /** How long a gone member is remembered. */
+  /** Retention time of gone members. */
   goneKeepMs: number;
-  /** The most gone members that are remembered. */
+  /** Maximum number of retained gone members. */
   maxGoneCount: number;
-  /** How long a `leaving` of the platform's host list holds unrepeated. */
+  /** Lifetime of a `leaving` hint from the platform's host list. */
   hintKeepMs: number;
 }
 
-/** Sized for a dead node among 8 to be found gone in under about 3 s. */
+/** With 8 nodes, a crashed node is declared gone within about 3 s. */
 export const DEFAULT_MEMBERSHIP_OPTIONS: MembershipOptions = {
   probePeriodMs: 500,
   probeTimeoutMs: 300,
@@ -56,26 +55,25 @@
   hintKeepMs: 15_000,
 };
 
-const SPREAD_FACTOR = 3;
-/** The number of nodes that `suspicionPeriodCount` is meant for. */
+const RETRANSMIT_FACTOR = 3;
+/** Cluster size up to which `suspicionPeriodCount` applies unscaled. */
 const SUSPICION_BASE_NODE_COUNT = 8;
 
-/**
- * From suspect to gone. It grows with the logarithm of the size, as the time
- * does in which a suspicion and its refutation spread.
- */
-export function suspicionMs(
+/** Scales with log(nodeCount), as the dissemination time of updates does. */
+export function suspicionTimeoutMs(
   options: MembershipOptions,
   nodeCount: number,
 ): number {
-  const growth =
+  const sizeFactor =
     Math.log2(Math.max(1, nodeCount)) / Math.log2(SUSPICION_BASE_NODE_COUNT);
   return (
-    options.suspicionPeriodCount * options.probePeriodMs * Math.max(1, growth)
+    options.suspicionPeriodCount *
+    options.probePeriodMs *
+    Math.max(1, sizeFactor)
   );
 }
 
-/** How often one update is passed on, so that it reaches nearly all nodes. */
+/** How many times a node sends an update, so that it reaches most nodes. */
 export function transmissionLimit(nodeCount: number): number {
-  return Math.ceil(SPREAD_FACTOR * Math.log2(nodeCount + 1));
+  return Math.ceil(RETRANSMIT_FACTOR * Math.log2(nodeCount + 1));
 }
--- a/packages/membership/src/probe_messages.ts
+++ b/packages/membership/src/probe_messages.ts
@@ -1,20 +1,20 @@
-/** Builds the messages of probing, with the updates that ride on them. */
+/** Builds probe messages with piggybacked updates. */
 import {type Gossip} from './gossip.js';
 import {type MemberUpdate} from './member.js';
 import {type OutgoingMessage} from './messages.js';
 
-/** Asks a node for a sign of life; `rumors` are told to it first. */
+/** `leadingUpdates` are placed before the queued updates. */
 export function makeProbe(
   gossip: Gossip,
   toAddress: string,
   sequence: number,
-  rumors: readonly MemberUpdate[] = [],
+  leadingUpdates: readonly MemberUpdate[] = [],
 ): OutgoingMessage {
-  const updates = gossip.pickUpdates(toAddress, rumors);
+  const updates = gossip.pickUpdates(toAddress, leadingUpdates);
   return {toAddress, message: {type: 'probe', sequence, updates}};
 }
 
-/** Asks a node to probe another. */
+/** Asks the receiver to probe `targetAddress`. */
 export function makeProbeRequest(
   gossip: Gossip,
   toAddress: string,
@@ -28,7 +28,7 @@
   };
 }
 
-/** Answers a probe for the life that began at `startedAtMs`. */
+/** Acknowledges a probe for the process that started at `startedAtMs`. */
 export function makeProbeAck(
   gossip: Gossip,
   toAddress: string,
--- a/packages/membership/src/probe_targets.ts
+++ b/packages/membership/src/probe_targets.ts
@@ -1,12 +1,11 @@
-/** Which peers a node probes: a few, whatever the number of nodes. */
+/** Selects the peers that a node probes. */
 import {hashOrder} from './hashing.js';
 import {type Member} from './member.js';
 
 /**
- * Picks the peers at distances 1, 2, 4, … on a ring ordered by the hash of
- * the name, then the nearest others up to `minCount`. Every node has about as
- * many that probe it as it probes itself, connections stay few and warm, and
- * an update gets everywhere in a logarithmic number of steps.
+ * Selects the peers at distances 1, 2, 4, … on a hash ring, then the nearest
+ * others up to `minCount`. The ring balances the load of probes, limits the
+ * number of connections, and spreads updates in O(log n) hops.
  */
 export function listProbeTargets(
   selfName: string,
@@ -23,7 +22,6 @@
   );
 }
 
-/** The distances on a ring of `size` at which peers are probed. */
 function listDistances(size: number, minCount: number): number[] {
   const all = Array.from({length: size - 1}, (_, index) => index + 1);
   const powers = all.filter(distance => Number.isInteger(Math.log2(distance)));
--- a/packages/membership/src/probe_tracker.ts
+++ b/packages/membership/src/probe_tracker.ts
@@ -1,30 +1,28 @@
-/** Probes that wait for their answer, and those made for other nodes. */
+/** Tracks pending probes of this node and those relayed for others. */
 
-/** A probe of this node that was not answered yet. */
 export interface PendingProbe {
   sequence: number;
   nodeName: string;
-  /** The life that was probed. */
+  /** Start of the probed process. */
   startedAtMs: number;
   targetAddress: string;
   phase: 'direct' | 'indirect';
-  /** When the phase ends without an answer. */
   deadlineMs: number;
-  /** Whether others said that the target is gone. */
-  isDoubted: boolean;
+  /** Whether the probe checks a report that the target is gone. */
+  verifiesGoneReport: boolean;
 }
 
-/** A probe made because another node asked for it. */
+/** A probe sent on behalf of another node. */
 export interface RelayedProbe {
   requesterAddress: string;
   requesterSequence: number;
   deadlineMs: number;
 }
 
-/** Bounds what peers that ask for probes can make this node keep. */
+/** Limits the memory that probe requests of peers can take. */
 const MAX_RELAYED_COUNT = 256;
 
-/** Numbers the probes and finds their answers. */
+/** Assigns sequence numbers and matches acknowledgements to probes. */
 export class ProbeTracker {
   private readonly pending = new Map<number, PendingProbe>();
   private readonly relayed = new Map<number, RelayedProbe>();
@@ -47,7 +45,7 @@
     return added;
   }
 
-  /** Returns the number of the new probe, or null if there are too many. */
+  /** Returns the sequence number, or null if too many probes are relayed. */
   addRelayed(probe: RelayedProbe): number | null {
     if (this.relayed.size >= MAX_RELAYED_COUNT) return null;
     const sequence = this.nextSequence++;
@@ -67,20 +65,19 @@
     return probe;
   }
 
-  /** Probes whose phase ended without an answer. */
-  listOverdue(nowMs: number): PendingProbe[] {
+  listTimedOut(nowMs: number): PendingProbe[] {
     return [...this.pending.values()].filter(
       probe => probe.deadlineMs <= nowMs,
     );
   }
 
-  dropRelayed(nowMs: number): void {
+  dropExpiredRelayed(nowMs: number): void {
     [...this.relayed]
       .filter(([, probe]) => probe.deadlineMs <= nowMs)
       .forEach(([sequence]) => this.relayed.delete(sequence));
   }
 
-  /** Forgets all probes of this node. */
+  /** Drops the probes of this node; relayed ones stay. */
   clear(): void {
     this.pending.clear();
   }
--- a/packages/membership/src/probing.ts
+++ b/packages/membership/src/probing.ts
@@ -1,4 +1,4 @@
-/** Probes a few peers in turn and finds those that do not answer. */
+/** Failure detection by direct and indirect probes. */
 import {type RandomSource, pickOne} from '@mimosatack/random';
 import {type Gossip} from './gossip.js';
 import {type Member, type MemberUpdate, isNewer} from './member.js';
@@ -7,40 +7,40 @@
 import {makeProbe, makeProbeAck, makeProbeRequest} from './probe_messages.js';
 import {listProbeTargets} from './probe_targets.js';
 import {type PendingProbe, ProbeTracker} from './probe_tracker.js';
-import {pickSome, shuffle} from './random_choice.js';
+import {pickSample, shuffle} from './random_choice.js';
 import {Schedule} from './schedule.js';
 
-/** The last first sequence number; a process starts at a random one. */
+/** Upper bound of the random first sequence number. */
 const MAX_FIRST_SEQUENCE = 2 ** 30;
 
-/** After how many periods without any answer a node doubts itself. */
-const ISOLATED_PERIOD_COUNT = 2;
+/** Probe periods without an acknowledgement after which a node is isolated. */
+const ISOLATION_PERIOD_COUNT = 2;
 
-/** What a probe is made for, beyond the usual round. */
-interface ProbeReason {
-  /** Others say that the target is gone. */
-  isDoubted: boolean;
-  /** What they say, told to the target so that it can refute. */
-  rumors: readonly MemberUpdate[];
+interface ProbeOptions {
+  /** Whether the probe checks a report that the target is gone. */
+  verifiesGoneReport: boolean;
+  /** Updates to send first, such as a report for the target to refute. */
+  leadingUpdates: readonly MemberUpdate[];
 }
 
-const USUAL_ROUND: ProbeReason = {isDoubted: false, rumors: []};
+const REGULAR_PROBE: ProbeOptions = {
+  verifiesGoneReport: false,
+  leadingUpdates: [],
+};
 
-/** Sends, answers and relays probes. */
 export class Probing {
   private readonly tracker: ProbeTracker;
-  /** Peers still to be probed in this round. */
-  private turn: string[] = [];
-  /** Members said to be gone, with what was said, to be probed soon. */
-  private readonly doubts = new Map<string, MemberUpdate | null>();
-  /** When a probe of this node was last answered. */
+  /** Targets not yet probed in this rotation. */
+  private remainingTargets: string[] = [];
+  /** Members reported gone, by name, to be verified by a probe. */
+  private readonly goneReports = new Map<string, MemberUpdate | null>();
   private lastAckMs: number | null = null;
-  private readonly usualRound: Schedule;
-  private readonly lostRound: Schedule;
+  private readonly probeSchedule: Schedule;
+  private readonly unreachableProbeSchedule: Schedule;
 
   /**
-   * Sequence numbers start at random, so that an answer to an earlier process
-   * at this address is not taken for one to this process.
+   * Sequence numbers start at random, so that an acknowledgement meant for a
+   * previous process at this address matches no probe of this process.
    */
   constructor(
     private readonly gossip: Gossip,
@@ -48,31 +48,34 @@
     private readonly random: RandomSource,
   ) {
     this.tracker = new ProbeTracker(random.nextInt(0, MAX_FIRST_SEQUENCE));
-    this.usualRound = new Schedule(options.probePeriodMs, random);
-    this.lostRound = new Schedule(options.goneProbePeriodMs, random);
+    this.probeSchedule = new Schedule(options.probePeriodMs, random);
+    this.unreachableProbeSchedule = new Schedule(
+      options.goneProbePeriodMs,
+      random,
+    );
   }
 
   tick(nowMs: number): OutgoingMessage[] {
-    this.tracker.dropRelayed(nowMs);
-    this.declareOverdue(nowMs);
+    this.tracker.dropExpiredRelayed(nowMs);
+    this.declareExpiredSuspects(nowMs);
     return [
       ...this.tracker
-        .listOverdue(nowMs)
-        .flatMap(probe => this.endPhase(probe, nowMs)),
+        .listTimedOut(nowMs)
+        .flatMap(probe => this.handleTimeout(probe, nowMs)),
       ...this.spreadUrgent(nowMs),
-      ...this.probeDoubted(nowMs),
+      ...this.probeReportedGone(nowMs),
       ...this.probeNext(nowMs),
-      ...this.probeLost(nowMs),
+      ...this.probeUnreachable(nowMs),
     ];
   }
 
-  /** Forgets open probes and gives suspects more time. */
-  forgetPause(pauseMs: number): void {
+  /** Drops pending probes and extends the suspicion timeouts. */
+  handlePause(pauseMs: number): void {
     this.tracker.clear();
-    this.gossip.table.prolongSuspicions(pauseMs);
+    this.gossip.table.extendSuspicions(pauseMs);
   }
 
-  /** The peers that this node probes in turn. */
+  /** The peers that this node probes in rotation. */
   listTargets(): Member[] {
     return listProbeTargets(
       this.gossip.self.nodeName,
@@ -81,10 +84,10 @@
     );
   }
 
-  /** Has a member probed soon that is said to be gone. */
-  doubt(nodeName: string, rumor: MemberUpdate | null): void {
+  /** Queues a probe of a member that was reported gone. */
+  verifyGoneReport(nodeName: string, report: MemberUpdate | null): void {
     if (this.gossip.isSelf(nodeName)) return;
-    if (!this.doubts.has(nodeName)) this.doubts.set(nodeName, rumor);
+    if (!this.goneReports.has(nodeName)) this.goneReports.set(nodeName, report);
   }
 
   receiveProbe(
@@ -137,8 +140,8 @@
   }
 
   /**
-   * Guards against a dead node being taken for alive because its successor
-   * answers at the same address: the answer names the life that gave it.
+   * Guards against a crashed node being listed as alive because its replacement
+   * answers at the same address: compares the start times of the processes.
    */
   private declareReplaced(
     probe: PendingProbe,
@@ -147,47 +150,51 @@
   ): boolean {
     if (probe.startedAtMs === startedAtMs) return false;
     if (this.findProbed(probe)) {
-      this.gossip.declare(probe.nodeName, 'gone', nowMs);
+      this.gossip.declareStatus(probe.nodeName, 'gone', nowMs);
     }
     return true;
   }
 
   /**
-   * Guards against a node that is cut off by itself taking all others for
-   * dead and, once it is back, spreading that: while nobody answers it, it
-   * gives them more time.
+   * Guards against an isolated node declaring all others gone and gossiping it
+   * on reconnection: isolation extends the suspicion timeout.
    */
-  private declareOverdue(nowMs: number): void {
+  private declareExpiredSuspects(nowMs: number): void {
     const {probePeriodMs, isolationGraceMs} = this.options;
-    const silentMs = nowMs - (this.lastAckMs ?? nowMs);
-    const isIsolated = silentMs > ISOLATED_PERIOD_COUNT * probePeriodMs;
+    const sinceLastAckMs = nowMs - (this.lastAckMs ?? nowMs);
+    const isIsolated = sinceLastAckMs > ISOLATION_PERIOD_COUNT * probePeriodMs;
     this.gossip.table
-      .listOverdue(isIsolated ? nowMs - isolationGraceMs : nowMs)
-      .forEach(member => this.gossip.declare(member.nodeName, 'gone', nowMs));
+      .listExpiredSuspects(isIsolated ? nowMs - isolationGraceMs : nowMs)
+      .forEach(member =>
+        this.gossip.declareStatus(member.nodeName, 'gone', nowMs),
+      );
   }
 
-  private endPhase(probe: PendingProbe, nowMs: number): OutgoingMessage[] {
+  private handleTimeout(probe: PendingProbe, nowMs: number): OutgoingMessage[] {
     return probe.phase === 'direct'
-      ? this.askOthers(probe, nowMs)
-      : this.fail(probe, nowMs);
+      ? this.probeIndirectly(probe, nowMs)
+      : this.handleFailure(probe, nowMs);
   }
 
   /**
-   * Guards against one lost message, or a broken path between two nodes,
-   * looking like a dead node: others probe it too, and it is probed again.
+   * Guards against a false suspicion after one lost message or a broken path
+   * between two nodes: retries the probe directly and through relays.
    */
-  private askOthers(probe: PendingProbe, nowMs: number): OutgoingMessage[] {
+  private probeIndirectly(
+    probe: PendingProbe,
+    nowMs: number,
+  ): OutgoingMessage[] {
     const {sequence, targetAddress} = probe;
     probe.phase = 'indirect';
     probe.deadlineMs = nowMs + this.options.indirectTimeoutMs;
-    const helpers = this.gossip.table
+    const relays = this.gossip.table
       .listPresent()
       .filter(member => member.status === 'alive')
       .filter(member => !this.gossip.isSelf(member.nodeName))
       .filter(member => member.nodeName !== probe.nodeName);
-    const requests = pickSome(
+    const requests = pickSample(
       this.random,
-      helpers,
+      relays,
       this.options.indirectProbeCount,
     ).map(({peerAddress}) =>
       makeProbeRequest(this.gossip, peerAddress, sequence, targetAddress),
@@ -195,21 +202,21 @@
     return [makeProbe(this.gossip, targetAddress, sequence), ...requests];
   }
 
-  private fail(probe: PendingProbe, nowMs: number): OutgoingMessage[] {
+  private handleFailure(probe: PendingProbe, nowMs: number): OutgoingMessage[] {
     this.tracker.takePending(probe.sequence);
     const member = this.findProbed(probe);
     if (!member) return [];
-    if (probe.isDoubted || member.status === 'leaving') {
-      this.gossip.declare(member.nodeName, 'gone', nowMs);
+    if (probe.verifiesGoneReport || member.status === 'leaving') {
+      this.gossip.declareStatus(member.nodeName, 'gone', nowMs);
       return [];
     }
     if (member.status !== 'alive') return [];
-    this.gossip.declare(member.nodeName, 'suspect', nowMs);
-    this.gossip.hurry(member.nodeName);
+    this.gossip.declareStatus(member.nodeName, 'suspect', nowMs);
+    this.gossip.markUrgent(member.nodeName);
     return [];
   }
 
-  /** The member that was probed, if it still is the same life and not gone. */
+  /** Returns the probed member unless it was replaced or is gone. */
   private findProbed(probe: PendingProbe): Member | undefined {
     const member = this.gossip.table.get(probe.nodeName);
     const isSame = member?.startedAtMs === probe.startedAtMs;
@@ -217,21 +224,21 @@
   }
 
   private probeNext(nowMs: number): OutgoingMessage[] {
-    if (!this.usualRound.isDue(nowMs)) return [];
-    const member = this.takeTurn();
+    if (!this.probeSchedule.isDue(nowMs)) return [];
+    const member = this.takeNextTarget();
     return member ? [this.probe(member, nowMs)] : [];
   }
 
-  private takeTurn(): Member | undefined {
-    if (this.turn.length === 0) {
+  private takeNextTarget(): Member | undefined {
+    if (this.remainingTargets.length === 0) {
       const names = this.listTargets().map(member => member.nodeName);
-      this.turn = shuffle(this.random, names);
+      this.remainingTargets = shuffle(this.random, names);
     }
     const isDue = (nodeName: string) =>
       this.isPresent(nodeName) && !this.tracker.isProbing(nodeName);
-    const index = this.turn.findIndex(isDue);
-    const [nodeName] = index < 0 ? [] : this.turn.splice(index, 1);
-    if (nodeName === undefined) this.turn = [];
+    const index = this.remainingTargets.findIndex(isDue);
+    const [nodeName] = index < 0 ? [] : this.remainingTargets.splice(index, 1);
+    if (nodeName === undefined) this.remainingTargets = [];
     return nodeName === undefined ? undefined : this.gossip.table.get(nodeName);
   }
 
@@ -240,55 +247,56 @@
     return status !== undefined && status !== 'gone';
   }
 
-  /** Tells all peers that this node probes what must not wait. */
+  /** Probes all targets at once to deliver the urgent updates. */
   private spreadUrgent(nowMs: number): OutgoingMessage[] {
-    const rumors = this.gossip.takeUrgent();
-    if (rumors.length === 0) return [];
+    const leadingUpdates = this.gossip.takeUrgent();
+    if (leadingUpdates.length === 0) return [];
     return this.listTargets().map(member =>
-      this.probe(member, nowMs, {isDoubted: false, rumors}),
+      this.probe(member, nowMs, {verifiesGoneReport: false, leadingUpdates}),
     );
   }
 
-  /** One doubted member a call, so that many doubts make no burst. */
-  private probeDoubted(nowMs: number): OutgoingMessage[] {
-    const [doubt] = this.doubts;
-    if (!doubt) return [];
-    const [nodeName, rumor] = doubt;
-    this.doubts.delete(nodeName);
+  /** Verifies one reported member per call, to avoid bursts of probes. */
+  private probeReportedGone(nowMs: number): OutgoingMessage[] {
+    const [next] = this.goneReports;
+    if (!next) return [];
+    const [nodeName, report] = next;
+    this.goneReports.delete(nodeName);
     const member = this.gossip.table.get(nodeName);
     const isSettled =
       !member ||
       member.status === 'gone' ||
       this.tracker.isProbing(nodeName) ||
-      (rumor !== null && !isNewer(rumor, member));
+      (report !== null && !isNewer(report, member));
     if (isSettled) return [];
-    const rumors = rumor === null ? [] : [rumor];
-    return [this.probe(member, nowMs, {isDoubted: true, rumors})];
+    const leadingUpdates = report === null ? [] : [report];
+    return [
+      this.probe(member, nowMs, {verifiesGoneReport: true, leadingUpdates}),
+    ];
   }
 
   /**
-   * Guards against two regions staying apart after a cut: each side holds the
-   * other for gone and would never talk to it again. A lost member that
-   * answers hears that it is held for gone, refutes, and is listed again.
+   * Guards against regions staying separated after a partition heals, when each
+   * lists the other as gone: the probe delivers the report to be refuted.
    */
-  private probeLost(nowMs: number): OutgoingMessage[] {
-    if (!this.lostRound.isDue(nowMs)) return [];
-    const member = pickOne(this.random, this.gossip.table.listLost());
+  private probeUnreachable(nowMs: number): OutgoingMessage[] {
+    if (!this.unreachableProbeSchedule.isDue(nowMs)) return [];
+    const member = pickOne(this.random, this.gossip.table.listUnreachable());
     return member ? [this.probe(member, nowMs)] : [];
   }
 
   private probe(
     member: Member,
     nowMs: number,
-    {isDoubted, rumors}: ProbeReason = USUAL_ROUND,
+    {verifiesGoneReport, leadingUpdates}: ProbeOptions = REGULAR_PROBE,
   ): OutgoingMessage {
     const {sequence} = this.tracker.add({
       nodeName: member.nodeName,
       startedAtMs: member.startedAtMs,
       targetAddress: member.peerAddress,
       deadlineMs: nowMs + this.options.probeTimeoutMs,
-      isDoubted,
+      verifiesGoneReport,
     });
-    return makeProbe(this.gossip, member.peerAddress, sequence, rumors);
+    return makeProbe(this.gossip, member.peerAddress, sequence, leadingUpdates);
   }
 }
--- a/packages/membership/src/random_choice.ts
+++ b/packages/membership/src/random_choice.ts
@@ -1,7 +1,6 @@
-/** Random choices of several elements. */
+/** Random shuffling and sampling. */
 import {type RandomSource} from '@mimosatack/random';
 
-/** The elements in a random order. */
 export function shuffle<T>(random: RandomSource, items: readonly T[]): T[] {
   return items
     .map(item => ({item, order: random.nextFraction()}))
@@ -9,8 +8,8 @@
     .map(({item}) => item);
 }
 
-/** At most `count` different elements. */
-export function pickSome<T>(
+/** Picks up to `count` distinct elements. */
+export function pickSample<T>(
   random: RandomSource,
   items: readonly T[],
   count: number,
--- a/packages/membership/src/rank_members.ts
+++ b/packages/membership/src/rank_members.ts
@@ -1,12 +1,11 @@
-/** Which nodes act for a key, agreed on without talking. */
+/** Rendezvous hashing of keys to members. */
 import xxhash from 'xxhash-wasm';
 
 const hashing = await xxhash();
 
 /**
- * Orders members by highest random weight (rendezvous hashing): the same on
- * every node that has the same members, and a member that comes or goes moves
- * only the keys it gains or loses. One 32-bit hash a member and call.
+ * Orders members by highest random weight. The order is the same on every node
+ * with the same members, and adding or removing a member moves only its keys.
  */
 export function rankMembers<T extends {nodeName: string}>(
   key: string,
--- a/packages/membership/src/schedule.ts
+++ b/packages/membership/src/schedule.ts
@@ -1,7 +1,7 @@
-/** When something periodic is due, without a timer of its own. */
+/** A periodic schedule that is polled instead of using a timer. */
 import {type RandomSource} from '@mimosatack/random';
 
-/** Falls due once a period, first at a random time within the first one. */
+/** Due once per period, with a random offset in the first period. */
 export class Schedule {
   private nextMs: number | null = null;
 
@@ -10,7 +10,7 @@
     private readonly random: RandomSource,
   ) {}
 
-  /** Whether it is due; if so, the next period begins. Missed ones lapse. */
+  /** If due, starts the next period. Missed periods are skipped. */
   isDue(nowMs: number): boolean {
     this.nextMs ??= nowMs + this.periodMs * this.random.nextFraction();
     if (nowMs < this.nextMs) return false;
--- a/packages/membership/src/update_queue.ts
+++ b/packages/membership/src/update_queue.ts
@@ -1,35 +1,35 @@
-/** Which members' updates still have to be passed on, and how often. */
+/** The queue of member updates to gossip. */
 
-/** Holds names only; the update itself is read when it is sent. */
+/** Holds names only; the sender reads the current update when sending. */
 export class UpdateQueue {
-  private readonly sentCounts = new Map<string, number>();
+  private readonly transmitCounts = new Map<string, number>();
 
-  /** Begins to spread the member's update, anew if it was being spread. */
+  /** Queues the member's update and resets its transmission count. */
   add(nodeName: string): void {
-    this.sentCounts.set(nodeName, 0);
+    this.transmitCounts.set(nodeName, 0);
   }
 
   delete(nodeName: string): void {
-    this.sentCounts.delete(nodeName);
+    this.transmitCounts.delete(nodeName);
   }
 
   /**
-   * The members whose updates ride on the next message, those sent least
-   * often first. An update is dropped once it was sent `limit` times.
+   * Returns the members whose updates to send next, least transmitted first,
+   * and drops updates that have been sent `limit` times.
    */
   take(maxCount: number, limit: number): string[] {
-    if (maxCount <= 0 || this.sentCounts.size === 0) return [];
-    const names = [...this.sentCounts]
+    if (maxCount <= 0 || this.transmitCounts.size === 0) return [];
+    const names = [...this.transmitCounts]
       .sort(([, first], [, second]) => first - second)
       .slice(0, maxCount)
       .map(([nodeName]) => nodeName);
-    names.forEach(nodeName => this.countSending(nodeName, limit));
+    names.forEach(nodeName => this.recordTransmission(nodeName, limit));
     return names;
   }
 
-  private countSending(nodeName: string, limit: number): void {
-    const sentCount = (this.sentCounts.get(nodeName) ?? 0) + 1;
-    if (sentCount >= limit) this.sentCounts.delete(nodeName);
-    else this.sentCounts.set(nodeName, sentCount);
+  private recordTransmission(nodeName: string, limit: number): void {
+    const sentCount = (this.transmitCounts.get(nodeName) ?? 0) + 1;
+    if (sentCount >= limit) this.transmitCounts.delete(nodeName);
+    else this.transmitCounts.set(nodeName, sentCount);
   }
 }
