--- a/packages/admit-requests/src/admission_controller.ts
+++ b/packages/admit-requests/src/admission_controller.ts
@@ -1,4 +1,4 @@
-/** Decides which requests start, wait or are refused; without any sockets. */
+/** Decides which requests start, are queued or are refused; does no I/O. */
 import {type RandomSource} from '@mimosatack/random';
 import {FairQueue} from './fair_queue.js';
 import {MIN_RETRY_AFTER_MS, makeRefusal} from './make_refusal.js';
@@ -11,54 +11,51 @@
 } from './types.js';
 import {WaitEstimator} from './wait_estimator.js';
 
-/** What admission works with. */
 export interface AdmissionOptions {
   random: RandomSource;
-  /** Requests that may wait in one queue. */
+  /** Maximum number of requests in one queue. */
   queueLimit: number;
-  /** Bytes that the requests in all queues may take. */
+  /** Maximum total size of the requests in all queues. */
   queueLimitBytes: number;
 }
 
-/** What becomes of a request that arrives. */
 export type AdmissionDecision =
   | {status: 'start'}
-  /** Waits; a request that had to make room for it is refused. */
+  /** `displaced` is the request evicted from a full queue, if any. */
   | {status: 'queued'; displaced: GivenUp | null}
   | {status: 'refused'; refusal: Refusal};
 
-/** A queued request that gets its final answer now. */
+/** A queued request that is refused before it starts. */
 export interface GivenUp {
   request: AdmissionRequest;
   refusal: Refusal;
 }
 
-/** One queue with what is known of it. */
-interface ServingSet {
+interface QueueState {
   queue: FairQueue;
   estimator: WaitEstimator;
-  running: number;
-  /** The wait expected of each request that was queued for warm replicas. */
+  runningCount: number;
+  /** Expected wait by request ID, for requests queued with warm replicas. */
   estimatesMs: Map<string, number>;
 }
 
 /**
- * A request is queued only if it would be met even after a somewhat longer
- * wait: work on an answer that comes just too late is lost for the others.
+ * Safety factor on the expected wait before a request is queued, as an answer
+ * that misses its deadline wastes capacity.
  */
 const WAIT_MARGIN = 1.25;
 
-/** All queues of one node. */
+/** Admission state of one node, with one queue per key. */
 export class AdmissionController {
-  private readonly sets = new Map<string, ServingSet>();
-  private readonly teams = new TeamLimiter();
+  private readonly queueStates = new Map<string, QueueState>();
+  private readonly teamLimiter = new TeamLimiter();
   private queuedBytes = 0;
 
   constructor(private readonly options: AdmissionOptions) {}
 
   /**
-   * Decides on a new request. `takePlace` holds a place at a backend server
-   * and is called only for a request that may start at once.
+   * Decides on a new request. `takePlace` reserves capacity at a backend server
+   * and is called only if the request may start immediately.
    */
   arrive(
     key: string,
@@ -68,100 +65,102 @@
     nowMs: number,
   ): AdmissionDecision {
     const {team, teamLimits} = request;
-    const waitMs = this.teams.begin(team, teamLimits, nowMs);
+    const waitMs = this.teamLimiter.acquire(team, teamLimits, nowMs);
     if (waitMs !== null) {
       const message = `Team ${team} is over its limit of requests.`;
       return this.refuse('rate-limited', message, waitMs);
     }
-    const set = this.openSet(key);
-    const decision = this.decide(set, request, outlook, takePlace, nowMs);
-    if (decision.status === 'refused') this.teams.end(team);
+    const state = this.getOrCreateState(key);
+    const decision = this.decide(state, request, outlook, takePlace, nowMs);
+    if (decision.status === 'refused') this.teamLimiter.release(team);
     return decision;
   }
 
-  /** The queued request whose turn it is. */
+  /** Returns the next request of the queue without removing it. */
   peek(key: string): AdmissionRequest | undefined {
-    return this.sets.get(key)?.queue.peek();
+    return this.queueStates.get(key)?.queue.peek();
   }
 
   /**
-   * Judges a queued request whose turn it is. One that would probably be
-   * answered too late is given up, so that its place goes to one in time.
+   * Refuses a queued request that would probably miss its deadline if started
+   * now, so that the capacity serves another request.
    */
   judgeStart(
     key: string,
     request: AdmissionRequest,
     nowMs: number,
   ): Refusal | null {
-    const set = this.openSet(key);
-    const meanMs = set.estimator.meanRunMs(request.workClass, nowMs);
-    return this.judgeRunTime(request, meanMs, nowMs);
+    const state = this.getOrCreateState(key);
+    const meanMs = state.estimator.meanRunMs(request.workClass, nowMs);
+    return this.checkRunTime(request, meanMs, nowMs);
   }
 
-  /** Starts the queued request whose turn it is. */
+  /** Removes the next request from the queue and counts it as running. */
   startNext(key: string, nowMs: number): AdmissionRequest | undefined {
-    const set = this.sets.get(key);
-    const request = set?.queue.take();
-    if (!set || !request) return undefined;
-    const estimateMs = set.estimatesMs.get(request.requestId) ?? 0;
-    set.estimatesMs.delete(request.requestId);
+    const state = this.queueStates.get(key);
+    const request = state?.queue.take();
+    if (!state || !request) return undefined;
+    const estimateMs = state.estimatesMs.get(request.requestId) ?? 0;
+    state.estimatesMs.delete(request.requestId);
     this.queuedBytes -= request.sizeBytes;
-    set.estimator.noteWait(estimateMs, nowMs - request.arrivedAtMs);
-    this.noteStarted(set, nowMs);
+    state.estimator.recordWait(estimateMs, nowMs - request.arrivedAtMs);
+    this.recordStart(state, nowMs);
     return request;
   }
 
-  /** Takes a request out of its queue without an answer. */
+  /** Removes a request from its queue without a refusal. */
   abandon(key: string, request: AdmissionRequest): void {
-    const set = this.sets.get(key);
-    if (set) this.abandonIn(set, request);
+    const state = this.queueStates.get(key);
+    if (state) this.removeQueued(state, request);
   }
 
-  /** Notes how long a started request took until its deadline was met. */
+  /** Records the run time of a request up to the answer or its first byte. */
   noteServed(
     key: string,
     request: AdmissionRequest,
     ranMs: number,
     nowMs: number,
   ): void {
-    const set = this.openSet(key);
-    set.estimator.noteServed(request.workClass, ranMs, nowMs);
+    const state = this.getOrCreateState(key);
+    state.estimator.recordRunTime(request.workClass, ranMs, nowMs);
   }
 
-  /** Notes that a started request has ended, well or not. */
+  /** Records that a started request has finished or failed. */
   noteEnded(key: string, request: AdmissionRequest, heldMs: number): void {
-    const set = this.openSet(key);
-    set.running -= 1;
-    set.estimator.noteEnded(heldMs);
-    this.teams.end(request.team);
+    const state = this.getOrCreateState(key);
+    state.runningCount -= 1;
+    state.estimator.recordEnd(heldMs);
+    this.teamLimiter.release(request.team);
   }
 
   /**
-   * Gives up queued requests that can't be met any more, such as when loading
-   * the replica they wait for takes longer than expected: they get their
-   * answer now and not at their deadline.
+   * Refuses queued requests that can no longer meet their deadline, for example
+   * because a replica loads more slowly than expected.
    */
   reassess(key: string, outlook: Outlook, nowMs: number): GivenUp[] {
-    const set = this.sets.get(key);
-    if (!set) return [];
-    return set.queue.list().flatMap(request => {
+    const state = this.queueStates.get(key);
+    if (!state) return [];
+    return state.queue.list().flatMap(request => {
       const refusal =
         this.checkDeadline(request, nowMs) ??
-        this.judgeOutlook(set, request, outlook, nowMs) ??
-        this.judgeQuickest(set, request, nowMs);
+        this.checkOutlook(state, request, outlook, nowMs) ??
+        this.checkShortestRun(state, request, nowMs);
       if (!refusal) return [];
       this.abandon(key, request);
       return [{request, refusal}];
     });
   }
 
-  /** How many requests wait in one queue, or in all. */
+  /** Counts the requests in one queue, or in all without `key`. */
   countQueued(key?: string): number {
-    if (key !== undefined) return this.sets.get(key)?.queue.size ?? 0;
-    return [...this.sets.values()].reduce((sum, s) => sum + s.queue.size, 0);
+    if (key !== undefined) return this.queueStates.get(key)?.queue.size ?? 0;
+    return [...this.queueStates.values()].reduce(
+      (sum, s) => sum + s.queue.size,
+      0,
+    );
   }
 
-  /** The final answer to a request whose deadline has passed in a queue. */
+  /** Refuses a queued request whose deadline has passed. */
   checkDeadline(request: AdmissionRequest, nowMs: number): Refusal | null {
     if (nowMs < request.deadlineAtMs) return null;
     const message = 'The deadline passed while the request was queued.';
@@ -169,26 +168,26 @@
   }
 
   private decide(
-    set: ServingSet,
+    state: QueueState,
     request: AdmissionRequest,
     outlook: Outlook,
     takePlace: () => boolean,
     nowMs: number,
   ): AdmissionDecision {
     const refusal =
-      this.judgeOutlook(set, request, outlook, nowMs) ??
-      this.judgeQuickest(set, request, nowMs);
+      this.checkOutlook(state, request, outlook, nowMs) ??
+      this.checkShortestRun(state, request, nowMs);
     if (refusal) return {status: 'refused', refusal};
-    const isFree = outlook.status === 'serving' && set.queue.size === 0;
+    const isFree = outlook.status === 'serving' && state.queue.size === 0;
     if (!isFree || !takePlace()) {
-      return this.enqueue(set, request, outlook, nowMs);
+      return this.enqueue(state, request, outlook, nowMs);
     }
-    this.noteStarted(set, nowMs);
+    this.recordStart(state, nowMs);
     return {status: 'start'};
   }
 
-  private judgeOutlook(
-    set: ServingSet,
+  private checkOutlook(
+    state: QueueState,
     request: AdmissionRequest,
     outlook: Outlook,
     nowMs: number,
@@ -199,13 +198,14 @@
       return this.makeRefusal('not-warm', message, outlook.comeBackInMs);
     }
     const neededMs =
-      outlook.expectedInMs + set.estimator.quickRunMs(request.workClass, nowMs);
+      outlook.expectedInMs +
+      state.estimator.shortestRunMs(request.workClass, nowMs);
     return neededMs <= request.deadlineAtMs - nowMs
       ? null
       : this.makeRefusal('not-warm', message, outlook.expectedInMs);
   }
 
-  private judgeRunTime(
+  private checkRunTime(
     request: AdmissionRequest,
     runMs: number,
     nowMs: number,
@@ -215,29 +215,29 @@
     return this.makeRefusal('deadline-unmeetable', message, MIN_RETRY_AFTER_MS);
   }
 
-  private judgeQuickest(
-    set: ServingSet,
+  private checkShortestRun(
+    state: QueueState,
     request: AdmissionRequest,
     nowMs: number,
   ): Refusal | null {
-    const quickMs = set.estimator.quickRunMs(request.workClass, nowMs);
-    return this.judgeRunTime(request, quickMs, nowMs);
+    const shortestMs = state.estimator.shortestRunMs(request.workClass, nowMs);
+    return this.checkRunTime(request, shortestMs, nowMs);
   }
 
-  private noteStarted(set: ServingSet, nowMs: number): void {
-    set.running += 1;
-    set.estimator.noteStarted(nowMs, set.queue.size > 0);
+  private recordStart(state: QueueState, nowMs: number): void {
+    state.runningCount += 1;
+    state.estimator.recordStart(nowMs, state.queue.size > 0);
   }
 
   private enqueue(
-    set: ServingSet,
+    state: QueueState,
     request: AdmissionRequest,
     outlook: Outlook,
     nowMs: number,
   ): AdmissionDecision {
-    const {queue, estimator} = set;
-    const ahead = queue.countAhead(request);
-    const estimate = estimator.estimateWaitMs(ahead, set.running);
+    const {queue, estimator} = state;
+    const aheadCount = queue.countAhead(request);
+    const estimate = estimator.estimateWaitMs(aheadCount, state.runningCount);
     const waitMs =
       (outlook.status === 'warming' ? outlook.expectedInMs : 0) +
       Math.max(estimate.correctedMs, estimator.stalledMs(nowMs));
@@ -248,32 +248,32 @@
       return this.refuse('deadline-unmeetable', message, waitMs);
     }
     if (outlook.status === 'serving') {
-      set.estimatesMs.set(request.requestId, estimate.uncorrectedMs);
+      state.estimatesMs.set(request.requestId, estimate.uncorrectedMs);
     }
     if (this.hasQueueRoom(queue, request)) {
-      this.addTo(queue, request);
+      this.addQueued(queue, request);
       return {status: 'queued', displaced: null};
     }
-    const victim = queue.findVictim(request);
+    const evicted = queue.findVictim(request);
     const refusal = this.makeRefusal(
       'overloaded',
       'The queue is full.',
       waitMs,
     );
-    if (!victim) {
-      set.estimatesMs.delete(request.requestId);
+    if (!evicted) {
+      state.estimatesMs.delete(request.requestId);
       return {status: 'refused', refusal};
     }
-    this.abandonIn(set, victim);
-    this.addTo(queue, request);
-    return {status: 'queued', displaced: {request: victim, refusal}};
+    this.removeQueued(state, evicted);
+    this.addQueued(queue, request);
+    return {status: 'queued', displaced: {request: evicted, refusal}};
   }
 
-  private abandonIn(set: ServingSet, request: AdmissionRequest): void {
-    if (!set.queue.remove(request.requestId)) return;
-    set.estimatesMs.delete(request.requestId);
+  private removeQueued(state: QueueState, request: AdmissionRequest): void {
+    if (!state.queue.remove(request.requestId)) return;
+    state.estimatesMs.delete(request.requestId);
     this.queuedBytes -= request.sizeBytes;
-    this.teams.end(request.team);
+    this.teamLimiter.release(request.team);
   }
 
   private hasQueueRoom(queue: FairQueue, request: AdmissionRequest): boolean {
@@ -284,22 +284,22 @@
     );
   }
 
-  private addTo(queue: FairQueue, request: AdmissionRequest): void {
+  private addQueued(queue: FairQueue, request: AdmissionRequest): void {
     queue.add(request);
     this.queuedBytes += request.sizeBytes;
   }
 
-  private openSet(key: string): ServingSet {
-    const known = this.sets.get(key);
+  private getOrCreateState(key: string): QueueState {
+    const known = this.queueStates.get(key);
     if (known) return known;
-    const set: ServingSet = {
+    const state: QueueState = {
       queue: new FairQueue(),
       estimator: new WaitEstimator(),
-      running: 0,
+      runningCount: 0,
       estimatesMs: new Map(),
     };
-    this.sets.set(key, set);
-    return set;
+    this.queueStates.set(key, state);
+    return state;
   }
 
   private refuse(
--- a/packages/admit-requests/src/admission_gate.test.ts
+++ b/packages/admit-requests/src/admission_gate.test.ts
@@ -9,23 +9,23 @@
 
 const test = suite('admission gate');
 
-interface World {
+interface Fixture {
   clock: ManualClock;
-  places: number;
+  capacity: number;
   outlook: Outlook;
   started: string[];
-  /** Final answers by request: `answered` or the kind of the refusal. */
-  ended: Record<string, string>;
+  /** By request ID: `answered` or the kind of the refusal. */
+  outcomes: Record<string, string>;
   retryAfterMs: number[];
-  ask(id: string, terms?: Partial<AdmissionRequest>): Promise<void>;
+  submit(id: string, terms?: Partial<AdmissionRequest>): Promise<void>;
   finish(id: string): Promise<void>;
-  pass(deltaMs: number): Promise<void>;
+  advance(deltaMs: number): Promise<void>;
   gate: AdmissionGate;
 }
 
 const settle = () => new Promise<void>(resolve => setImmediate(resolve));
 
-function makeWorld(places: number, queueLimit = 100): World {
+function createFixture(capacity: number, queueLimit = 100): Fixture {
   const clock = new ManualClock();
   const random = new SeededRandom(1);
   const options = {random, queueLimit, queueLimitBytes: 1_000};
@@ -33,23 +33,23 @@
   const finishers = new Map<string, () => void>();
   const target = {
     key: 'm',
-    findOutlook: () => world.outlook,
-    takePlace: () => (world.places > 0 ? world.places-- : null),
+    findOutlook: () => fixture.outlook,
+    takePlace: () => (fixture.capacity > 0 ? fixture.capacity-- : null),
   };
-  const ask = async (id: string, terms: Partial<AdmissionRequest> = {}) => {
+  const submit = async (id: string, terms: Partial<AdmissionRequest> = {}) => {
     const request = makeRequest(id, clock.monotonicMs(), terms);
     const done = gate.run(request, target, async ({noteServed}) => {
-      world.started.push(id);
+      fixture.started.push(id);
       await new Promise<void>(resolve => finishers.set(id, resolve));
       noteServed();
-      world.places += 1;
+      fixture.capacity += 1;
     });
     void done.then(
-      () => (world.ended[id] = 'answered'),
+      () => (fixture.outcomes[id] = 'answered'),
       (thrown: TypedError) => {
-        world.ended[id] = thrown.kind;
+        fixture.outcomes[id] = thrown.kind;
         assert.is(thrown.run, 'not-run');
-        world.retryAfterMs.push(thrown.retryAfterMs ?? 0);
+        fixture.retryAfterMs.push(thrown.retryAfterMs ?? 0);
       },
     );
     await settle();
@@ -58,23 +58,23 @@
     finishers.get(id)?.();
     await settle();
   };
-  const pass = async (deltaMs: number) => {
+  const advance = async (deltaMs: number) => {
     clock.advance(deltaMs);
     await settle();
   };
   const outlook: Outlook = {status: 'serving'};
-  const seen = {started: [], ended: {}, retryAfterMs: []};
-  const world: World = {
+  const records = {started: [], outcomes: {}, retryAfterMs: []};
+  const fixture: Fixture = {
     clock,
-    places,
+    capacity,
     outlook,
     gate,
-    ask,
+    submit,
     finish,
-    pass,
-    ...seen,
+    advance,
+    ...records,
   };
-  return world;
+  return fixture;
 }
 
 function makeRequest(
@@ -95,143 +95,129 @@
   };
 }
 
-function names(prefix: string, count: number): string[] {
+function makeIds(prefix: string, count: number): string[] {
   return Array.from({length: count}, (_, index) => `${prefix}${index}`);
 }
 
 test('starts by priority, then by deadline', async () => {
-  const world = makeWorld(1);
-  await world.ask('first');
-  await world.ask('late', {deadlineAtMs: 9_000});
-  await world.ask('early', {deadlineAtMs: 8_000});
-  await world.ask('urgent', {priority: 9});
-  await world.finish('first');
-  await world.finish('urgent');
-  await world.finish('early');
-  assert.equal(world.started, ['first', 'urgent', 'early', 'late']);
+  const fixture = createFixture(1);
+  await fixture.submit('first');
+  await fixture.submit('late', {deadlineAtMs: 9_000});
+  await fixture.submit('early', {deadlineAtMs: 8_000});
+  await fixture.submit('urgent', {priority: 9});
+  await fixture.finish('first');
+  await fixture.finish('urgent');
+  await fixture.finish('early');
+  assert.equal(fixture.started, ['first', 'urgent', 'early', 'late']);
 });
 
-/*
- * One team sends fifty requests at once, and another team sends two just
- * after. Served in order of arrival the two would wait for all fifty; with
- * turns between the teams each waits for one of the flood at a time.
- */
-test('a flood of one team does not starve another', async () => {
-  const world = makeWorld(1);
-  await Promise.all(names('flood', 50).map(id => world.ask(id)));
-  await world.ask('own0', {team: 'beta'});
-  await world.ask('own1', {team: 'beta'});
+// Guards against one team's burst starving the requests of another team.
+test("one team's burst does not starve another team", async () => {
+  const fixture = createFixture(1);
+  await Promise.all(makeIds('burst', 50).map(id => fixture.submit(id)));
+  await fixture.submit('own0', {team: 'beta'});
+  await fixture.submit('own1', {team: 'beta'});
   for (const index of [0, 1, 2, 3]) {
-    await world.finish(world.started[index] ?? '');
+    await fixture.finish(fixture.started[index] ?? '');
   }
   assert.equal(
-    world.started.slice(0, 5).filter(id => id.startsWith('own')),
+    fixture.started.slice(0, 5).filter(id => id.startsWith('own')),
     ['own0', 'own1'],
   );
 });
 
-/*
- * A queue is full of one team's requests and another team's request comes.
- * The newest of the flood makes room and gets its final answer at once.
- */
-test('a full queue gives up a request of the longest team', async () => {
-  const world = makeWorld(0, 3);
-  await Promise.all(names('flood', 3).map(id => world.ask(id)));
-  await world.ask('own', {team: 'beta'});
-  await world.ask('flood3');
-  assert.equal(world.ended, {flood2: 'overloaded', flood3: 'overloaded'});
+// Guards against one team's requests filling the queue and locking out others.
+test('a full queue evicts a request of the largest team', async () => {
+  const fixture = createFixture(0, 3);
+  await Promise.all(makeIds('burst', 3).map(id => fixture.submit(id)));
+  await fixture.submit('own', {team: 'beta'});
+  await fixture.submit('burst3');
+  assert.equal(fixture.outcomes, {burst2: 'overloaded', burst3: 'overloaded'});
 });
 
-test('refuses beyond the limits of a team, and not other teams', async () => {
-  const world = makeWorld(10);
+test('enforces the limits of each team separately', async () => {
+  const fixture = createFixture(10);
   const teamLimits = {maxConcurrentRequests: 2, requestsPerSecond: 1_000};
-  await Promise.all(names('r', 3).map(id => world.ask(id, {teamLimits})));
-  await world.ask('other', {team: 'beta', teamLimits});
-  assert.equal(world.ended, {r2: 'rate-limited'});
-  await world.finish('r0');
-  await world.ask('r4', {teamLimits});
-  assert.equal(world.started, ['r0', 'r1', 'other', 'r4']);
+  await Promise.all(
+    makeIds('r', 3).map(id => fixture.submit(id, {teamLimits})),
+  );
+  await fixture.submit('other', {team: 'beta', teamLimits});
+  assert.equal(fixture.outcomes, {r2: 'rate-limited'});
+  await fixture.finish('r0');
+  await fixture.submit('r4', {teamLimits});
+  assert.equal(fixture.started, ['r0', 'r1', 'other', 'r4']);
 });
 
-/*
- * A user waits in a queue in which nothing moves. At the deadline, and not
- * later, comes the answer that nothing was run.
- */
-test('answers at the moment the deadline passes in the queue', async () => {
-  const world = makeWorld(0);
-  await world.ask('a', {deadlineAtMs: 300});
-  await world.pass(299);
-  assert.equal(world.ended, {});
-  await world.pass(1);
-  assert.equal(world.ended, {a: 'deadline-exceeded'});
-  assert.is(world.gate.inFlightCount, 0);
+// Guards against a request staying in a stalled queue past its deadline.
+test('refuses a queued request when its deadline passes', async () => {
+  const fixture = createFixture(0);
+  await fixture.submit('a', {deadlineAtMs: 300});
+  await fixture.advance(299);
+  assert.equal(fixture.outcomes, {});
+  await fixture.advance(1);
+  assert.equal(fixture.outcomes, {a: 'deadline-exceeded'});
+  assert.is(fixture.gate.inFlightCount, 0);
 });
 
-/*
- * Answers take a second and three requests wait. One more that has half a
- * second can't be met; it must be told at once and not at its deadline.
- */
-test('refuses at once what can not be met, with spread times', async () => {
-  const world = makeWorld(1);
-  await world.ask('a');
-  await world.pass(1_000);
-  await world.finish('a');
-  await Promise.all(names('b', 4).map(id => world.ask(id)));
-  const deadlineAtMs = world.clock.monotonicMs() + 500;
-  await Promise.all(names('c', 5).map(id => world.ask(id, {deadlineAtMs})));
+// Guards against a request waiting until its deadline although the estimates
+// already show that it cannot be met, and against simultaneous retries.
+test('refuses unmeetable requests immediately with jittered retries', async () => {
+  const fixture = createFixture(1);
+  await fixture.submit('a');
+  await fixture.advance(1_000);
+  await fixture.finish('a');
+  await Promise.all(makeIds('b', 4).map(id => fixture.submit(id)));
+  const deadlineAtMs = fixture.clock.monotonicMs() + 500;
+  await Promise.all(
+    makeIds('c', 5).map(id => fixture.submit(id, {deadlineAtMs})),
+  );
   assert.equal(
-    names('c', 5).map(id => world.ended[id]),
-    names('c', 5).map(() => 'deadline-unmeetable'),
+    makeIds('c', 5).map(id => fixture.outcomes[id]),
+    makeIds('c', 5).map(() => 'deadline-unmeetable'),
   );
-  assert.is(new Set(world.retryAfterMs).size, 5);
+  assert.is(new Set(fixture.retryAfterMs).size, 5);
 });
 
-/*
- * Users wait for a replica that is being loaded. The weight store becomes
- * slow and the load takes longer than some can wait. Those are told as soon
- * as that is known; the others get their answer once the replica is warm.
- */
-test('gives up those that a late load can not serve any more', async () => {
-  const world = makeWorld(2);
-  world.outlook = {status: 'warming', expectedInMs: 1_000};
-  await world.ask('short', {deadlineAtMs: 2_000});
-  await world.ask('long', {deadlineAtMs: 9_000});
-  await world.ask('shorter', {deadlineAtMs: 500});
-  assert.equal(world.ended, {shorter: 'not-warm'});
-  world.outlook = {status: 'warming', expectedInMs: 5_000};
-  await world.pass(100);
-  assert.equal(world.ended, {shorter: 'not-warm', short: 'not-warm'});
-  world.outlook = {status: 'serving'};
-  await world.pass(5_000);
-  assert.equal(world.started, ['long']);
+// Guards against requests staying queued after a slower load of the replica
+// makes their deadlines unmeetable.
+test('refuses queued requests that a delayed load cannot serve in time', async () => {
+  const fixture = createFixture(2);
+  fixture.outlook = {status: 'warming', expectedInMs: 1_000};
+  await fixture.submit('short', {deadlineAtMs: 2_000});
+  await fixture.submit('long', {deadlineAtMs: 9_000});
+  await fixture.submit('shorter', {deadlineAtMs: 500});
+  assert.equal(fixture.outcomes, {shorter: 'not-warm'});
+  fixture.outlook = {status: 'warming', expectedInMs: 5_000};
+  await fixture.advance(100);
+  assert.equal(fixture.outcomes, {shorter: 'not-warm', short: 'not-warm'});
+  fixture.outlook = {status: 'serving'};
+  await fixture.advance(5_000);
+  assert.equal(fixture.started, ['long']);
 });
 
-/*
- * A user closes the app while the request is queued. It leaves the queue at
- * once, so that it takes nobody's turn.
- */
-test('forgets a queued request whose caller has gone', async () => {
-  const world = makeWorld(0);
+// Guards against a disconnected caller's request taking capacity from others.
+test('removes a queued request when its caller disconnects', async () => {
+  const fixture = createFixture(0);
   const abort = new AbortController();
   const target = {
     key: 'm',
-    findOutlook: () => world.outlook,
+    findOutlook: () => fixture.outlook,
     takePlace: () => null,
   };
   const request = makeRequest('a', 0, {});
-  const run = world.gate.run(request, target, async () => 1, abort.signal);
-  assert.is(world.gate.queuedCount, 1);
+  const run = fixture.gate.run(request, target, async () => 1, abort.signal);
+  assert.is(fixture.gate.queuedCount, 1);
   abort.abort();
   const thrown: unknown = await run.catch((error: unknown) => error);
   assert.instance(thrown, CallerGone);
-  assert.is(world.gate.inFlightCount, 0);
+  assert.is(fixture.gate.inFlightCount, 0);
 });
 
-test('bounds the memory of what is queued', async () => {
-  const world = makeWorld(0);
-  await world.ask('a', {sizeBytes: 900});
-  await world.ask('b', {sizeBytes: 200});
-  assert.equal(world.ended, {b: 'overloaded'});
+test('limits the total size of the queued requests', async () => {
+  const fixture = createFixture(0);
+  await fixture.submit('a', {sizeBytes: 900});
+  await fixture.submit('b', {sizeBytes: 200});
+  assert.equal(fixture.outcomes, {b: 'overloaded'});
 });
 
 test.run();
--- a/packages/admit-requests/src/admission_gate.ts
+++ b/packages/admit-requests/src/admission_gate.ts
@@ -1,6 +1,6 @@
 /**
- * Lets requests through to the backend servers: drives the decisions with a
- * clock and hands places out as they come free.
+ * Queues requests in front of the backend servers and starts them as capacity
+ * becomes available.
  */
 import {type Clock, type Timer} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
@@ -11,46 +11,44 @@
 import {CallerGone} from './caller_gone.js';
 import {type AdmissionRequest, type Outlook, type Refusal} from './types.js';
 
-/** Where a request could go; requests with one key share one queue. */
+/** The destination of a request; requests with the same key share a queue. */
 export interface Target<P> {
   key: string;
-  /** What is known of the replicas. */
   findOutlook(): Outlook;
-  /** Holds a place at a backend server, or null while there is none. */
+  /** Reserves capacity at a backend server; null if none is available. */
   takePlace(): P | null;
 }
 
-/** The right to send one request to a backend server. */
+/** Permission to send one request to a backend server. */
 export interface Permit<P> {
   place: P;
   waitedMs: number;
-  /** Notes that the deadline was met: the answer, or its first byte, is here. */
+  /** Records that the answer, or its first byte, has arrived. */
   noteServed: () => void;
 }
 
-/** A request in a queue, with what is done when its turn comes. */
 interface Waiter {
   request: AdmissionRequest;
   key: string;
   findOutlook(): Outlook;
   /**
-   * Starts the request if there is a place, or gives it up if that is too
-   * late; returns whether it has left the queue.
+   * Starts the request if capacity is available, or refuses it if it would miss
+   * its deadline. Returns whether the request left the queue.
    */
-  tryStart(): boolean;
+  tryDequeue(): boolean;
   refuse(refusal: Refusal): void;
 }
 
-/** How often queued requests are looked at again while any wait. */
+/** Interval between checks of the queued requests. */
 const REASSESS_MS = 100;
 
-/** Puts requests through admission. */
+/** Admission control of one node. */
 export class AdmissionGate {
   private readonly controller: AdmissionController;
   private readonly waiters = new Map<string, Waiter>();
-  /** Keys with a queue; the one served last is at the end. */
+  /** Keys with queued requests, least recently served first. */
   private readonly waitingKeys = new Set<string>();
-  private reassessing: Timer | null = null;
+  private reassessTimer: Timer | null = null;
   private isPumping = false;
   private runningCount = 0;
 
@@ -70,9 +68,9 @@
   }
 
   /**
-   * Waits for a place and calls `work` with it. Rejects with the kind of the
-   * refusal and `run: 'not-run'`, or with `CallerGone` once `signal` is
-   * aborted while the request is queued.
+   * Waits for capacity, then calls `work`. Rejects with the kind of the refusal
+   * and `run: 'not-run'`, or with `CallerGone` if `signal` is aborted while the
+   * request is queued.
    */
   async run<P, T>(
     request: AdmissionRequest,
@@ -80,7 +78,7 @@
     work: (permit: Permit<P>) => Promise<T>,
     signal?: AbortSignal,
   ): Promise<T> {
-    const place = await this.enter(request, target, signal);
+    const place = await this.admit(request, target, signal);
     const startedAtMs = this.clock.monotonicMs();
     const elapsedMs = () => this.clock.monotonicMs() - startedAtMs;
     const noteServed = () =>
@@ -100,7 +98,7 @@
     }
   }
 
-  /** Hands out what places there are; called whenever one may have come free. */
+  /** Starts queued requests; to be called when capacity may have been freed. */
   pump(): void {
     if (this.isPumping) return;
     this.isPumping = true;
@@ -111,7 +109,7 @@
     }
   }
 
-  private enter<P>(
+  private admit<P>(
     request: AdmissionRequest,
     target: Target<P>,
     signal?: AbortSignal,
@@ -149,7 +147,7 @@
       const {key} = target;
       const leave = () => {
         this.waiters.delete(request.requestId);
-        deadline.cancel();
+        deadlineTimer.cancel();
         signal?.removeEventListener('abort', onAbort);
         if (this.controller.countQueued(key) === 0) {
           this.waitingKeys.delete(key);
@@ -164,11 +162,11 @@
         leave();
         reject(new CallerGone());
       };
-      const deadline = this.clock.setTimer(
+      const deadlineTimer = this.clock.setTimer(
         request.deadlineAtMs - this.clock.monotonicMs(),
-        () => this.giveUpLate(key),
+        () => this.rejectUnmeetable(key),
       );
-      const tryStart = () => {
+      const tryDequeue = () => {
         const nowMs = this.clock.monotonicMs();
         const refusal = this.controller.judgeStart(key, request, nowMs);
         if (refusal) {
@@ -185,7 +183,7 @@
         return true;
       };
       const findOutlook = () => target.findOutlook();
-      const waiter = {request, key, findOutlook, tryStart, refuse};
+      const waiter = {request, key, findOutlook, tryDequeue, refuse};
       this.waiters.set(request.requestId, waiter);
       this.waitingKeys.add(key);
       this.scheduleReassessment();
@@ -195,8 +193,8 @@
   }
 
   /**
-   * Lets one request out: of all queues' heads, the one of highest priority.
-   * Returns whether there was one.
+   * Tries the queue heads by priority until one leaves its queue. Returns
+   * whether one did.
    */
   private startOne(): boolean {
     const heads = [...this.waitingKeys]
@@ -206,7 +204,8 @@
       .map(request => this.waiters.get(request.requestId))
       .filter(waiter => waiter !== undefined);
     const started = heads.find(
-      waiter => waiter.findOutlook().status === 'serving' && waiter.tryStart(),
+      waiter =>
+        waiter.findOutlook().status === 'serving' && waiter.tryDequeue(),
     );
     if (!started) return false;
     if (this.waitingKeys.delete(started.key)) this.waitingKeys.add(started.key);
@@ -214,15 +213,15 @@
   }
 
   private scheduleReassessment(): void {
-    this.reassessing ??= this.clock.setTimer(REASSESS_MS, () => {
-      this.reassessing = null;
-      [...this.waitingKeys].forEach(key => this.giveUpLate(key));
+    this.reassessTimer ??= this.clock.setTimer(REASSESS_MS, () => {
+      this.reassessTimer = null;
+      [...this.waitingKeys].forEach(key => this.rejectUnmeetable(key));
       this.pump();
       if (this.waiters.size > 0) this.scheduleReassessment();
     });
   }
 
-  private giveUpLate(key: string): void {
+  private rejectUnmeetable(key: string): void {
     const head = this.controller.peek(key);
     const waiter = head && this.waiters.get(head.requestId);
     if (!waiter) return;
--- a/packages/admit-requests/src/caller_gone.ts
+++ b/packages/admit-requests/src/caller_gone.ts
@@ -1,6 +1,6 @@
-/** Says that nobody waits for an answer any more. */
+/** The caller disconnected before the answer was complete. */
 export class CallerGone extends Error {
   constructor() {
-    super('The caller has gone.');
+    super('The caller disconnected.');
   }
 }
--- a/packages/admit-requests/src/fair_queue.ts
+++ b/packages/admit-requests/src/fair_queue.ts
@@ -1,28 +1,27 @@
 /**
- * A queue ordered by priority, then by turns between teams, then by deadline.
- * Within a priority each team that waits has an equal share of the turns, so
- * a team that floods the queue delays itself and not the others.
+ * A queue ordered by priority, then round robin between teams, then by
+ * deadline, so that one team's burst does not delay other teams.
  */
 import {type TeamName} from '@mimosatack/types';
 import {type AdmissionRequest} from './types.js';
 
-/** What one team has waiting at one priority, earliest deadline first. */
+/** The queued requests of one team at one priority. */
 interface TeamLane {
   team: TeamName;
+  /** Earliest deadline first. */
   requests: AdmissionRequest[];
-  /** How many turns the team has had, counted from when it began to wait. */
+  /** Requests served, starting from the lane's `turns` when first queued. */
   turns: number;
 }
 
-/** All teams that wait at one priority. */
+/** The queued requests of one priority. */
 interface PriorityLane {
   priority: number;
   teams: Map<TeamName, TeamLane>;
-  /** The turn count of the team served last. */
+  /** Value of `turns` of the most recently served team before its turn. */
   turns: number;
 }
 
-/** Requests that wait for a place at a backend server. */
 export class FairQueue {
   /** Highest priority first. */
   private lanes: PriorityLane[] = [];
@@ -37,22 +36,22 @@
   }
 
   add(request: AdmissionRequest): void {
-    const lane = this.openLane(request.priority);
-    const teamLane = openTeamLane(lane, request.team);
-    teamLane.requests.splice(countNotLater(teamLane, request), 0, request);
+    const lane = this.getOrCreateLane(request.priority);
+    const teamLane = getOrCreateTeamLane(lane, request.team);
+    teamLane.requests.splice(countDueBy(teamLane, request), 0, request);
     this.byId.set(request.requestId, request);
   }
 
-  /** The request whose turn it is. */
+  /** Returns the next request without removing it. */
   peek(): AdmissionRequest | undefined {
     const lane = this.lanes[0];
-    return lane && findNextTeam(lane)?.requests[0];
+    return lane && pickNextTeam(lane)?.requests[0];
   }
 
-  /** Takes the request whose turn it is and counts the turn. */
+  /** Removes the next request and counts a turn for its team. */
   take(): AdmissionRequest | undefined {
     const lane = this.lanes[0];
-    const teamLane = lane && findNextTeam(lane);
+    const teamLane = lane && pickNextTeam(lane);
     const request = teamLane?.requests[0];
     if (!lane || !teamLane || !request) return undefined;
     lane.turns = teamLane.turns;
@@ -76,7 +75,7 @@
     return request;
   }
 
-  /** How many requests would be served before this one if it came in now. */
+  /** Counts the queued requests that would be served before a new one. */
   countAhead(request: AdmissionRequest): number {
     const higher = this.lanes
       .filter(lane => lane.priority > request.priority)
@@ -84,7 +83,7 @@
     const lane = this.findLane(request.priority);
     if (!lane) return higher;
     const own = lane.teams.get(request.team);
-    const ownAhead = own ? countNotLater(own, request) : 0;
+    const ownAhead = own ? countDueBy(own, request) : 0;
     const othersAhead = [...lane.teams.values()]
       .filter(other => other.team !== request.team)
       .reduce(
@@ -95,9 +94,9 @@
   }
 
   /**
-   * The request that should make room for a new one in a full queue: the last
-   * of the team with the most requests at the lowest priority. Undefined when
-   * the new one has no better claim.
+   * Returns the request to evict from a full queue for a new one: the last
+   * request of the largest team at the lowest priority. Returns undefined if
+   * the new request has no precedence over it.
    */
   findVictim(request: AdmissionRequest): AdmissionRequest | undefined {
     const lane = this.lanes.at(-1);
@@ -106,16 +105,16 @@
       b.requests.length > a.requests.length ? b : a,
     );
     const own = lane.teams.get(request.team)?.requests.length ?? 0;
-    const hasClaim =
+    const canEvict =
       lane.priority < request.priority || longest.requests.length > own + 1;
-    return hasClaim ? longest.requests.at(-1) : undefined;
+    return canEvict ? longest.requests.at(-1) : undefined;
   }
 
   private findLane(priority: number): PriorityLane | undefined {
     return this.lanes.find(lane => lane.priority === priority);
   }
 
-  private openLane(priority: number): PriorityLane {
+  private getOrCreateLane(priority: number): PriorityLane {
     const known = this.findLane(priority);
     if (known) return known;
     const lane: PriorityLane = {priority, teams: new Map(), turns: 0};
@@ -124,8 +123,8 @@
   }
 }
 
-/** A team that begins to wait has no turns saved up from before. */
-function openTeamLane(lane: PriorityLane, team: TeamName): TeamLane {
+/** New lanes start at the current turn count, so idle teams gain no credit. */
+function getOrCreateTeamLane(lane: PriorityLane, team: TeamName): TeamLane {
   const known = lane.teams.get(team);
   if (known) return known;
   const teamLane = {team, requests: [], turns: lane.turns};
@@ -133,7 +132,7 @@
   return teamLane;
 }
 
-function findNextTeam(lane: PriorityLane): TeamLane | undefined {
+function pickNextTeam(lane: PriorityLane): TeamLane | undefined {
   return [...lane.teams.values()].reduce<TeamLane | undefined>(
     (best, other) => (best && best.turns <= other.turns ? best : other),
     undefined,
@@ -147,8 +146,8 @@
   );
 }
 
-/** How many requests of a team have the same deadline or an earlier one. */
-function countNotLater(lane: TeamLane, request: AdmissionRequest): number {
+/** Counts the team's requests with the same or an earlier deadline. */
+function countDueBy(lane: TeamLane, request: AdmissionRequest): number {
   const {requests} = lane;
   let low = 0;
   let high = requests.length;
--- a/packages/admit-requests/src/make_refusal.ts
+++ b/packages/admit-requests/src/make_refusal.ts
@@ -1,16 +1,13 @@
-/** Makes refusals with a time to come back that differs between callers. */
+/** Creates refusals with a randomized retry delay. */
 import {type RandomSource, addJitter} from '@mimosatack/random';
 import {type Refusal, type RefusalKind} from './types.js';
 
 export const MIN_RETRY_AFTER_MS = 1_000;
 const MAX_RETRY_AFTER_MS = 3_600_000;
-/** Callers come back evenly over the time from one to two times the base. */
-const RETRY_AFTER_SPREAD = 1;
+/** Spreads retries evenly from one to two times the base delay. */
+const RETRY_AFTER_JITTER = 1;
 
-/**
- * Guards against a burst that is refused whole and comes back whole at the
- * same moment: the time to come back differs from caller to caller.
- */
+/** Guards against a refused burst being retried all at the same time. */
 export function makeRefusal(
   random: RandomSource,
   kind: RefusalKind,
@@ -21,6 +18,6 @@
     MAX_RETRY_AFTER_MS,
     Math.max(MIN_RETRY_AFTER_MS, baseMs),
   );
-  const retryAfterMs = addJitter(random, boundedMs, RETRY_AFTER_SPREAD);
+  const retryAfterMs = addJitter(random, boundedMs, RETRY_AFTER_JITTER);
   return {kind, message, retryAfterMs: Math.round(retryAfterMs)};
 }
--- a/packages/admit-requests/src/team_limiter.ts
+++ b/packages/admit-requests/src/team_limiter.ts
@@ -1,27 +1,27 @@
-/** The limits of each team: requests at once and requests a second. */
+/** Per-team limits of concurrency and request rate. */
 import {type TeamName} from '@mimosatack/types';
 import {type TeamLimits} from './types.js';
 
 const SECOND_MS = 1_000;
-/** When to come back for a place among the requests at once. */
+/** Retry delay of a request over the concurrency limit. */
 const CONCURRENCY_RETRY_MS = 1_000;
 
-interface TeamUse {
+interface TeamUsage {
   inFlight: number;
-  /** Requests that may still come at once; up to one second's worth. */
+  /** Token bucket of the request rate; holds up to one second of requests. */
   tokens: number;
   refilledAtMs: number;
 }
 
-/** What each team uses at this node. */
+/** Enforces the limits of each team on this node. */
 export class TeamLimiter {
-  private readonly uses = new Map<TeamName, TeamUse>();
+  private readonly usage = new Map<TeamName, TeamUsage>();
 
   /**
-   * Counts a request in. Returns null, or in how many milliseconds a refused
-   * request is worth sending again.
+   * Counts a request as in flight and returns null, or returns the retry delay
+   * in milliseconds if the team is over a limit.
    */
-  begin(team: TeamName, limits: TeamLimits, nowMs: number): number | null {
+  acquire(team: TeamName, limits: TeamLimits, nowMs: number): number | null {
     const use = this.refill(team, limits, nowMs);
     if (use.inFlight >= limits.maxConcurrentRequests) {
       return CONCURRENCY_RETRY_MS;
@@ -34,18 +34,18 @@
     return null;
   }
 
-  /** Counts a request out that `begin` counted in. */
-  end(team: TeamName): void {
-    const use = this.uses.get(team);
+  /** Ends a request that `acquire` counted as in flight. */
+  release(team: TeamName): void {
+    const use = this.usage.get(team);
     if (use) use.inFlight -= 1;
   }
 
-  private refill(team: TeamName, limits: TeamLimits, nowMs: number): TeamUse {
+  private refill(team: TeamName, limits: TeamLimits, nowMs: number): TeamUsage {
     const burst = Math.max(1, limits.requestsPerSecond);
-    const known = this.uses.get(team);
+    const known = this.usage.get(team);
     if (!known) {
       const use = {inFlight: 0, tokens: burst, refilledAtMs: nowMs};
-      this.uses.set(team, use);
+      this.usage.set(team, use);
       return use;
     }
     const earned =
--- a/packages/admit-requests/src/types.ts
+++ b/packages/admit-requests/src/types.ts
@@ -1,41 +1,41 @@
-/** What admission is told and what it answers. */
+/** Types of admission requests and refusals. */
 import {type TeamName} from '@mimosatack/types';
 
-/** The limits of one team, from its document. */
+/** The limits of one team, from its settings document. */
 export interface TeamLimits {
   maxConcurrentRequests: number;
   requestsPerSecond: number;
 }
 
 /**
- * What is estimated to come in time: the first byte of a streamed answer, or
- * the whole of any other.
+ * What has to arrive before the deadline: the first byte of a `streamed` answer
+ * or the `whole` answer.
  */
 export type WorkClass = 'streamed' | 'whole';
 
-/** One request that asks to be admitted; times are monotonic. */
+/** A request for admission; times are from the monotonic clock. */
 export interface AdmissionRequest {
   requestId: string;
   team: TeamName;
   teamLimits: TeamLimits;
-  /** 0 to 9; 9 goes first. */
+  /** 0 to 9, 9 being the highest. */
   priority: number;
   workClass: WorkClass;
-  /** What the request takes of the node's memory while it is queued. */
+  /** Memory that the request uses while queued. */
   sizeBytes: number;
   arrivedAtMs: number;
   deadlineAtMs: number;
 }
 
-/** What is known of the replicas that could serve a request. */
+/** Availability of the replicas that can serve a request. */
 export type Outlook =
   | {status: 'serving'}
-  /** A replica is being loaded or will be. */
+  /** A replica is loading or scheduled to load. */
   | {status: 'warming'; expectedInMs: number}
-  /** Nothing is going to be loaded, as far as is known. */
+  /** No replica is known to be loading or scheduled to load. */
   | {status: 'cold'; comeBackInMs: number};
 
-/** Why a request is refused before it ran. */
+/** Why a request was refused before it ran. */
 export type RefusalKind =
   | 'deadline-unmeetable'
   | 'deadline-exceeded'
@@ -43,7 +43,7 @@
   | 'not-warm'
   | 'rate-limited';
 
-/** A final answer to a request that was not run. */
+/** The final answer to a request that was not run. */
 export interface Refusal {
   kind: RefusalKind;
   message: string;
--- a/packages/admit-requests/src/wait_estimator.ts
+++ b/packages/admit-requests/src/wait_estimator.ts
@@ -1,71 +1,72 @@
-/** How long requests of one queue wait and run, from what was seen. */
+/** Estimates wait and run times of one queue from observed requests. */
 import {type WorkClass} from './types.js';
 
-const SMOOTHING = 0.1;
-/** How fast the lower bound of the running time rises to what is seen. */
-const QUICK_RISE = 0.02;
-/** After this long without an answer the running time counts as unknown. */
-const FORGET_AFTER_MS = 10_000;
-/** Mean distances from the mean within which nearly all run times lie. */
-const LIKELY_DEVIATIONS = 2.5;
+const SMOOTHING_FACTOR = 0.1;
+/** Smoothing factor for raising the shortest run time to longer ones. */
+const SHORTEST_RISE = 0.02;
+/** Age of the last sample after which run times count as unknown. */
+const RUN_TIME_TTL_MS = 10_000;
+/** Mean absolute deviations above the mean that cover most run times. */
+const LIKELY_DEVIATION_COUNT = 2.5;
 const MIN_CORRECTION = 0.25;
 const MAX_CORRECTION = 4;
 
-/** Running times of one class of work. */
+/** Run times of one class of work. */
 interface RunTimes {
   meanMs: number;
-  /** Mean distance from the mean. */
+  /** Mean absolute deviation. */
   deviationMs: number;
-  /** Nearly the shortest time seen; nothing is expected to be faster. */
-  quickMs: number;
+  /** Smoothed lower bound of the run time. */
+  shortestMs: number;
   seenAtMs: number;
 }
 
-/** An expected wait, before and after the correction by waits seen. */
+/** An expected wait before and after correction by observed waits. */
 export interface WaitEstimate {
   uncorrectedMs: number;
   correctedMs: number;
 }
 
-/** Estimates of one queue. */
 export class WaitEstimator {
   private readonly runTimes = new Map<WorkClass, RunTimes>();
-  /** How long a request holds its place at a backend server. */
-  private heldMs: number | null = null;
+  /** Mean time that a request occupies capacity at a backend server. */
+  private meanHeldMs: number | null = null;
   private lastStartAtMs: number | null = null;
   private wasBacklogged = false;
   private correction = 1;
 
-  /** Notes that a request was started; `isBacklogged`: others still wait. */
-  noteStarted(nowMs: number, isBacklogged: boolean): void {
+  /** `isBacklogged` tells whether other requests are still queued. */
+  recordStart(nowMs: number, isBacklogged: boolean): void {
     this.lastStartAtMs = nowMs;
     this.wasBacklogged = isBacklogged;
   }
 
-  noteEnded(heldMs: number): void {
-    this.heldMs = smooth(this.heldMs, heldMs);
+  recordEnd(heldMs: number): void {
+    this.meanHeldMs = smooth(this.meanHeldMs, heldMs);
   }
 
-  noteServed(workClass: WorkClass, ranMs: number, nowMs: number): void {
+  recordRunTime(workClass: WorkClass, ranMs: number, nowMs: number): void {
     const known = this.findRunTimes(workClass, nowMs);
-    const quickMs = known?.quickMs ?? ranMs;
+    const shortestMs = known?.shortestMs ?? ranMs;
     const meanMs = smooth(known?.meanMs ?? null, ranMs);
     this.runTimes.set(workClass, {
       meanMs,
       deviationMs: smooth(known?.deviationMs ?? 0, Math.abs(ranMs - meanMs)),
-      quickMs:
-        ranMs < quickMs ? ranMs : quickMs + QUICK_RISE * (ranMs - quickMs),
+      shortestMs:
+        ranMs < shortestMs
+          ? ranMs
+          : shortestMs + SHORTEST_RISE * (ranMs - shortestMs),
       seenAtMs: nowMs,
     });
   }
 
   /**
-   * Corrects later estimates by how far off an earlier one was.
+   * Updates the correction from the ratio of an actual wait to its estimate.
    *
-   * @param uncorrectedMs the estimate without the correction of its time; a
-   *     correction made of corrected estimates would swing ever wider.
+   * @param uncorrectedMs the estimate before correction; using the corrected
+   *     one would make the correction oscillate.
    */
-  noteWait(uncorrectedMs: number, waitedMs: number): void {
+  recordWait(uncorrectedMs: number, waitedMs: number): void {
     if (uncorrectedMs <= 0) return;
     const ratio = waitedMs / uncorrectedMs;
     const bounded = Math.min(MAX_CORRECTION, Math.max(MIN_CORRECTION, ratio));
@@ -73,17 +74,18 @@
   }
 
   /**
-   * The expected wait with `ahead` requests to be started before: places come
-   * free at the rate at which `running` requests end (Little's law). Optimistic
-   * while nothing has been seen: a refusal needs a reason.
+   * Estimates the wait behind `aheadCount` requests from the completion rate of
+   * the running ones (Little's law). Returns 0 before the first sample, so that
+   * no request is refused without data.
    */
-  estimateWaitMs(ahead: number, running: number): WaitEstimate {
-    const intervalMs = running > 0 ? (this.heldMs ?? 0) / running : 0;
-    const uncorrectedMs = (ahead + 1) * intervalMs;
+  estimateWaitMs(aheadCount: number, runningCount: number): WaitEstimate {
+    const intervalMs =
+      runningCount > 0 ? (this.meanHeldMs ?? 0) / runningCount : 0;
+    const uncorrectedMs = (aheadCount + 1) * intervalMs;
     return {uncorrectedMs, correctedMs: uncorrectedMs * this.correction};
   }
 
-  /** How long nothing has been started although requests wait. */
+  /** Time since the last start while requests are queued, else 0. */
   stalledMs(nowMs: number): number {
     return this.wasBacklogged && this.lastStartAtMs !== null
       ? nowMs - this.lastStartAtMs
@@ -94,32 +96,35 @@
     return this.findRunTimes(workClass, nowMs)?.meanMs ?? 0;
   }
 
-  /** Nearly all requests run no longer than this. */
+  /** Upper estimate that covers most run times. */
   likelyRunMs(workClass: WorkClass, nowMs: number): number {
     const known = this.findRunTimes(workClass, nowMs);
-    return known ? known.meanMs + LIKELY_DEVIATIONS * known.deviationMs : 0;
+    return known
+      ? known.meanMs + LIKELY_DEVIATION_COUNT * known.deviationMs
+      : 0;
   }
 
-  quickRunMs(workClass: WorkClass, nowMs: number): number {
-    return this.findRunTimes(workClass, nowMs)?.quickMs ?? 0;
+  shortestRunMs(workClass: WorkClass, nowMs: number): number {
+    return this.findRunTimes(workClass, nowMs)?.shortestMs ?? 0;
   }
 
   /**
-   * Guards against an estimate that refuses everything and so is never put
-   * right: requests with short deadlines would be refused for good after some
-   * long answers. Without new answers the estimate is dropped.
+   * Guards against an estimate that refuses all requests and therefore gets no
+   * samples to correct it: run times expire without new samples.
    */
   private findRunTimes(
     workClass: WorkClass,
     nowMs: number,
   ): RunTimes | undefined {
     const known = this.runTimes.get(workClass);
-    return known && nowMs - known.seenAtMs <= FORGET_AFTER_MS
+    return known && nowMs - known.seenAtMs <= RUN_TIME_TTL_MS
       ? known
       : undefined;
   }
 }
 
 function smooth(knownMs: number | null, seenMs: number): number {
-  return knownMs === null ? seenMs : knownMs + SMOOTHING * (seenMs - knownMs);
+  return knownMs === null
+    ? seenMs
+    : knownMs + SMOOTHING_FACTOR * (seenMs - knownMs);
 }
