--- a/packages/admit-requests/src/caller_gone.ts
+++ b/packages/admit-requests/src/caller_gone.ts
@@ -1,6 +1,6 @@
 /** The caller disconnected before the answer was complete. */
 export class CallerGone extends Error {
   constructor() {
-    super('The caller disconnected.');
+    super('The caller has gone.');
   }
 }
