--- a/packages/serve-callers/src/abandoned_requests.test.ts
+++ b/packages/serve-callers/src/abandoned_requests.test.ts
@@ -15,7 +15,7 @@
   return {clock, requests, cancelled, watch};
 }
 
-test('a request that nobody comes back for is cancelled once', () => {
+test('cancels a request once when no caller resumes it', () => {
   const {clock, cancelled, watch} = createFixture();
   const request = watch('q1');
   request.end(true);
@@ -26,17 +26,16 @@
   assert.equal(cancelled, ['q1']);
 });
 
-test('one that is whole is not cancelled', () => {
+test('does not cancel a completed request', () => {
   const {clock, cancelled, watch} = createFixture();
   watch('q1').end(false);
   clock.advance(GRACE_MS);
   assert.equal(cancelled, []);
 });
 
-test('one that was resumed is not cancelled, in whatever order it is told', () => {
-  // A caller's resumed stream would end in an error: its first connection
-  // broke, it went on at another node, and the first node cancels at the end
-  // of the grace. The first node may hear of the resume before the break.
+test('does not cancel a resumed request, whichever event comes first', () => {
+  // Guards against cancelling a stream that was resumed at another node: the
+  // notification can arrive before or after the first connection breaks.
   const {clock, requests, cancelled, watch} = createFixture();
   const late = watch('told-late');
   late.end(true);
--- a/packages/serve-callers/src/abandoned_requests.ts
+++ b/packages/serve-callers/src/abandoned_requests.ts
@@ -1,56 +1,55 @@
-/** Cancels requests whose callers are gone, unless they come back. */
+/** Cancels requests whose callers disconnect and do not resume in time. */
 import {type Clock, type Timer} from '@mimosatack/clock';
 
-/** A request that this node took in and whose stream is open. */
+/** A request that this node accepted and whose stream is open. */
 export interface OpenRequest {
-  /** Ends the watch; `isAbandoned` when the caller has not the whole answer. */
+  /** `isAbandoned`: the caller did not receive the complete answer. */
   end(isAbandoned: boolean): void;
 }
 
-interface Entry {
+interface WatchedRequest {
   timer: Timer | null;
 }
 
 /**
- * Guards two things against each other: an engine that goes on for nobody,
- * and a caller that lost its connection and resumes a moment later, here or
- * at another node. Only the node that took the request in cancels it, after a
- * grace, and not once it hears that the stream was resumed. A hint that is
- * lost ends a resumed stream with an error, never with a wrong answer.
+ * Frees engines from requests that no caller reads. Only the node that accepted
+ * a request cancels it, after a grace period in which the caller can resume at
+ * any node. If the notification of a resume is lost, the resumed stream ends
+ * with an error.
  */
 export class AbandonedRequests {
-  private readonly entries = new Map<string, Entry>();
+  private readonly watched = new Map<string, WatchedRequest>();
 
   constructor(
     private readonly clock: Clock,
     private readonly graceMs: number,
   ) {}
 
-  /** @param cancel cancels the request at its engine. */
+  /** @param cancel Cancels the request at its engine. */
   watch(engineRequestId: string, cancel: () => void): OpenRequest {
-    const entry: Entry = {timer: null};
-    this.entries.set(engineRequestId, entry);
+    const request: WatchedRequest = {timer: null};
+    this.watched.set(engineRequestId, request);
     return {
       end: isAbandoned => {
-        if (this.entries.get(engineRequestId) !== entry) return;
-        if (!isAbandoned) return void this.entries.delete(engineRequestId);
-        entry.timer ??= this.clock.setTimer(this.graceMs, () => {
-          this.entries.delete(engineRequestId);
+        if (this.watched.get(engineRequestId) !== request) return;
+        if (!isAbandoned) return void this.watched.delete(engineRequestId);
+        request.timer ??= this.clock.setTimer(this.graceMs, () => {
+          this.watched.delete(engineRequestId);
           cancel();
         });
       },
     };
   }
 
-  /** The caller has come back for its answer, here or at another node. */
+  /** Keeps a request that its caller resumed at this or another node. */
   noteResumed(engineRequestId: string): void {
-    this.entries.get(engineRequestId)?.timer?.cancel();
-    this.entries.delete(engineRequestId);
+    this.watched.get(engineRequestId)?.timer?.cancel();
+    this.watched.delete(engineRequestId);
   }
 
-  /** Lets all requests run to their end; the node stops. */
+  /** Drops all pending cancellations; the requests run to completion. */
   stop(): void {
-    [...this.entries.values()].forEach(entry => entry.timer?.cancel());
-    this.entries.clear();
+    [...this.watched.values()].forEach(request => request.timer?.cancel());
+    this.watched.clear();
   }
 }
--- a/packages/serve-callers/src/admission_terms.ts
+++ b/packages/serve-callers/src/admission_request.ts
@@ -1,4 +1,4 @@
-/** What admission is told of a caller's request. */
+/** Builds the admission request for a caller's request. */
 import {randomUUID} from 'node:crypto';
 import {
   type AdmissionRequest,
@@ -6,12 +6,11 @@
 } from '@mimosatack/admit-requests';
 import {type Caller} from '@mimosatack/authenticate';
 import {type CallerContext} from './caller_context.js';
-import {type RequestTerms} from './request_terms.js';
+import {type RequestOptions} from './request_options.js';
 
-/** Puts a request into the form that the admission gate takes. */
 export function makeAdmissionRequest(
   caller: Caller,
-  terms: RequestTerms,
+  options: RequestOptions,
   work: {workClass: WorkClass; sizeBytes: number; arrivedAtMs: number},
   context: CallerContext,
 ): AdmissionRequest {
@@ -24,7 +23,7 @@
     requestId: randomUUID(),
     team: caller.team,
     teamLimits: limits,
-    priority: terms.priority,
-    deadlineAtMs: work.arrivedAtMs + terms.deadlineMs,
+    priority: options.priority,
+    deadlineAtMs: work.arrivedAtMs + options.deadlineMs,
   };
 }
--- a/packages/serve-callers/src/answering.ts
+++ b/packages/serve-callers/src/answering.ts
@@ -1,4 +1,4 @@
-/** What takes requests to the backend servers, wired together. */
+/** Wires up routing, admission and the connections to backend servers. */
 import {AdmissionGate} from '@mimosatack/admit-requests';
 import {type AgreedState} from '@mimosatack/agreed-state';
 import {type Clock} from '@mimosatack/clock';
@@ -26,7 +26,6 @@
   stats: CallerStats;
 }
 
-/** What answering is wired to. */
 export interface AnsweringOptions {
   clock: Clock;
   random: RandomSource;
@@ -34,19 +33,19 @@
   state: () => AgreedState;
   board: EngineBoard;
   failureDomain: string;
-  /** Requests that may wait in one queue. */
+  /** The maximum number of waiting requests in one queue. */
   queueLimit: number;
-  /** Retries allowed for each hundred requests. */
+  /** Retries allowed as a percentage of requests. */
   retryBudgetPercent: number;
-  /** How many nodes there are; asked for once a second at most. */
+  /** The number of nodes; called at most once a second. */
   countNodes: () => number;
-  /** Asks for a replica of a model that requests wait for. */
+  /** Reports that requests wait for a replica of the model. */
   noteDemand: (model: string) => void;
 }
 
 const QUEUE_LIMIT_BYTES = 64 * 1024 * 1024;
 const PERCENT = 100;
-const COUNT_INTERVAL_MS = 1_000;
+const NODE_COUNT_TTL_MS = 1_000;
 
 export function makeAnswering(options: AnsweringOptions): Answering {
   const {clock, random, board, queueLimit, retryBudgetPercent} = options;
@@ -55,7 +54,7 @@
     ...{random, queueLimit},
     queueLimitBytes: QUEUE_LIMIT_BYTES,
   });
-  followBoard(board, router, admission);
+  subscribeToReports(board, router, admission);
   return {
     router,
     admission,
@@ -71,11 +70,11 @@
 }
 
 /**
- * Guards against an old load taken for a new one: the board also tells of
- * changes of the warm state, with the load as it was. The router would count
- * its own requests since as seen by that load, and send too many.
+ * Passes each load report to the router once. The board also emits an unchanged
+ * load when a warm state changes; the router would take its requests since then
+ * as included in that load and overload the backend server.
  */
-function followBoard(
+function subscribeToReports(
   board: EngineBoard,
   router: Router,
   admission: AdmissionGate,
@@ -83,8 +82,9 @@
   const reportedAtMs = new Map<string, number>();
   board.onChange(report => {
     const {backendServerId} = report;
-    const isNews = reportedAtMs.get(backendServerId) !== report.reportedAtMs;
-    if (isNews && report.isReachable) {
+    const isNewReport =
+      reportedAtMs.get(backendServerId) !== report.reportedAtMs;
+    if (isNewReport && report.isReachable) {
       reportedAtMs.set(backendServerId, report.reportedAtMs);
       router.noteReport(backendServerId, report.load);
     }
@@ -96,7 +96,7 @@
   const {clock, random, logger, state} = options;
   return new Router({
     ...{clock, random},
-    countNodes: keepCount(clock, options.countNodes),
+    countNodes: cacheNodeCount(clock, options.countNodes),
     ownDomain: options.failureDomain,
     findDomain: id => state().stewardship.findBackendServer(id)?.failureDomain,
     onCircuit: (backendServerId, circuit) =>
@@ -106,15 +106,15 @@
   });
 }
 
-/** Counts again once a second; every load report asks for the number. */
-function keepCount(clock: Clock, count: () => number): () => number {
-  let counted = 1;
-  let countedAtMs = -Infinity;
+/** Caches the node count, which every load report reads. */
+function cacheNodeCount(clock: Clock, count: () => number): () => number {
+  let cachedCount = 1;
+  let cachedAtMs = -Infinity;
   return () => {
     const nowMs = clock.monotonicMs();
-    if (nowMs - countedAtMs < COUNT_INTERVAL_MS) return counted;
-    countedAtMs = nowMs;
-    counted = Math.max(1, count());
-    return counted;
+    if (nowMs - cachedAtMs < NODE_COUNT_TTL_MS) return cachedCount;
+    cachedAtMs = nowMs;
+    cachedCount = Math.max(1, count());
+    return cachedCount;
   };
 }
--- a/packages/serve-callers/src/caller_context.ts
+++ b/packages/serve-callers/src/caller_context.ts
@@ -1,4 +1,4 @@
-/** What the callers' interface needs of the node it runs in. */
+/** Dependencies that a node passes to its HTTP server for callers. */
 import {type AgreedState} from '@mimosatack/agreed-state';
 import {type RequestTokenMint} from '@mimosatack/answer-streams';
 import {type Clock} from '@mimosatack/clock';
@@ -12,7 +12,7 @@
 import {type UnrepeatableRunner} from './unrepeatable_runner.js';
 import {type Answering} from './answering.js';
 
-/** An address that callers may use, from this node's membership. */
+/** A live node that callers can send requests to. */
 export interface EntryAddress {
   nodeName: string;
   baseUrl: string;
@@ -21,7 +21,7 @@
   incarnation: string;
 }
 
-/** What the callers' interface needs of the node it runs in. */
+/** Dependencies of the HTTP server for callers. */
 export interface CallerContext extends Answering {
   clock: Clock;
   random: RandomSource;
@@ -31,28 +31,27 @@
   board: EngineBoard;
   mint: TicketMint;
   unrepeatable: UnrepeatableRunner;
-  /** Makes and reads the ids by which callers resume. */
+  /** Issues and verifies the request ids that callers resume with. */
   tokens: RequestTokenMint;
   abandoned: AbandonedRequests;
-  /** Tells another node that a caller has resumed a request it took in. */
+  /** Notifies the node that accepted a request that its caller resumed it. */
   tellResumed(incarnation: string, engineRequestId: string): void;
-  /** The shutdown as the server sees it. */
   gate: DrainGate;
   limits: CallerLimits;
-  /** Makes the HTTP server; fastify's own when left out. */
+  /** Creates the underlying HTTP server; defaults to fastify's own. */
   serverFactory?: FastifyServerFactory;
   listEntries(): EntryAddress[];
 }
 
-/** Limits from the settings. */
+/** Limits from the node's settings. */
 export interface CallerLimits {
   maxBodyBytes: number;
   defaultDeadlineMs: number;
   maxDeadlineMs: number;
   entriesTtlMs: number;
   maxAnswerBytes: number;
-  /** How long a caller may leave its answer unread. */
+  /** How long a caller may stop reading a stream before it is cut off. */
   callerStallMs: number;
-  /** How long after its deadline an answer can be resumed. */
+  /** How long after the request's deadline its answer can be resumed. */
   resumeWindowMs: number;
 }
--- a/packages/serve-callers/src/caller_fixture.ts
+++ b/packages/serve-callers/src/caller_fixture.ts
@@ -1,4 +1,4 @@
-/** Entry nodes and engines in one process, for the tests of this package. */
+/** Starts entry nodes and engines in one process for tests. */
 import {createHash} from 'node:crypto';
 import {type ServerResponse} from 'node:http';
 import {AgreedState} from '@mimosatack/agreed-state';
@@ -32,25 +32,24 @@
 
 export type Engine = RunningBackend<EngineStandIn>;
 
-/** One entry node, without the parts that callers never see. */
+/** An entry node, reduced to its server for callers. */
 export interface Entry {
   baseUrl: string;
   server: FastifyInstance;
   logger: MemoryEventLogger;
   gate: DrainGate;
-  /** What the node holds for callers that have not read it yet. */
+  /** Response bytes that callers have not read yet. */
   countUnreadBytes(): number;
-  /** Dies without a word: all its connections are reset. */
+  /** Closes all connections without finishing their responses. */
   kill(): Promise<void>;
 }
 
-/** What a caller has received of a stream. */
 export interface ReceivedStream {
   requestToken: string;
   lastEventId: number;
   text: string;
   isEnded: boolean;
-  /** The kind of the error that the stream told, if any. */
+  /** The kind of the error event, if any. */
   errorKind: string | null;
   /** Whether the connection was closed without the end of the body. */
   isCutOff: boolean;
@@ -97,10 +96,15 @@
   return engine;
 }
 
-/** Runs tickets alone: there is no log to claim other keys in. */
-export function makeRunner(nodeName: string, clock: Clock): UnrepeatableRunner {
+/** Runs only tickets; every claim fails, because the log is unavailable. */
+export function makeTicketRunner(
+  nodeName: string,
+  clock: Clock,
+): UnrepeatableRunner {
   const refuse = () =>
-    Promise.reject(new TypedError('platform-unavailable', 'There is no log.'));
+    Promise.reject(
+      new TypedError('platform-unavailable', 'The log is unavailable.'),
+    );
   const incarnation = `${nodeName}.0`;
   return new UnrepeatableRunner({
     ...{clock, nodeName, incarnation},
@@ -143,7 +147,7 @@
     incarnation: `${nodeName}.0`,
     state: () => state,
     mint: new TicketMint(SECRET),
-    unrepeatable: makeRunner(nodeName, clock),
+    unrepeatable: makeTicketRunner(nodeName, clock),
     tokens: new RequestTokenMint(SECRET),
     abandoned: new AbandonedRequests(clock, 0),
     tellResumed: () => undefined,
@@ -165,7 +169,7 @@
   return {baseUrl, server, logger, gate, countUnreadBytes, kill};
 }
 
-/** Asks for a stream over a connection of its own. */
+/** Requests a stream over a separate connection. */
 export function askForStream(
   entry: Entry,
   body: object,
@@ -198,7 +202,7 @@
   });
 }
 
-/** Reads until the end, a break, or the event after which to stop. */
+/** Reads until the stream ends, breaks or reaches event `stopAfterId`. */
 export async function receive(
   response: Dispatcher.ResponseData,
   stopAfterId = Infinity,
@@ -214,7 +218,7 @@
     for await (const bytes of response.body) {
       const parts = (rest + String(bytes)).split('\n\n');
       rest = parts.pop() ?? '';
-      parts.forEach(part => takeEvent(received, part));
+      parts.forEach(part => applyEvent(received, part));
       onEvents(received.lastEventId);
       if (received.lastEventId >= stopAfterId) return received;
     }
@@ -236,7 +240,7 @@
   choices?: {delta: {content?: string}}[];
 }
 
-function takeEvent(received: ReceivedStream, part: string): void {
+function applyEvent(received: ReceivedStream, part: string): void {
   const [, id] = /^id: (\d+)$/m.exec(part) ?? [];
   const [, data = ''] = /^data: (.*)$/m.exec(part) ?? [];
   if (id !== undefined) received.lastEventId = Number(id);
@@ -267,7 +271,7 @@
   const bodies = [
     ...Object.entries(TOKENS).map(([id, token]) => makeTeam(id, token)),
     makeModel(),
-    ...engines.map(makeServer),
+    ...engines.map(makeBackendServer),
     makePlan(engines),
   ];
   const records = bodies.map((body, index) => ({
@@ -301,7 +305,7 @@
   return {type: 'put-document', kind, id, expectedVersion: 0, content};
 }
 
-function makeServer({baseUrl, core}: Engine): RecordBody {
+function makeBackendServer({baseUrl, core}: Engine): RecordBody {
   const id = core.options.backendServerId;
   return {
     type: 'register-backend-server',
--- a/packages/serve-callers/src/caller_server.ts
+++ b/packages/serve-callers/src/caller_server.ts
@@ -5,15 +5,15 @@
 import {type CallerContext} from './caller_context.js';
 import {addCompletionRoutes} from './completion_routes.js';
 import {addDrainHooks} from './drain_hooks.js';
-import {readHttpError, sendError} from './error_replies.js';
+import {toTypedHttpError, sendError} from './error_replies.js';
 import {addModelRoutes} from './model_routes.js';
 import {addResumeRoutes} from './resume_routes.js';
 import {addServiceRoutes} from './service_routes.js';
 
-/** Request tokens are longer than what fastify lets through by default. */
+/** Request tokens exceed fastify's default limit for path parameters. */
 const MAX_PARAMETER_CHARS = 1024;
 
-/** Builds the callers' server; the node listens with it and closes it. */
+/** Builds the HTTP server for callers without starting to listen. */
 export function buildCallerServer(context: CallerContext): FastifyInstance {
   const server = fastify({
     bodyLimit: context.limits.maxBodyBytes,
@@ -21,14 +21,14 @@
     serverFactory: context.serverFactory,
   });
   server.setErrorHandler((thrown, _incoming, reply) => {
-    const error = readHttpError(thrown);
+    const error = toTypedHttpError(thrown);
     context.stats.noteRefused(error.kind);
     sendError(reply, error);
   });
   server.setNotFoundHandler((incoming, reply) => {
     sendError(
       reply,
-      new TypedError('not-found', `There is no ${incoming.url}.`, {
+      new TypedError('not-found', `No route matches ${incoming.url}.`, {
         run: 'not-run',
       }),
     );
--- a/packages/serve-callers/src/caller_stats.ts
+++ b/packages/serve-callers/src/caller_stats.ts
@@ -1,42 +1,41 @@
-/** Counts of what became of callers' requests. */
+/** Counts the outcomes of callers' requests. */
 import {type AdmissionGate} from '@mimosatack/admit-requests';
 import {type ErrorKind} from '@mimosatack/errors';
 
-/** The counts at one moment; they grow from the start of the process. */
+/** A snapshot of the counts since the process started. */
 export interface CallerCounts {
   answered: number;
   refused: Partial<Record<ErrorKind, number>>;
   retried: number;
-  /** Requests whose caller had gone before the answer. */
+  /** Requests whose caller disconnected or stalled before the end. */
   callerGone: number;
-  /** Requests that found no replica where one was reported. */
+  /** Attempts at a backend server whose reported replica was not loaded. */
   replicaGone: number;
   queued: number;
   inFlight: number;
 }
 
-/** Counts requests; graceful shutdown waits until none is in flight. */
 export class CallerStats {
   private answered = 0;
   private retried = 0;
   private callerGone = 0;
   private replicaGone = 0;
-  private open = 0;
+  private inFlightCount = 0;
   private readonly refused = new Map<ErrorKind, number>();
 
   constructor(private readonly gate: AdmissionGate) {}
 
-  /** Requests that have no final answer yet. */
+  /** The number of requests without a final answer. */
   inFlight(): number {
-    return this.open;
+    return this.inFlightCount;
   }
 
   noteBegun(): void {
-    this.open += 1;
+    this.inFlightCount += 1;
   }
 
   noteEnded(): void {
-    this.open -= 1;
+    this.inFlightCount -= 1;
   }
 
   noteAnswered(): void {
@@ -67,7 +66,7 @@
       callerGone: this.callerGone,
       replicaGone: this.replicaGone,
       queued: this.gate.queuedCount,
-      inFlight: this.open,
+      inFlight: this.inFlightCount,
     };
   }
 }
--- a/packages/serve-callers/src/claim_runner.ts
+++ b/packages/serve-callers/src/claim_runner.ts
@@ -1,4 +1,4 @@
-/** Runs requests with a key of the caller's own, once it is claimed. */
+/** Runs requests with caller-generated keys, after a claim in the log. */
 import {
   type ClaimGrant,
   type ClaimKeys,
@@ -15,8 +15,8 @@
 } from '@mimosatack/unrepeatable';
 import {
   readVerdict,
-  refuseIfNoVerdict,
-  refuseUnlessRan,
+  requireVerdict,
+  requireRunOutcome,
   toAnswer,
 } from './unrepeatable_answers.js';
 import {
@@ -25,16 +25,15 @@
   type KeyOwners,
 } from './unrepeatable_forward.js';
 import {
-  type KeyedUnrepeatable,
+  type KeyedUnrepeatableRequest,
   START_MARGIN_MS,
   type StartRun,
   type UnrepeatableAnswer,
   type UnrepeatableRequest,
   beginRun,
-  keyRequest,
+  makeKeyedRequest,
 } from './unrepeatable_request.js';
 
-/** What the runner is built from. */
 export interface ClaimRunnerOptions {
   clock: Clock;
   claims: ClaimKeys;
@@ -42,24 +41,27 @@
   forward: Forward;
 }
 
-/** How long a silent keeper is trusted to be at work. */
-const KEEPER_PATIENCE_MS = 500;
+/** How long to wait for the key's owner before claiming the key here. */
+const OWNER_TIMEOUT_MS = 500;
 const RETRY_AFTER_MS = 1_000;
 const MAX_KEYS = 100_000;
 const MAX_ANSWER_BYTES = 64 * 1024;
 const MAX_KEPT_BYTES = 32 * 1024 * 1024;
 
-/** Claims keys, here or at their keeper, and runs what is granted. */
+/**
+ * Claims each key, preferably at the node that owns its partition, and runs the
+ * request when the claim is granted.
+ */
 export class ClaimRunner {
-  /** Keys that this process runs or has run; the log knows all others. */
-  private readonly known: KeyTable;
+  /** Keys that this process runs or has run; the log has all others. */
+  private readonly localKeys: KeyTable;
 
   constructor(private readonly options: ClaimRunnerOptions) {
-    this.known = new KeyTable({
+    this.localKeys = new KeyTable({
       clock: options.clock,
       maxAnswerBytes: MAX_ANSWER_BYTES,
       maxKeptBytes: MAX_KEPT_BYTES,
-      // What became of a failed run stands in the log.
+      // The log records the outcome of a failed run.
       isFreeAfter: () => true,
     });
   }
@@ -69,56 +71,56 @@
     request: UnrepeatableRequest,
     start: StartRun,
   ): Promise<UnrepeatableAnswer> {
-    if (this.options.claims.isDatedAhead(issuedAtMs)) throw makeDatedAhead();
-    this.forgetOld();
-    const keyed = keyRequest(request, key, generationAt(issuedAtMs));
+    if (this.options.claims.isDatedAhead(issuedAtMs)) throw makeClockError();
+    this.evictOldKeys();
+    const keyed = makeKeyedRequest(request, key, generationAt(issuedAtMs));
     const runHere = () => this.runHere(keyed, issuedAtMs, start);
-    const keeper = this.findKeeper(keyed);
-    return keeper ? this.runAtKeeper(keeper, keyed, runHere) : runHere();
+    const owner = this.findOwner(keyed);
+    return owner ? this.runAtOwner(owner, keyed, runHere) : runHere();
   }
 
-  /** Null when the key is this node's to keep, or known here already. */
-  private findKeeper(keyed: KeyedUnrepeatable): ForwardTarget | null {
-    if (keyed.request.isForwarded || this.known.has(keyed)) return null;
+  /** Null when this node has to claim the key itself. */
+  private findOwner(keyed: KeyedUnrepeatableRequest): ForwardTarget | null {
+    if (keyed.request.isForwarded || this.localKeys.has(keyed)) return null;
     const {claims, owners} = this.options;
     return owners.findKeeper(claims.partitionOf(keyed.keyHash));
   }
 
   /**
-   * The keeper is only the shorter way. If it fails, has no log, or is silent
-   * for a while, as when it is frozen, this node claims the key as well; the
-   * order of the two claims in the log decides which of them runs it.
+   * Forwarding to the owner is an optimization. If the owner fails or does not
+   * respond in time, this node claims the key as well, and the order of the two
+   * claims in the log decides which node runs the request.
    */
-  private async runAtKeeper(
-    keeper: ForwardTarget,
-    {request}: KeyedUnrepeatable,
+  private async runAtOwner(
+    owner: ForwardTarget,
+    {request}: KeyedUnrepeatableRequest,
     runHere: () => Promise<UnrepeatableAnswer>,
   ): Promise<UnrepeatableAnswer> {
     const {clock, forward} = this.options;
-    const asked = forward(keeper, request).then(refuseIfNoVerdict);
+    const ownerAnswer = forward(owner, request).then(requireVerdict);
     const settled = new AbortController();
-    const early = settle(asked).finally(() => settled.abort());
-    await sleep(clock, this.findPatienceMs(request), settled.signal);
-    const result = settled.signal.aborted ? await early : null;
+    const settledAnswer = settle(ownerAnswer).finally(() => settled.abort());
+    await sleep(clock, this.findOwnerTimeoutMs(request), settled.signal);
+    const result = settled.signal.aborted ? await settledAnswer : null;
     if (result?.status === 'fulfilled') return result.value;
     if (result && toTypedError(result.reason).run === 'not-run') {
       return runHere();
     }
-    return raceKeeper(asked, runHere());
+    return raceOwner(ownerAnswer, runHere());
   }
 
-  private findPatienceMs({expiresAtMs}: UnrepeatableRequest): number {
+  private findOwnerTimeoutMs({expiresAtMs}: UnrepeatableRequest): number {
     const remainingMs = expiresAtMs - this.options.clock.monotonicMs();
-    return Math.min(KEEPER_PATIENCE_MS, remainingMs / 2);
+    return Math.min(OWNER_TIMEOUT_MS, remainingMs / 2);
   }
 
   private async runHere(
-    keyed: KeyedUnrepeatable,
+    keyed: KeyedUnrepeatableRequest,
     issuedAtMs: number,
     start: StartRun,
   ): Promise<UnrepeatableAnswer> {
     let isFromLog = false;
-    const {answer, isReplay} = await this.known.runOnce(keyed, async () => {
+    const {answer, isReplay} = await this.localKeys.runOnce(keyed, async () => {
       const result = await this.options.claims.claim(
         {...keyed, issuedAtMs},
         keyed.expiresAtMs - START_MARGIN_MS,
@@ -128,10 +130,10 @@
           return this.runGranted(result.grant, keyed.request, start);
         case 'orphaned':
           throw makeOutcomeUnknown(
-            'The node that claimed the key was lost before it told the outcome.',
+            'The node that claimed the key failed and reported no outcome.',
           );
         case 'released':
-          throw makeReleased();
+          throw makeReleasedError();
         default:
           isFromLog = true;
           return readVerdict(result);
@@ -159,27 +161,30 @@
     }
   }
 
-  private forgetOld(): void {
+  private evictOldKeys(): void {
     const now = generationAt(this.options.clock.wallMs());
-    this.known.dropBefore(now - KEPT_GENERATIONS);
-    if (this.known.size < MAX_KEYS) return;
-    this.known.dropBefore((this.known.oldestGeneration ?? 0) + 1);
+    this.localKeys.dropBefore(now - KEPT_GENERATIONS);
+    if (this.localKeys.size < MAX_KEYS) return;
+    this.localKeys.dropBefore((this.localKeys.oldestGeneration ?? 0) + 1);
   }
 }
 
 /**
- * The keeper may still be at work, so a `not-run` of either may come untrue by
- * the other: only an answer counts, or what this node knows for certain.
+ * The owner may still run the request, so a `not-run` from either node is not
+ * final: the owner's answer counts only if the request ran, and this node
+ * reports `unknown` instead of `not-run`.
  */
-function raceKeeper(
-  asked: Promise<UnrepeatableAnswer>,
+function raceOwner(
+  ownerAnswer: Promise<UnrepeatableAnswer>,
   runningHere: Promise<UnrepeatableAnswer>,
 ): Promise<UnrepeatableAnswer> {
   const here = runningHere.catch((thrown: unknown) => {
     const error = toTypedError(thrown);
     throw error.run === 'not-run' ? error.withRun('unknown') : error;
   });
-  return Promise.any([asked.then(refuseUnlessRan), here]).catch(() => here);
+  return Promise.any([ownerAnswer.then(requireRunOutcome), here]).catch(
+    () => here,
+  );
 }
 
 async function settle<T>(
@@ -189,24 +194,24 @@
   return result;
 }
 
-function makeReleased(): TypedError {
+function makeReleasedError(): TypedError {
   return new TypedError(
     'backend-unreachable',
-    'Another request with the key came first and could not be handed over.',
+    'An earlier request with this key could not be sent to a backend server.',
     {run: 'not-run', retryAfterMs: RETRY_AFTER_MS},
   );
 }
 
-/** Another node, whose clock is ahead, may have run the key. */
-function makeDatedAhead(): TypedError {
+/** A node whose clock is ahead may have run the request. */
+function makeClockError(): TypedError {
   return new TypedError(
     'bad-key',
-    "The date in the key is ahead of this node's clock.",
+    "The timestamp in the key is ahead of this node's clock.",
     {
       run: 'unknown',
       remedy:
-        'This attempt sent nothing. Correct the clock that the key was made ' +
-        'by, or use a key under the keyPrefix of /v1/entries.',
+        'This attempt sent nothing. Correct the clock that dated the key, or ' +
+        'use a key that starts with a keyPrefix from /v1/entries.',
     },
   );
 }
--- a/packages/serve-callers/src/completion_attempt.ts
+++ b/packages/serve-callers/src/completion_attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt at a completion, at one engine. */
+/** One attempt to run a completion at one engine. */
 import {randomUUID} from 'node:crypto';
 import {asAbortError, readWholeAnswer} from '@mimosatack/answer-streams';
 import {readRefusal} from '@mimosatack/dispatch-requests';
@@ -10,95 +10,91 @@
 import {type RequestScope} from './request_scope.js';
 import {type RelayOutcome, relayStream} from './stream_relay.js';
 
-/** Where an attempt is made. */
-export interface EnginePlace {
+/** The backend server that an attempt is sent to. */
+export interface EngineEndpoint {
   id: string;
   baseUrl: string;
   failureDomain: string;
 }
 
-/** What an attempt is made with. */
-export interface AttemptParts {
-  place: EnginePlace;
+export interface AttemptOptions {
+  endpoint: EngineEndpoint;
   job: CompletionJob;
   scope: RequestScope;
   reply: FastifyReply;
   context: CallerContext;
-  /** Called once the answer, or its first events, are about to be sent. */
+  /** Called once, before the answer or its first events are sent. */
   onAnswer: () => void;
 }
 
-/** One attempt with the id that the engine knows it by. */
+/** An attempt, identified at the engine by `engineRequestId`. */
 export class CompletionAttempt {
   readonly engineRequestId = randomUUID();
 
-  constructor(private readonly parts: AttemptParts) {}
+  constructor(private readonly options: AttemptOptions) {}
 
-  /** The servers that this attempt is compared with in speed. */
+  /** The group of requests whose latency this attempt is compared with. */
   get latencyGroup(): string {
-    const {model, isStreamed} = this.parts.job.request;
+    const {model, isStreamed} = this.options.job.request;
     return `${model} ${isStreamed ? 'streamed' : 'whole'}`;
   }
 
-  /**
-   * Sends the request and passes the answer on. Rejects only as long as the
-   * caller was sent nothing.
-   */
+  /** Relays the engine's answer; rejects only before the caller gets data. */
   async run(): Promise<RelayOutcome['status']> {
-    const {job, scope, reply} = this.parts;
+    const {job, scope, reply} = this.options;
     reply.request.workInFlight?.nameRequest(this.engineRequestId);
-    const lateness = this.watchLateness();
+    const slowTimer = this.startSlowTimer();
     try {
       const response = await this.send();
       if (response.statusCode >= 300) throw await readRefusal(response);
       return job.request.isStreamed
-        ? await this.relay(response, () => lateness.cancel())
+        ? await this.relay(response, () => slowTimer.cancel())
         : await this.sendWhole(response);
     } catch (thrown) {
-      if (scope.attendedSignal.aborted) {
-        throw asAbortError(scope.attendedSignal);
+      if (scope.callerSignal.aborted) {
+        throw asAbortError(scope.callerSignal);
       }
       throw thrown;
     } finally {
-      lateness.cancel();
+      slowTimer.cancel();
     }
   }
 
-  /** Stops the engine's work for an answer that nobody waits for. */
+  /** Cancels the request at the engine. */
   cancel(): void {
-    const {context, place} = this.parts;
-    void context.pools.cancel(place.baseUrl, this.engineRequestId);
+    const {context, endpoint} = this.options;
+    void context.pools.cancel(endpoint.baseUrl, this.engineRequestId);
   }
 
   private send(): Promise<Dispatcher.ResponseData> {
-    const {context, place, job, scope} = this.parts;
+    const {context, endpoint, job, scope} = this.options;
     const {isStreamed, body} = job.request;
     return context.pools.send({
-      baseUrl: place.baseUrl,
+      baseUrl: endpoint.baseUrl,
       path: job.path,
       headers: {
         'content-type': 'application/json',
         'x-request-id': this.engineRequestId,
-        'x-priority': String(job.terms.priority),
+        'x-priority': String(job.options.priority),
       },
       body,
-      // The caller of a stream may come back for it.
-      signal: isStreamed ? scope.signal : scope.attendedSignal,
+      // A caller that disconnects can resume a stream.
+      signal: isStreamed ? scope.signal : scope.callerSignal,
     });
   }
 
   private async sendWhole(
     response: Dispatcher.ResponseData,
   ): Promise<RelayOutcome['status']> {
-    const {context, scope, reply, onAnswer} = this.parts;
+    const {context, scope, reply, onAnswer} = this.options;
     const answer = await readWholeAnswer(takeStream(response), {
       requestId: this.engineRequestId,
       maxAnswerBytes: context.limits.maxAnswerBytes,
-      signal: scope.attendedSignal,
+      signal: scope.callerSignal,
     });
     onAnswer();
     void reply
-      .header('x-request-id', this.makeToken())
+      .header('x-request-id', this.makeRequestToken())
       .type('application/json')
       .send(answer);
     return 'whole';
@@ -108,17 +104,17 @@
     response: Dispatcher.ResponseData,
     onFirstEvents: () => void,
   ): Promise<RelayOutcome['status']> {
-    const {context, place, scope, reply, onAnswer} = this.parts;
+    const {context, endpoint, scope, reply, onAnswer} = this.options;
     const {engineRequestId} = this;
-    const engine = {baseUrl: place.baseUrl, engineRequestId};
+    const engine = {baseUrl: endpoint.baseUrl, engineRequestId};
     const watch = context.abandoned.watch(engineRequestId, () => this.cancel());
     const relayed = relayStream({
       ...context,
       ...context.limits,
       ...{reply, signal: scope.signal, firstId: 0},
-      requestToken: this.makeToken(),
+      requestToken: this.makeRequestToken(),
       run: {
-        ...{backendServerId: place.id, engineRequestId},
+        ...{backendServerId: endpoint.id, engineRequestId},
         first: takeStream(response),
         resume: (fromId, signal) => resumeStream(engine, fromId, signal),
       },
@@ -137,14 +133,14 @@
     }
   }
 
-  private makeToken(): string {
-    const {context, place, job} = this.parts;
+  private makeRequestToken(): string {
+    const {context, endpoint, job} = this.options;
     const {tokens, clock, limits, incarnation} = context;
-    const keptMs = job.terms.deadlineMs + limits.resumeWindowMs;
+    const keptMs = job.options.deadlineMs + limits.resumeWindowMs;
     return tokens.make(
       {
         engineRequestId: this.engineRequestId,
-        backendServerId: place.id,
+        backendServerId: endpoint.id,
         expiresAtMs: clock.wallMs() + keptMs,
         entryIncarnation: incarnation,
       },
@@ -153,17 +149,16 @@
   }
 
   /**
-   * Guards against an engine that hangs: its requests would not count as slow
-   * before they end. Each that is late for its peers counts as a failure when
-   * it becomes late, so that the circuit opens while they still hang.
+   * Counts a request as failed once it exceeds its group's latency limit, so
+   * that the circuit opens before the requests to a hanging engine time out.
    */
-  private watchLateness(): {cancel(): void} {
-    const {context, place} = this.parts;
+  private startSlowTimer(): {cancel(): void} {
+    const {context, endpoint} = this.options;
     const {router, clock} = context;
-    const limitMs = router.findSlowLimitMs(this.latencyGroup, place.id);
+    const limitMs = router.findSlowLimitMs(this.latencyGroup, endpoint.id);
     if (!Number.isFinite(limitMs)) return {cancel: () => undefined};
     return clock.setTimer(limitMs, () =>
-      router.noteOutcome(place.id, {status: 'failed'}),
+      router.noteOutcome(endpoint.id, {status: 'failed'}),
     );
   }
 }
--- a/packages/serve-callers/src/completion_job.ts
+++ b/packages/serve-callers/src/completion_job.ts
@@ -1,16 +1,15 @@
-/** A caller's completion request with all that is known of it. */
+/** A completion request that passed validation. */
 import {type AdmissionRequest} from '@mimosatack/admit-requests';
 import {type CompletionRequest} from './completion_request.js';
-import {type RequestTerms} from './request_terms.js';
+import {type RequestOptions} from './request_options.js';
 
-/** A completion request on its way through the pipeline. */
 export interface CompletionJob {
-  /** The id that the caller sees. */
+  /** Identifies the request in this node's log. */
   requestId: string;
   path: string;
   request: CompletionRequest;
-  terms: RequestTerms;
+  options: RequestOptions;
   admission: AdmissionRequest;
-  /** Whether a failed attempt may be followed by another. */
+  /** Whether a failed attempt may be retried although it may have run. */
   isRepeatable: boolean;
 }
--- a/packages/serve-callers/src/completion_pipeline.ts
+++ b/packages/serve-callers/src/completion_pipeline.ts
@@ -1,11 +1,11 @@
-/** Takes a completion through admission, routing, attempts and the relay. */
+/** Runs a completion: admission, routing, attempts and retries. */
 import {CallerGone, type Permit, type Target} from '@mimosatack/admit-requests';
 import {TypedError, type RunOutcome, toTypedError} from '@mimosatack/errors';
 import {decideRetry} from '@mimosatack/retry-requests';
 import {type RouteRequest} from '@mimosatack/route-requests';
 import {type FastifyReply} from 'fastify';
 import {type CallerContext} from './caller_context.js';
-import {CompletionAttempt, type EnginePlace} from './completion_attempt.js';
+import {CompletionAttempt, type EngineEndpoint} from './completion_attempt.js';
 import {type CompletionJob} from './completion_job.js';
 import {formatSelection} from './completion_request.js';
 import {type RelayOutcome} from './stream_relay.js';
@@ -13,20 +13,20 @@
 
 const NOT_WARM_RETRY_MS = 1_000;
 
-/** Answers one completion; rejects with the typed error to be told. */
+/** Answers one completion; rejects with the typed error for the caller. */
 export async function runCompletion(
   job: CompletionJob,
   reply: FastifyReply,
   context: CallerContext,
 ): Promise<void> {
-  const scope = openRequestScope(context, job.terms.deadlineMs, reply);
+  const scope = openRequestScope(context, job.options.deadlineMs, reply);
   const pipeline = new CompletionPipeline(job, reply, scope, context);
   try {
     await context.admission.run(
       job.admission,
       pipeline.target,
       permit => pipeline.answer(permit),
-      scope.attendedSignal,
+      scope.callerSignal,
     );
   } finally {
     scope.release();
@@ -34,16 +34,16 @@
 }
 
 class CompletionPipeline {
-  readonly target: Target<EnginePlace>;
-  private readonly tried = new Set<string>();
-  /** Where the replica turned out to be gone. */
-  private readonly gone = new Set<string>();
+  readonly target: Target<EngineEndpoint>;
+  private readonly triedIds = new Set<string>();
+  /** Backend servers that answered `not-warm`. */
+  private readonly notWarmIds = new Set<string>();
   private attempts = 0;
   private readonly triedDomains = new Set<string>();
   private readonly prefix: RouteRequest['prefix'];
-  private worstRun: RunOutcome = 'not-run';
-  /** Whether an attempt is on its way whose outcome is not known. */
-  private isSent = false;
+  private worstRunOutcome: RunOutcome = 'not-run';
+  /** Whether an attempt was sent whose outcome is not known yet. */
+  private isAttemptPending = false;
   private hasAnswerBegun = false;
 
   constructor(
@@ -60,22 +60,22 @@
     this.target = {
       key: formatSelection(request),
       findOutlook: () => context.servingSets.findOutlook(request),
-      takePlace: () => this.takePlace(this.tried, true),
+      takePlace: () => this.takeEndpoint(this.triedIds, true),
     };
   }
 
-  /** Makes attempts until one is answered or none is left to be made. */
-  async answer(permit: Permit<EnginePlace>): Promise<void> {
+  /** Makes attempts until one is answered or no retry is possible. */
+  async answer(permit: Permit<EngineEndpoint>): Promise<void> {
     this.context.retries.noteRequest();
-    let place: EnginePlace | null = permit.place;
-    while (place) place = await this.tryAt(place, permit);
+    let endpoint: EngineEndpoint | null = permit.place;
+    while (endpoint) endpoint = await this.attemptAt(endpoint, permit);
   }
 
-  /** Resolves with the place of the next attempt, or null once answered. */
-  private async tryAt(
-    place: EnginePlace,
-    permit: Permit<EnginePlace>,
-  ): Promise<EnginePlace | null> {
+  /** Resolves with the next endpoint to try, or null once answered. */
+  private async attemptAt(
+    endpoint: EngineEndpoint,
+    permit: Permit<EngineEndpoint>,
+  ): Promise<EngineEndpoint | null> {
     const {job, scope, reply, context} = this;
     const startedAtMs = context.clock.monotonicMs();
     let firstByteMs = 0;
@@ -84,49 +84,52 @@
       firstByteMs = context.clock.monotonicMs() - startedAtMs;
       permit.noteServed();
     };
-    const parts = {place, job, scope, reply, context, onAnswer};
-    const attempt = new CompletionAttempt(parts);
+    const options = {endpoint, job, scope, reply, context, onAnswer};
+    const attempt = new CompletionAttempt(options);
     this.attempts += 1;
-    this.tried.add(place.id);
-    this.triedDomains.add(place.failureDomain);
+    this.triedIds.add(endpoint.id);
+    this.triedDomains.add(endpoint.failureDomain);
     let status: RelayOutcome['status'];
     try {
-      scope.attendedSignal.throwIfAborted();
-      this.isSent = true;
+      scope.callerSignal.throwIfAborted();
+      this.isAttemptPending = true;
       status = await attempt.run();
     } catch (thrown) {
-      return this.recover(thrown, place, attempt);
+      return this.handleFailure(thrown, endpoint, attempt);
     }
     const group = attempt.latencyGroup;
     const answered = {status: 'answered', group, firstByteMs} as const;
     const isBroken = status === 'broken';
-    context.router.noteDone(place.id, isBroken ? {status: 'failed'} : answered);
+    context.router.noteDone(
+      endpoint.id,
+      isBroken ? {status: 'failed'} : answered,
+    );
     if (isBroken) context.stats.noteRefused('stream-broken');
     else if (status !== 'whole') throw new CallerGone();
     return null;
   }
 
-  /** Finds the next place after a failure, or rejects for good. */
-  private recover(
+  /** Returns the next endpoint to try, or throws the final error. */
+  private handleFailure(
     thrown: unknown,
-    {id}: EnginePlace,
+    {id}: EngineEndpoint,
     attempt: CompletionAttempt,
-  ): EnginePlace {
+  ): EngineEndpoint {
     const {router, retries, stats, clock} = this.context;
-    if (this.scope.attendedSignal.aborted) {
+    if (this.scope.callerSignal.aborted) {
       router.noteDone(id);
-      if (this.job.isRepeatable && this.isSent) attempt.cancel();
-      throw this.findStopReason();
+      if (this.job.isRepeatable && this.isAttemptPending) attempt.cancel();
+      throw this.makeAbortError();
     }
-    this.isSent = false;
+    this.isAttemptPending = false;
     const error = toTypedError(thrown);
-    const isServerFault = FAULT_KINDS.has(error.kind);
+    const isServerFault = BACKEND_FAULT_KINDS.has(error.kind);
     router.noteDone(id, {status: isServerFault ? 'failed' : 'neutral'});
     if (error.kind === 'not-warm') {
-      this.gone.add(id);
+      this.notWarmIds.add(id);
       stats.noteReplicaGone();
     }
-    if (error.run !== 'not-run') this.worstRun = error.run ?? 'unknown';
+    if (error.run !== 'not-run') this.worstRunOutcome = error.run ?? 'unknown';
     const decision = decideRetry(
       {
         attempts: this.attempts,
@@ -137,39 +140,42 @@
       },
       retries,
     );
-    const next = decision === 'retry' ? this.takeNextPlace() : null;
-    if (!next) throw this.makeFinal(error);
+    const next = decision === 'retry' ? this.takeNextEndpoint() : null;
+    if (!next) throw this.makeFinalError(error);
     stats.noteRetried();
     return next;
   }
 
-  private findStopReason(): Error {
-    const reason: unknown = this.scope.attendedSignal.reason;
+  private makeAbortError(): Error {
+    const reason: unknown = this.scope.callerSignal.reason;
     if (!(reason instanceof TypedError)) return new CallerGone();
-    return reason.withRun(this.isSent ? 'unknown' : this.worstRun);
+    return reason.withRun(
+      this.isAttemptPending ? 'unknown' : this.worstRunOutcome,
+    );
   }
 
-  private makeFinal(error: TypedError): TypedError {
-    if (error.kind !== 'not-warm') return error.withRun(this.worstRun);
+  private makeFinalError(error: TypedError): TypedError {
+    if (error.kind !== 'not-warm') return error.withRun(this.worstRunOutcome);
     return new TypedError('not-warm', error.summary, {
-      run: this.worstRun,
+      run: this.worstRunOutcome,
       retryAfterMs: Math.round(
         NOT_WARM_RETRY_MS * (1 + this.context.random.nextFraction()),
       ),
     });
   }
 
-  /** A backend server not tried before, or else one whose replica is there. */
-  private takeNextPlace(): EnginePlace | null {
+  /** Prefers an untried backend server, then a tried one with the replica. */
+  private takeNextEndpoint(): EngineEndpoint | null {
     return (
-      this.takePlace(this.tried, false) ?? this.takePlace(this.gone, false)
+      this.takeEndpoint(this.triedIds, false) ??
+      this.takeEndpoint(this.notWarmIds, false)
     );
   }
 
-  private takePlace(
+  private takeEndpoint(
     excluded: ReadonlySet<string>,
     needsRoom: boolean,
-  ): EnginePlace | null {
+  ): EngineEndpoint | null {
     const {router, servingSets} = this.context;
     const decision = router.route({
       candidates: servingSets.listCandidates(this.job.request),
@@ -189,14 +195,14 @@
   }
 }
 
-/** Kinds that tell against the backend server and not the request. */
-const FAULT_KINDS: ReadonlySet<string> = new Set([
+/** Error kinds that are the fault of the backend server. */
+const BACKEND_FAULT_KINDS: ReadonlySet<string> = new Set([
   'backend-unreachable',
   'backend-failed',
   'stream-broken',
 ]);
 
-/** Whether a failure needs no answer since nobody is there to read it. */
+/** Whether the caller has disconnected, so that no error can be sent. */
 export function isCallerGone(thrown: unknown): boolean {
   return thrown instanceof CallerGone;
 }
--- a/packages/serve-callers/src/completion_request.ts
+++ b/packages/serve-callers/src/completion_request.ts
@@ -1,26 +1,26 @@
-/** Reads the body of a completion request. */
+/** Parses and validates the body of a completion request. */
 import {type Configuration} from '@mimosatack/agreed-state';
 import {TypedError} from '@mimosatack/errors';
 import {z} from 'zod';
 
-/** A model of the catalogue, or one of its adapters. */
+/** A model of the catalogue, or an adapter of a model. */
 export interface ModelSelection {
   model: string;
   adapter: string | null;
 }
 
-/** A completion request whose body is in order. */
+/** A completion request with a valid body. */
 export interface CompletionRequest extends ModelSelection {
-  /** The body as it came; it is passed on unchanged. */
+  /** The original bytes, sent to the engine unchanged. */
   body: Buffer;
   isStreamed: boolean;
-  /** The prompt as one text, the way engines hash it. */
+  /** The prompt as the single string that engines hash. */
   promptText: string;
-  /** The time a request has when it names none; from the model's document. */
+  /** The deadline from the model's document, for requests without one. */
   defaultDeadlineMs: number | undefined;
 }
 
-const SEPARATOR = ':';
+const ADAPTER_SEPARATOR = ':';
 const bodySchema = z.object({
   model: z.string().min(1).max(300),
   stream: z.boolean().nullish(),
@@ -30,7 +30,7 @@
 const textPartSchema = z.object({text: z.string()});
 const messageSchema = z.object({role: z.unknown(), content: z.unknown()});
 
-/** Rejects with `bad-request`, or `not-found` for what is not published. */
+/** Throws `bad-request`, or `not-found` for an unknown model or adapter. */
 export function readCompletionRequest(
   body: Buffer,
   configuration: Configuration,
@@ -39,11 +39,11 @@
   if (!parsed.success) {
     const issue = parsed.error.issues[0];
     const place = issue?.path.join('.') || 'body';
-    throw refuse('bad-request', `${place}: ${issue?.message ?? 'invalid'}`);
+    throw makeError('bad-request', `${place}: ${issue?.message ?? 'invalid'}`);
   }
   const {model, stream, prompt, messages} = parsed.data;
   if (messages === undefined && prompt == null) {
-    throw refuse('bad-request', 'body: give either messages or a prompt.');
+    throw makeError('bad-request', 'body: messages or prompt is required.');
   }
   const selection = selectModel(model, configuration);
   return {
@@ -56,29 +56,29 @@
   };
 }
 
-/** Finds `model` or `model:adapter` in the catalogue. */
+/** Looks up `model` or `model:adapter` in the catalogue. */
 export function selectModel(
   text: string,
   configuration: Configuration,
 ): ModelSelection {
-  const [model = '', adapter = null, ...rest] = text.split(SEPARATOR);
+  const [model = '', adapter = null, ...rest] = text.split(ADAPTER_SEPARATOR);
   const content = configuration.find('model', model)?.content;
-  if (!content) throw refuse('not-found', `There is no model ${model}.`);
+  if (!content) throw makeError('not-found', `Model ${model} does not exist.`);
   const isKnown = adapter === null || Object.hasOwn(content.adapters, adapter);
   if (isKnown && rest.length === 0) return {model, adapter};
-  throw refuse('not-found', `There is no model ${text}.`);
+  throw makeError('not-found', `Model ${text} does not exist.`);
 }
 
-/** The name that a caller uses for a model or an adapter of it. */
+/** The inverse of `selectModel`. */
 export function formatSelection({model, adapter}: ModelSelection): string {
-  return adapter === null ? model : model + SEPARATOR + adapter;
+  return adapter === null ? model : model + ADAPTER_SEPARATOR + adapter;
 }
 
 function parseJson(body: Buffer): unknown {
   try {
     return JSON.parse(body.toString('utf8'));
   } catch {
-    throw refuse('bad-request', 'The body is not JSON.');
+    throw makeError('bad-request', 'The body is not valid JSON.');
   }
 }
 
@@ -105,6 +105,6 @@
     .join(' ');
 }
 
-function refuse(kind: 'bad-request' | 'not-found', message: string) {
+function makeError(kind: 'bad-request' | 'not-found', message: string) {
   return new TypedError(kind, message, {run: 'not-run'});
 }
--- a/packages/serve-callers/src/completion_routes.ts
+++ b/packages/serve-callers/src/completion_routes.ts
@@ -1,4 +1,4 @@
-/** Chat completions and completions, streamed or whole. */
+/** Routes for chat completions and completions, streamed or not. */
 import {randomUUID} from 'node:crypto';
 import {authenticateCaller} from '@mimosatack/authenticate';
 import {TypedError, toTypedError} from '@mimosatack/errors';
@@ -7,23 +7,22 @@
   type FastifyReply,
   type FastifyRequest,
 } from 'fastify';
-import {makeAdmissionRequest} from './admission_terms.js';
+import {makeAdmissionRequest} from './admission_request.js';
 import {type CallerContext} from './caller_context.js';
 import {type CompletionJob} from './completion_job.js';
 import {isCallerGone, runCompletion} from './completion_pipeline.js';
 import {formatSelection, readCompletionRequest} from './completion_request.js';
 import {sendError} from './error_replies.js';
-import {readTerms} from './request_terms.js';
+import {readRequestOptions} from './request_options.js';
 
 const PATHS = ['/v1/chat/completions', '/v1/completions'];
 
-/** Adds the completion routes to the callers' server. */
 export function addCompletionRoutes(
   server: FastifyInstance,
   context: CallerContext,
 ): void {
   void server.register((scope, _options, done) => {
-    // Bodies are passed on as they came, so they are kept as bytes.
+    // Engines get the original bytes of the body.
     scope.removeAllContentTypeParsers();
     scope.addContentTypeParser(
       'application/json',
@@ -32,16 +31,20 @@
     );
     PATHS.forEach(path => {
       scope.post(path, async (incoming, reply) => {
-        await answer(path, incoming, reply, context);
+        await answerCompletion(path, incoming, reply, context);
         return reply;
       });
       scope.route({
         method: ['GET', 'PUT', 'DELETE', 'PATCH'],
         url: path,
         handler: () => {
-          throw new TypedError('method-not-allowed', `POST to ${path}.`, {
-            run: 'not-run',
-          });
+          throw new TypedError(
+            'method-not-allowed',
+            `${path} only supports POST.`,
+            {
+              run: 'not-run',
+            },
+          );
         },
       });
     });
@@ -49,7 +52,7 @@
   });
 }
 
-async function answer(
+async function answerCompletion(
   path: string,
   incoming: FastifyRequest,
   reply: FastifyReply,
@@ -65,13 +68,13 @@
     stats.noteAnswered();
     logAnswered(job, context);
   } catch (thrown) {
-    tellFailure(thrown, job, reply, context);
+    sendFailure(thrown, job, reply, context);
   } finally {
     stats.noteEnded();
   }
 }
 
-/** Reads and checks all of a request before any of it is acted on. */
+/** Validates the entire request before admission. */
 function readJob(
   path: string,
   incoming: FastifyRequest,
@@ -86,7 +89,7 @@
   );
   const body = Buffer.isBuffer(incoming.body) ? incoming.body : Buffer.alloc(0);
   const request = readCompletionRequest(body, configuration);
-  const terms = readTerms(incoming.headers, {
+  const options = readRequestOptions(incoming.headers, {
     ...limits,
     defaultDeadlineMs: request.defaultDeadlineMs ?? limits.defaultDeadlineMs,
   });
@@ -96,13 +99,13 @@
     requestId: randomUUID(),
     path,
     request,
-    terms,
-    admission: makeAdmissionRequest(caller, terms, work, context),
-    isRepeatable: terms.idempotencyKey === null,
+    options,
+    admission: makeAdmissionRequest(caller, options, work, context),
+    isRepeatable: options.idempotencyKey === null,
   };
 }
 
-function tellFailure(
+function sendFailure(
   thrown: unknown,
   job: CompletionJob | null,
   reply: FastifyReply,
@@ -114,7 +117,7 @@
     reply.hijack();
     return;
   }
-  const error = withOutcome(toTypedError(thrown), job);
+  const error = withRunOutcome(toTypedError(thrown), job);
   stats.noteRefused(error.kind);
   if (job) {
     logger.log('request-refused', {
@@ -126,8 +129,11 @@
   if (!reply.sent) sendError(reply, error);
 }
 
-/** Before a job is read nothing can have run. */
-function withOutcome(error: TypedError, job: CompletionJob | null): TypedError {
+/** A request that failed validation has not run. */
+function withRunOutcome(
+  error: TypedError,
+  job: CompletionJob | null,
+): TypedError {
   return error.run === undefined
     ? error.withRun(job ? 'unknown' : 'not-run')
     : error;
--- a/packages/serve-callers/src/completions.test.ts
+++ b/packages/serve-callers/src/completions.test.ts
@@ -60,7 +60,7 @@
   return choices[0]?.text ?? '';
 }
 
-test('serves a stock client, whole and streamed', () =>
+test('serves the OpenAI client, streamed and not', () =>
   withLoopback({engines: [{}]}, async ({baseUrl}) => {
     const client = new OpenAI({
       baseURL: `${baseUrl}/v1`,
@@ -130,7 +130,7 @@
     kind: 'body-too-large',
   },
   {
-    what: 'an absurd deadline',
+    what: 'a deadline over the limit',
     headers: {'x-request-timeout-ms': '999999999999'},
     status: 400,
     kind: 'bad-request',
@@ -167,7 +167,7 @@
   },
 ];
 
-test('refuses bad input with its kind, the remedy and not-run', () =>
+test('refuses invalid input with a kind, a remedy and not-run', () =>
   withLoopback({engines: [{}], maxBodyBytes: 2_000}, async loopback => {
     const seen = await Promise.all(
       BAD_INPUTS.map(async ({body, headers}) => {
@@ -192,13 +192,9 @@
     assert.is(loopback.context.stats.inFlight(), 0);
   }));
 
-/*
- * A user's request reaches an engine that resets the connection, once before
- * and once after it has read the request. The user sees only a whole answer:
- * the request may be repeated, so another engine is asked.
- */
+// Guards against failing a repeatable request when one engine resets it.
 ['resetBeforeRead', 'resetAfterRead'].forEach(fault =>
-  test(`answers in spite of ${fault}`, () =>
+  test(`retries after ${fault}`, () =>
     withLoopback({engines: [{}, {}]}, async loopback => {
       loopback.engines.forEach(({core}) => core.setFaults({[fault]: 1}));
       const texts = await Promise.all(
@@ -212,12 +208,9 @@
     })),
 );
 
-/*
- * A user asks for something that must not run twice, and the connection to
- * the engine breaks after the request was read. Asking another engine could
- * run it a second time; the user is told that the outcome is unknown.
- */
-test('never repeats an unrepeatable request', () =>
+// Guards against a second run when the connection breaks after the engine has
+// read the request.
+test('does not retry an unrepeatable request', () =>
   withLoopback({engines: [{}, {}]}, async loopback => {
     loopback.engines.forEach(({core}) => core.setFaults({resetAfterRead: 1}));
     const error = await readError(
@@ -227,13 +220,9 @@
     assert.is(loopback.context.stats.read().retried, 0);
   }));
 
-/*
- * A user gets text that was meant for somebody else, or half an answer,
- * because the engine mixed up or tore its answers. Neither is passed on; the
- * request is sent to another engine.
- */
+// Guards against relaying another request's answer or a truncated one.
 ['crossedAnswers', 'malformedAnswers'].forEach(fault =>
-  test(`passes on no answer with ${fault}`, () =>
+  test(`retries instead of relaying ${fault}`, () =>
     withLoopback({engines: [{}, {}]}, async loopback => {
       loopback.engines[0]?.core.setFaults({[fault]: 1});
       loopback.engines[1]?.core.setFaults({[fault]: 1});
@@ -242,11 +231,8 @@
     })),
 );
 
-/*
- * A user closes the app while the answer is being made. Nobody reads it, yet
- * the engine would go on and keep others waiting; it is told to stop.
- */
-test('cancels at the engine when the caller has gone', () =>
+// Guards against an engine generating an answer that no caller reads.
+test('cancels at the engine when the caller disconnects', () =>
   withLoopback({engines: [{tokenMs: 1_000}]}, async loopback => {
     const abort = new AbortController();
     const sent = post(loopback, PROMPT, {}, abort.signal).catch(() => null);
@@ -259,11 +245,8 @@
     assert.is(loopback.context.stats.read().callerGone, 1);
   }));
 
-/*
- * All engines die while requests wait. Users must not wait for their deadline
- * to learn of it: each gets a final answer, and none is lost.
- */
-test('gives every request an answer when all replicas die', () =>
+// Guards against queued requests that hang or get no answer.
+test('answers every request when all replicas crash', () =>
   withLoopback(
     {
       engines: [
@@ -293,11 +276,8 @@
     },
   ));
 
-/*
- * A host is leaving. Users' requests that come after the first hint must not
- * go there, although the host list still shows the host as live.
- */
-test('sends nothing to a host from the first hint on', () =>
+// Guards against requests to a leaving host that the host list shows as live.
+test('sends nothing to a host after the first leaving notice', () =>
   withLoopback({engines: [{}, {}]}, async loopback => {
     loopback.context.router.noteLeaving('r0');
     loopback.context.router.setDraining([]);
@@ -308,12 +288,9 @@
     assert.is(loopback.engines[1]?.core.observe().requests.length, 20);
   }));
 
-/*
- * A user asks for a model that is not loaded anywhere, with little time. The
- * refusal comes at once and says when to come back; one demand is passed on
- * for the whole burst, and not everybody is told the same time.
- */
-test('refuses a burst for a cold model at once, with spread times', () =>
+// Guards against callers that wait for a cold model until their deadline, and
+// against callers that all retry at the same time.
+test('refuses a burst for a cold model at once, with spread retry times', () =>
   withLoopback({engines: []}, async loopback => {
     const errors = await Promise.all(
       Array.from({length: 10}, () =>
--- a/packages/serve-callers/src/drain.test.ts
+++ b/packages/serve-callers/src/drain.test.ts
@@ -15,15 +15,15 @@
   startWarmEngine,
 } from './caller_fixture.js';
 
-const test = suite('draining the callers server');
+const test = suite('draining the server for callers');
 
-const TELL_MS = 1_000;
+const TELL_CALLERS_MS = 1_000;
 const GRACE_MS = 60_000;
 
 interface Fixture {
   engine: Engine;
   entry: Entry;
-  /** The clock of the shutdown alone. */
+  /** Drives only the shutdown. */
   clock: ManualClock;
   shutdown: ShutdownTask;
 }
@@ -42,7 +42,7 @@
     ],
   });
   const shutdown = new ShutdownTask({
-    ...{clock, gate, tellCallersMs: TELL_MS, graceMs: GRACE_MS},
+    ...{clock, gate, tellCallersMs: TELL_CALLERS_MS, graceMs: GRACE_MS},
     logger: new MemoryEventLogger(),
     actions: {
       abortStart: () => undefined,
@@ -59,9 +59,9 @@
   }
 }
 
-test('a stop under load cuts no stream, early or late', () =>
-  // Callers would lose half-read answers: the node is replaced while it
-  // streams, and some callers still come with the address they know.
+test('a shutdown under load cuts no stream that began before or after it', () =>
+  // Guards against cut streams while the node is replaced and callers still
+  // use its address.
   withEntry(async ({entry, clock, shutdown}) => {
     const prompt = makePrompt(300);
     const early = await Promise.all(
@@ -73,18 +73,18 @@
     assert.is(late.headers['connection'], 'close');
     assert.is(late.headers['x-entry-state'], 'leaving');
     const lateText = receive(late);
-    clock.advance(TELL_MS);
+    clock.advance(TELL_CALLERS_MS);
     const received = [...(await earlyTexts), await lateText];
     assert.ok(received.every(({isEnded, isCutOff}) => isEnded && !isCutOff));
     assert.ok(received.every(({text}) => text === expectedText(prompt)));
     assert.is(await shutdown.exited, 0);
   }));
 
-test('what comes after that is refused, not run, with other addresses', () =>
+test('refuses later requests as not run, with other addresses', () =>
   withEntry(async ({engine, entry, clock, shutdown}) => {
     const running = await askForStream(entry, makePrompt(20_000));
     shutdown.requestStop('SIGTERM');
-    clock.advance(TELL_MS);
+    clock.advance(TELL_CALLERS_MS);
     const refused = await askForStream(entry, makePrompt(5));
     const {error} = (await refused.body.json()) as RefusalBody;
     assert.equal([error.kind, error.run], ['shutting-down', 'not-run']);
@@ -97,9 +97,8 @@
     await running.body.dump().catch(() => undefined);
   }));
 
-test('a stop that is ended early tells the callers and where to go on', () =>
-  // A caller would see its stream stop without a word: the operator has no
-  // patience and sends a second signal.
+test('a forced shutdown sends an error event on open streams', () =>
+  // Guards against a stream that closes without an error after a second signal.
   withEntry(async ({entry, shutdown}) => {
     const receiving = receive(await askForStream(entry, makePrompt(20_000)));
     shutdown.requestStop('SIGTERM');
@@ -110,9 +109,8 @@
     assert.is(await shutdown.exited, 3);
   }));
 
-test('a node that is starting refuses, instead of knowing nobody', () =>
-  // A caller would be told that its token is wrong: the node is back at its
-  // old address and has not read the teams yet.
+test('a starting node refuses requests as overloaded', () =>
+  // Guards against `unauthorized` for valid tokens before the teams are loaded.
   withEntry(async ({entry}) => {
     entry.gate.follow('starting');
     const refused = await askForStream(entry, makePrompt(5));
--- a/packages/serve-callers/src/drain_hooks.ts
+++ b/packages/serve-callers/src/drain_hooks.ts
@@ -1,25 +1,24 @@
-/** How the callers' server meets new work while the node starts or stops. */
+/** Refuses new requests while the node starts or shuts down. */
 import {type WorkHandle} from '@mimosatack/drain-node';
 import {type RunOutcome, TypedError} from '@mimosatack/errors';
 import {type FastifyInstance, type FastifyReply} from 'fastify';
 import {type CallerContext} from './caller_context.js';
-import {findRunBeforeKey} from './unrepeatable_calls.js';
+import {findRunBeforeKeyLookup} from './unrepeatable_calls.js';
 
 declare module 'fastify' {
   interface FastifyRequest {
-    /** The request as it is counted among the work in flight. */
+    /** The in-flight entry that graceful shutdown waits for. */
     workInFlight: WorkHandle | null;
   }
 }
 
-/** Told to callers of a node that leaves: ask `/v1/entries` again. */
-const STATE_HEADER = 'x-entry-state';
+/** Tells callers of a leaving node to fetch `/v1/entries` again. */
+const ENTRY_STATE_HEADER = 'x-entry-state';
 const START_RETRY_MS = 1_000;
-/** Answered in every state: they take no work on. */
-const ALWAYS_ANSWERED =
+/** Paths that start no work and are served in every state. */
+const ALWAYS_ANSWERED_PATHS =
   /^\/(healthz|readyz|v1\/entries|v1\/requests\/[^/]+\/cancel)([?]|$)/;
 
-/** Counts work in flight, and refuses new work when the node has to. */
 export function addDrainHooks(
   server: FastifyInstance,
   context: CallerContext,
@@ -28,15 +27,15 @@
   server.decorateRequest('workInFlight', null);
   server.addHook('onRequest', async (incoming, reply) => {
     if (gate.state === 'leaving' || gate.state === 'refusing') {
-      sendAway(reply);
+      setLeavingHeaders(reply);
     }
-    if (ALWAYS_ANSWERED.test(incoming.url)) return;
-    checkState(context, findRunBeforeKey(incoming.headers));
+    if (ALWAYS_ANSWERED_PATHS.test(incoming.url)) return;
+    refuseByState(context, findRunBeforeKeyLookup(incoming.headers));
     const route = incoming.routeOptions.url ?? 'unknown route';
     const work = gate.inFlight.begin(`${incoming.method} ${route}`);
     incoming.workInFlight = work;
-    // Unlike fastify's own hook this also comes when the caller is gone, and
-    // for replies that were taken over.
+    // Unlike fastify's `onResponse`, this also fires for disconnected callers
+    // and hijacked replies.
     reply.raw.once('close', () => work.end());
   });
   server.get('/readyz', async (_incoming, reply) => {
@@ -45,18 +44,20 @@
   });
 }
 
-/** The caller's next request then goes to a node that stays. */
-function sendAway(reply: FastifyReply): void {
-  void reply.header('connection', 'close').header(STATE_HEADER, 'leaving');
+/** Makes the caller send its next request to another node. */
+function setLeavingHeaders(reply: FastifyReply): void {
+  void reply
+    .header('connection', 'close')
+    .header(ENTRY_STATE_HEADER, 'leaving');
 }
 
-function checkState(context: CallerContext, run: RunOutcome): void {
+function refuseByState(context: CallerContext, run: RunOutcome): void {
   switch (context.gate.state) {
     case 'starting':
-      // It knows no teams yet and would take every caller for a stranger.
+      // The node has not loaded the teams and would answer `unauthorized`.
       throw new TypedError('overloaded', 'The node is starting.', {
         run,
-        remedy: 'Ask /v1/entries of another node, or wait for Retry-After.',
+        remedy: 'Ask another node for /v1/entries, or wait for Retry-After.',
         retryAfterMs: START_RETRY_MS,
       });
     case 'refusing':
--- a/packages/serve-callers/src/engine_streams.ts
+++ b/packages/serve-callers/src/engine_streams.ts
@@ -1,11 +1,10 @@
-/** The streams of an engine over HTTP: the first one, again, and its cancel. */
+/** Opens, resumes and cancels the streams of an engine over HTTP. */
 import {type OpenStream} from '@mimosatack/answer-streams';
 import {TypedError} from '@mimosatack/errors';
 import {type Dispatcher, request} from 'undici';
 
-/** A request as its engine knows it. */
+/** Identifies a request at its engine. */
 export interface EngineRequest {
-  /** Base URL of the engine. */
   baseUrl: string;
   engineRequestId: string;
 }
@@ -14,17 +13,17 @@
 const HTTP_OK = 200;
 const HTTP_NOT_FOUND = 404;
 
-/** Takes over the body of a response in hand. */
+/** Wraps the body of a received response as a stream. */
 export function takeStream(response: Dispatcher.ResponseData): OpenStream {
   const {body} = response;
-  // A body that is closed early reports it as an error that nobody awaits.
+  // Prevents an uncaught error when the body is destroyed early.
   body.on('error', () => undefined);
   return {bytes: body, close: () => void body.destroy()};
 }
 
 /**
- * Asks the engine for the stream again, from an event on. Rejects with
- * `not-found` when the engine does not keep it, else with
+ * Requests the stream again, starting at event `fromId`. Rejects with
+ * `not-found` when the engine no longer has the request, otherwise with
  * `backend-unreachable` or `backend-failed`.
  */
 export async function resumeStream(
@@ -32,12 +31,12 @@
   fromId: number,
   signal: AbortSignal,
 ): Promise<OpenStream> {
-  const url = `${urlOf(baseUrl, engineRequestId)}/stream?from=${fromId}`;
+  const url = `${requestUrl(baseUrl, engineRequestId)}/stream?from=${fromId}`;
   const response = await send(url, 'GET', signal);
   if (response.statusCode === HTTP_OK) return takeStream(response);
   await response.body.dump();
   throw response.statusCode === HTTP_NOT_FOUND
-    ? new TypedError('not-found', 'The engine does not keep the request.')
+    ? new TypedError('not-found', 'The engine no longer has the request.')
     : new TypedError(
         'backend-failed',
         `The engine answered with status ${response.statusCode}.`,
@@ -45,17 +44,17 @@
       );
 }
 
-/** Cancels a request; rejects when the engine did not take it in. */
+/** Rejects with `backend-unreachable` when the engine does not respond. */
 export async function cancelAtEngine(
   {baseUrl, engineRequestId}: EngineRequest,
   signal?: AbortSignal,
 ): Promise<void> {
-  const url = `${urlOf(baseUrl, engineRequestId)}/cancel`;
+  const url = `${requestUrl(baseUrl, engineRequestId)}/cancel`;
   const response = await send(url, 'POST', signal);
   await response.body.dump();
 }
 
-function urlOf(baseUrl: string, engineRequestId: string): string {
+function requestUrl(baseUrl: string, engineRequestId: string): string {
   return `${baseUrl}/v1/requests/${encodeURIComponent(engineRequestId)}`;
 }
 
--- a/packages/serve-callers/src/error_replies.ts
+++ b/packages/serve-callers/src/error_replies.ts
@@ -1,4 +1,4 @@
-/** Tells callers of errors: typed JSON with the remedy. */
+/** Sends errors to callers as typed JSON. */
 import {
   TypedError,
   describeKind,
@@ -9,11 +9,10 @@
 
 const SECOND_MS = 1_000;
 
-/** Sends an error as the whole answer. */
 export function sendError(reply: FastifyReply, error: TypedError): void {
   if (error.retryAfterMs !== undefined) {
-    // The first is the standard one; stock clients also know the second,
-    // which keeps the spread that whole seconds would lose.
+    // `retry-after` has a resolution of seconds; clients that also read
+    // `retry-after-ms` keep the random spread of retry times.
     void reply
       .header('retry-after', Math.ceil(error.retryAfterMs / SECOND_MS))
       .header('retry-after-ms', Math.ceil(error.retryAfterMs));
@@ -23,8 +22,8 @@
     .send(formatErrorBody(error));
 }
 
-/** Fastify's own refusals, such as of a body that is too large, made typed. */
-export function readHttpError(thrown: unknown): TypedError {
+/** Converts fastify's own errors, such as a body over the limit. */
+export function toTypedHttpError(thrown: unknown): TypedError {
   const statusCode = (thrown as {statusCode?: number}).statusCode;
   const message = thrown instanceof Error ? thrown.message : String(thrown);
   if (thrown instanceof TypedError || statusCode === undefined) {
--- a/packages/serve-callers/src/loopback_fixture.ts
+++ b/packages/serve-callers/src/loopback_fixture.ts
@@ -1,7 +1,6 @@
 /**
- * A callers' server before engine stand-ins on loopback, for tests and
- * measurements. The agreed state is filled in by hand; the engines' reports
- * are read straight from the stand-ins.
+ * Runs the server for callers with engine stand-ins on loopback, for tests and
+ * measurements.
  */
 import {createHash} from 'node:crypto';
 import {AgreedState} from '@mimosatack/agreed-state';
@@ -21,38 +20,36 @@
 import {AbandonedRequests} from './abandoned_requests.js';
 import {makeAnswering} from './answering.js';
 import {type CallerContext} from './caller_context.js';
-import {makeRunner} from './caller_fixture.js';
+import {makeTicketRunner} from './caller_fixture.js';
 import {buildCallerServer} from './caller_server.js';
 
 export const MODEL = 'm';
-/** Bearer tokens of the two teams. */
+/** Bearer tokens by team. */
 export const TOKENS = {alpha: 'token-of-alpha', beta: 'token-of-beta'} as const;
 
-/** What a fixture is made of. */
 export interface LoopbackOptions {
   engines: ReadonlyArray<Partial<EngineOptions>>;
   queueLimit?: number;
   maxConcurrentRequests?: number;
   requestsPerSecond?: number;
   maxBodyBytes?: number;
-  /** How often the engines' reports are read; 0 for once, at the start. */
+  /** The interval of engine reports; 0 for one report at the start. */
   reportIntervalMs?: number;
 }
 
-/** A running fixture. */
 export interface Loopback {
   baseUrl: string;
   context: CallerContext;
   engines: readonly RunningBackend<EngineStandIn>[];
-  demanded: string[];
-  /** Reads the reports of all engines that run. */
+  demandedModels: string[];
+  /** Records a load report of every engine. */
   report(): void;
   close(): Promise<void>;
 }
 
 const SECRET = 'a secret of the cluster';
 const MIB = 1_000;
-const FAST: Partial<EngineOptions> = {
+const FAST_ENGINE: Partial<EngineOptions> = {
   initMs: 0,
   firstTokenMs: 0,
   tokenMs: 0,
@@ -66,7 +63,7 @@
   const engines = await Promise.all(
     options.engines.map((engine, index) =>
       startEngineStandIn({
-        ...FAST,
+        ...FAST_ENGINE,
         backendServerId: `r${index}`,
         failureDomain: `hall-${index}`,
         memoryMib: 10 * MIB,
@@ -76,10 +73,11 @@
   );
   const state = makeState(engines, options);
   const board = new EngineBoard();
-  const demanded: string[] = [];
-  const context = makeContext(state, board, demanded, options);
+  const demandedModels: string[] = [];
+  const context = makeContext(state, board, demandedModels, options);
   engines.forEach(engine => loadModel(engine.core));
-  const report = () => engines.forEach(engine => noteEngine(engine, board));
+  const report = () =>
+    engines.forEach(engine => noteEngineReport(engine, board));
   await waitUntil(() => {
     report();
     return board.listWarm(MODEL, null).length === engines.length;
@@ -96,10 +94,9 @@
     await context.pools.close();
     await Promise.all(engines.map(engine => engine.kill()));
   };
-  return {baseUrl, context, engines, demanded, report, close};
+  return {baseUrl, context, engines, demandedModels, report, close};
 }
 
-/** Polls until a condition holds. */
 export async function waitUntil(condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise(resolve => setTimeout(resolve, 5));
 }
@@ -109,7 +106,7 @@
     order: 'load',
     orderId: 'o1',
     fencingNumber: 1,
-    slotId: slotOf(engine),
+    slotId: makeSlotId(engine),
     model: MODEL,
     adapter: null,
     version: '1',
@@ -117,12 +114,12 @@
   });
 }
 
-function slotOf(engine: EngineStandIn): string {
+function makeSlotId(engine: EngineStandIn): string {
   return `s-${engine.options.backendServerId}`;
 }
 
-/** Notes a report as the engine's steward would. */
-export function noteEngine(
+/** Records the engine's current state on the board as a report. */
+export function noteEngineReport(
   {core}: RunningBackend<EngineStandIn>,
   board: EngineBoard,
 ): void {
@@ -182,7 +179,7 @@
       targetRevision: configuration.find('model', MODEL)?.sequence ?? 0,
       expectedPlan: 0,
       slots: engines.map(({core}) => ({
-        slotId: slotOf(core),
+        slotId: makeSlotId(core),
         model: MODEL,
         version: '1',
         adapters: [],
@@ -216,7 +213,7 @@
 function makeContext(
   state: AgreedState,
   board: EngineBoard,
-  demanded: string[],
+  demandedModels: string[],
   options: LoopbackOptions,
 ): CallerContext {
   const clock = new SystemClock();
@@ -232,14 +229,14 @@
       queueLimit: options.queueLimit ?? 1_000,
       retryBudgetPercent: 10,
       countNodes: () => 1,
-      noteDemand: model => demanded.push(model),
+      noteDemand: model => demandedModels.push(model),
     }),
     incarnation: 'entry-0.1',
     tokens: new RequestTokenMint(SECRET),
     abandoned: new AbandonedRequests(clock, 0),
     tellResumed: () => undefined,
     mint: new TicketMint(SECRET),
-    unrepeatable: makeRunner('entry-0', clock),
+    unrepeatable: makeTicketRunner('entry-0', clock),
     limits: {
       maxBodyBytes: options.maxBodyBytes ?? 1_048_576,
       defaultDeadlineMs: 10_000,
--- a/packages/serve-callers/src/loopback_worker_main.ts
+++ b/packages/serve-callers/src/loopback_worker_main.ts
@@ -1,4 +1,4 @@
-/** Runs a node's callers' server and its engines in a thread of their own. */
+/** Runs the server for callers and its engines in a worker thread. */
 import {parentPort, workerData} from 'node:worker_threads';
 import {type LoopbackOptions, startLoopback} from './loopback_fixture.js';
 
--- a/packages/serve-callers/src/measure_main.ts
+++ b/packages/serve-callers/src/measure_main.ts
@@ -1,8 +1,7 @@
 /**
- * Prints what a node costs between callers and engine stand-ins on loopback:
- * first-byte time added, requests a second, and goodput under overload. The
- * node and the engines share one thread, the callers have another, so the
- * figures for the node include the engines' share of its thread.
+ * Measures the overhead of a node between callers and engine stand-ins on
+ * loopback: added first-byte time, throughput, and goodput under overload. The
+ * node shares its thread with the engines, so its figures include their work.
  */
 import {Worker} from 'node:worker_threads';
 import {type Histogram, build} from 'hdr-histogram-js';
@@ -11,8 +10,8 @@
 
 const FIRST_TOKEN_MS = 40;
 const TOKEN_MS = 10;
-const TOKENS_EACH = 5;
-const PLACES = 8;
+const MAX_TOKENS = 5;
+const MAX_RUNNING = 8;
 const ENGINES = 2;
 const SECOND_MS = 1_000;
 const MEASURE_MS = 5_000;
@@ -20,24 +19,27 @@
 const DEADLINE_MS = 500;
 const PROMPT_REFUSAL_MS = 50;
 const CONCURRENCY = 64;
-const MICROS = 1_000;
+const MICROS_PER_MS = 1_000;
 
 interface Urls {
   nodeUrl: string;
   engineUrls: string[];
 }
 
-type Ask = (baseUrl: string, isStreamed: boolean) => Promise<Seen>;
+type SendRequest = (
+  baseUrl: string,
+  isStreamed: boolean,
+) => Promise<Measurement>;
 
-interface Seen {
+interface Measurement {
   statusCode: number;
   firstByteMs: number;
-  tookMs: number;
+  latencyMs: number;
 }
 
 async function withWorker<T>(
   options: LoopbackOptions,
-  body: (urls: Urls, ask: Ask) => Promise<T>,
+  body: (urls: Urls, sendRequest: SendRequest) => Promise<T>,
 ): Promise<T> {
   const file = new URL('./loopback_worker_main.js', import.meta.url);
   const worker = new Worker(file, {workerData: options});
@@ -45,7 +47,7 @@
     worker.once('message', resolve);
     worker.once('error', reject);
   });
-  // Of its own for each worker: a later one may listen on the same port.
+  // One agent per worker, because a later worker may reuse the port.
   const agent = new Agent({connections: 2_000, pipelining: 1});
   try {
     return await body(urls, (url, isStreamed) => send(agent, url, isStreamed));
@@ -59,8 +61,8 @@
   agent: Agent,
   baseUrl: string,
   isStreamed: boolean,
-): Promise<Seen> {
-  const beganMs = performance.now();
+): Promise<Measurement> {
+  const startedAtMs = performance.now();
   const answer = await request(`${baseUrl}/v1/completions`, {
     method: 'POST',
     dispatcher: agent,
@@ -72,49 +74,49 @@
     body: JSON.stringify({
       model: MODEL,
       prompt: 'draft the list for this week',
-      max_tokens: TOKENS_EACH,
+      max_tokens: MAX_TOKENS,
       stream: isStreamed,
     }),
   });
   let firstByteMs = 0;
   for await (const _chunk of answer.body) {
-    firstByteMs ||= performance.now() - beganMs;
+    firstByteMs ||= performance.now() - startedAtMs;
   }
-  const tookMs = performance.now() - beganMs;
-  return {statusCode: answer.statusCode, firstByteMs, tookMs};
+  const latencyMs = performance.now() - startedAtMs;
+  return {statusCode: answer.statusCode, firstByteMs, latencyMs};
 }
 
-/** Sends requests at random times, whether or not earlier ones are done. */
+/** Sends requests as a Poisson process, independent of earlier responses. */
 async function sendAtRate(
   perSecond: number,
-  sendOne: () => Promise<Seen>,
-): Promise<Seen[]> {
-  const beganMs = performance.now();
-  const sent: Promise<Seen>[] = [];
+  sendRequest: () => Promise<Measurement>,
+): Promise<Measurement[]> {
+  const startedAtMs = performance.now();
+  const measurements: Promise<Measurement>[] = [];
   let dueMs = 0;
   while (dueMs < WARM_UP_MS + MEASURE_MS) {
     dueMs += (-Math.log(1 - Math.random()) * SECOND_MS) / perSecond;
-    const waitMs = beganMs + dueMs - performance.now();
+    const waitMs = startedAtMs + dueMs - performance.now();
     if (waitMs > 1) await new Promise(resolve => setTimeout(resolve, waitMs));
-    const seen = sendOne();
-    if (dueMs >= WARM_UP_MS) sent.push(seen);
-    else void seen;
+    const measurement = sendRequest();
+    if (dueMs >= WARM_UP_MS) measurements.push(measurement);
+    else void measurement;
   }
-  return Promise.all(sent);
+  return Promise.all(measurements);
 }
 
 function histogramOf(valuesMs: readonly number[]): Histogram {
   const histogram = build({numberOfSignificantValueDigits: 3});
-  valuesMs.forEach(ms => histogram.recordValue(Math.round(ms * MICROS)));
+  valuesMs.forEach(ms => histogram.recordValue(Math.round(ms * MICROS_PER_MS)));
   return histogram;
 }
 
-function readMs(histogram: Histogram, rank: number): number {
-  return histogram.getValueAtPercentile(rank) / MICROS;
+function percentileMs(histogram: Histogram, rank: number): number {
+  return histogram.getValueAtPercentile(rank) / MICROS_PER_MS;
 }
 
 const ENGINE = {
-  maxRunning: PLACES,
+  maxRunning: MAX_RUNNING,
   firstTokenMs: FIRST_TOKEN_MS,
   tokenMs: TOKEN_MS,
   loadReportLagMs: 200,
@@ -125,20 +127,28 @@
 };
 
 async function measureFirstByte(capacity: number, share: number) {
-  return withWorker(LOADED, async ({nodeUrl, engineUrls}, ask) => {
+  return withWorker(LOADED, async ({nodeUrl, engineUrls}, sendRequest) => {
     let turn = 0;
     const nextEngine = () => engineUrls[turn++ % ENGINES] ?? '';
     const perSecond = capacity * share;
-    const direct = await sendAtRate(perSecond, () => ask(nextEngine(), true));
-    const through = await sendAtRate(perSecond, () => ask(nodeUrl, true));
-    const directMs = histogramOf(direct.map(seen => seen.firstByteMs));
-    const throughMs = histogramOf(through.map(seen => seen.firstByteMs));
+    const direct = await sendAtRate(perSecond, () =>
+      sendRequest(nextEngine(), true),
+    );
+    const through = await sendAtRate(perSecond, () =>
+      sendRequest(nodeUrl, true),
+    );
+    const directMs = histogramOf(
+      direct.map(measurement => measurement.firstByteMs),
+    );
+    const throughMs = histogramOf(
+      through.map(measurement => measurement.firstByteMs),
+    );
     const addedMs = (rank: number) =>
-      (readMs(throughMs, rank) - readMs(directMs, rank)).toFixed(2);
+      (percentileMs(throughMs, rank) - percentileMs(directMs, rank)).toFixed(2);
     return {
       share,
-      directP50Ms: readMs(directMs, 50),
-      directP99Ms: readMs(directMs, 99),
+      directP50Ms: percentileMs(directMs, 50),
+      directP99Ms: percentileMs(directMs, 99),
       addedP50Ms: addedMs(50),
       addedP99Ms: addedMs(99),
       notAnswered: through.filter(seen => seen.statusCode !== 200).length,
@@ -148,39 +158,48 @@
 }
 
 async function measureOverload(capacity: number, share: number) {
-  return withWorker(LOADED, async ({nodeUrl}, ask) => {
-    const seen = await sendAtRate(capacity * share, () => ask(nodeUrl, false));
-    const inTime = seen.filter(
-      one => one.statusCode === 200 && one.tookMs <= DEADLINE_MS,
+  return withWorker(LOADED, async ({nodeUrl}, sendRequest) => {
+    const measurements = await sendAtRate(capacity * share, () =>
+      sendRequest(nodeUrl, false),
+    );
+    const inTime = measurements.filter(
+      measurement =>
+        measurement.statusCode === 200 && measurement.latencyMs <= DEADLINE_MS,
+    );
+    const refused = measurements.filter(
+      measurement => measurement.statusCode !== 200,
+    );
+    const refusedMs = histogramOf(
+      refused.map(measurement => measurement.latencyMs),
     );
-    const refused = seen.filter(one => one.statusCode !== 200);
-    const refusedMs = histogramOf(refused.map(one => one.tookMs));
     return {
       share,
-      offeredPerS: Math.round((seen.length * SECOND_MS) / MEASURE_MS),
+      offeredPerS: Math.round((measurements.length * SECOND_MS) / MEASURE_MS),
       inTimePerS: Math.round((inTime.length * SECOND_MS) / MEASURE_MS),
-      late: seen.length - inTime.length - refused.length,
+      late: measurements.length - inTime.length - refused.length,
       refused: refused.length,
-      refusedLate: refused.filter(one => one.tookMs > PROMPT_REFUSAL_MS).length,
-      refusedP99Ms: readMs(refusedMs, 99),
+      refusedLate: refused.filter(
+        measurement => measurement.latencyMs > PROMPT_REFUSAL_MS,
+      ).length,
+      refusedP99Ms: percentileMs(refusedMs, 99),
     };
   });
 }
 
-/** Answers a second while `concurrency` callers ask without a pause. */
+/** Measures requests per second with `concurrency` callers in a closed loop. */
 async function measureThroughput(
   target: 'node' | 'engines',
   options: LoopbackOptions,
   concurrency: number,
 ) {
-  return withWorker(options, async ({nodeUrl, engineUrls}, ask) => {
+  return withWorker(options, async ({nodeUrl, engineUrls}, sendRequest) => {
     const urls = target === 'node' ? [nodeUrl] : engineUrls;
     const endMs = performance.now() + MEASURE_MS;
     let answered = 0;
     const loop = async (caller: number) => {
       while (performance.now() < endMs) {
         const url = urls[caller % urls.length] ?? '';
-        const {statusCode} = await ask(url, false);
+        const {statusCode} = await sendRequest(url, false);
         if (statusCode === 200) answered += 1;
       }
     };
@@ -193,9 +212,9 @@
 const {answeredPerS: capacity} = await measureThroughput(
   'engines',
   LOADED,
-  ENGINES * PLACES,
+  ENGINES * MAX_RUNNING,
 );
-console.log(`The engines bear ${capacity} requests a second.`);
+console.log(`Engine capacity: ${capacity} requests per second.`);
 console.table([
   await measureFirstByte(capacity, 0.1),
   await measureFirstByte(capacity, 0.5),
--- a/packages/serve-callers/src/measure_waits_main.ts
+++ b/packages/serve-callers/src/measure_waits_main.ts
@@ -1,7 +1,6 @@
 /**
- * Prints how long requests wait with eight routers and load reports that lag,
- * for three ways to choose a backend server, and what is answered in time at
- * twice the load that the engines can bear. All in simulated time.
+ * Simulates several routers with delayed load reports. Prints the waiting times
+ * for three routing strategies, and the goodput under overload.
  */
 import {build} from 'hdr-histogram-js';
 import {
@@ -59,17 +58,17 @@
   });
   const refused = outcomes.filter(({status}) => status === 'refused');
   const inTime = outcomes.filter(
-    ({status, tookMs}) =>
-      status === 'answered' && tookMs <= OVERLOAD_DEADLINE_MS,
+    ({status, latencyMs}) =>
+      status === 'answered' && latencyMs <= OVERLOAD_DEADLINE_MS,
   );
   const answered = outcomes.length - refused.length;
   return {
     utilization,
-    /** Answers in time, as a share of what the engines can do. */
+    /** Answers before the deadline, as a fraction of the engines' capacity. */
     goodput: ((inTime.length / outcomes.length) * utilization).toFixed(3),
     answeredLate: answered - inTime.length,
     refused: refused.length,
-    refusedWithin50Ms: refused.filter(r => r.tookMs <= PROMPT_REFUSAL_MS)
+    refusedWithin50Ms: refused.filter(r => r.latencyMs <= PROMPT_REFUSAL_MS)
       .length,
     requests: outcomes.length,
   };
--- a/packages/serve-callers/src/model_routes.ts
+++ b/packages/serve-callers/src/model_routes.ts
@@ -1,4 +1,4 @@
-/** The catalogue of models, in the common form. */
+/** Routes that list the models, in the format of the OpenAI API. */
 import {type FastifyInstance} from 'fastify';
 import {authenticateCaller} from '@mimosatack/authenticate';
 import {type CallerContext} from './caller_context.js';
@@ -12,7 +12,7 @@
   name: string;
 }
 
-/** Adds `/v1/models`; `warm` tells whether a request is served at once. */
+/** Adds `/v1/models`; `warm` means that a replica can serve requests now. */
 export function addModelRoutes(
   server: FastifyInstance,
   context: CallerContext,
--- a/packages/serve-callers/src/request_terms.ts
+++ b/packages/serve-callers/src/request_options.ts
@@ -1,11 +1,10 @@
-/** The terms of a request that come in its headers. */
+/** Reads the deadline, priority and idempotency key from request headers. */
 import {type IncomingHttpHeaders} from 'node:http';
 import {TypedError} from '@mimosatack/errors';
 import {type CallerLimits} from './caller_context.js';
 
-/** What a caller asks for beside the request itself. */
-export interface RequestTerms {
-  /** Time left when the request arrived. */
+export interface RequestOptions {
+  /** Time left until the deadline when the request arrived. */
   deadlineMs: number;
   priority: number;
   idempotencyKey: string | null;
@@ -15,21 +14,21 @@
 const PRIORITY_HEADER = 'x-priority';
 const DEFAULT_PRIORITY = 5;
 const MAX_PRIORITY = 9;
-const DECIMAL_FORM = /^-?\d{1,15}(\.\d{1,6})?$/;
-const KEY_FORM = /^[\x21-\x7e]{1,255}$/;
+const DECIMAL_REGEX = /^-?\d{1,15}(\.\d{1,6})?$/;
+const KEY_REGEX = /^[\x21-\x7e]{1,255}$/;
 
 /**
- * Reads and checks the headers; rejects with `bad-request`, `bad-key`, or
- * `deadline-exceeded` when no time was left on arrival.
+ * Throws `bad-request` or `bad-key` for an invalid header, and
+ * `deadline-exceeded` when the deadline is not positive.
  */
-export function readTerms(
+export function readRequestOptions(
   headers: IncomingHttpHeaders,
   limits: CallerLimits,
-): RequestTerms {
+): RequestOptions {
   return {
     deadlineMs: readDeadline(headers, limits),
     priority: readPriority(headers),
-    idempotencyKey: readKey(headers),
+    idempotencyKey: readIdempotencyKey(headers),
   };
 }
 
@@ -49,7 +48,7 @@
     );
   }
   if (deadlineMs <= limits.maxDeadlineMs) return deadlineMs;
-  throw refuseHeader(
+  throw makeHeaderError(
     DEADLINE_HEADER,
     `must be at most ${limits.maxDeadlineMs}`,
   );
@@ -58,39 +57,39 @@
 function readPriority(headers: IncomingHttpHeaders): number {
   const priority = readNumber(headers, PRIORITY_HEADER);
   if (priority === null) return DEFAULT_PRIORITY;
-  const isRight =
+  const isValid =
     Number.isInteger(priority) && priority >= 0 && priority <= MAX_PRIORITY;
-  if (isRight) return priority;
-  throw refuseHeader(
+  if (isValid) return priority;
+  throw makeHeaderError(
     PRIORITY_HEADER,
     `must be a whole number from 0 to ${MAX_PRIORITY}`,
   );
 }
 
-/** Null when the header is left out. */
+/** Returns null when the header is missing. */
 function readNumber(
   headers: IncomingHttpHeaders,
   header: string,
 ): number | null {
   const text = headers[header];
   if (text === undefined) return null;
-  if (typeof text === 'string' && DECIMAL_FORM.test(text)) return Number(text);
-  throw refuseHeader(header, 'must be a decimal number');
+  if (typeof text === 'string' && DECIMAL_REGEX.test(text)) return Number(text);
+  throw makeHeaderError(header, 'must be a decimal number');
 }
 
-function refuseHeader(header: string, fault: string): TypedError {
+function makeHeaderError(header: string, fault: string): TypedError {
   return new TypedError('bad-request', `Header ${header} ${fault}.`, {
     run: 'not-run',
   });
 }
 
-function readKey(headers: IncomingHttpHeaders): string | null {
+function readIdempotencyKey(headers: IncomingHttpHeaders): string | null {
   const key = headers['idempotency-key'];
   if (key === undefined) return null;
-  if (typeof key === 'string' && KEY_FORM.test(key)) return key;
+  if (typeof key === 'string' && KEY_REGEX.test(key)) return key;
   throw new TypedError(
     'bad-key',
-    'An Idempotency-Key has 1 to 255 visible ASCII characters.',
+    'An Idempotency-Key must have 1 to 255 visible ASCII characters.',
     {run: 'not-run'},
   );
 }
--- a/packages/serve-callers/src/request_scope.ts
+++ b/packages/serve-callers/src/request_scope.ts
@@ -1,19 +1,17 @@
-/** Ends work when the caller goes away, the deadline passes or it is cut. */
+/** Abort signals for the deadline, node shutdown and caller disconnect. */
 import {CallerGone} from '@mimosatack/admit-requests';
 import {type FastifyReply} from 'fastify';
 import {type CallerContext} from './caller_context.js';
 import {mergeSignals, openStreamScope} from './stream_scope.js';
 
-/** One request's reasons to stop. */
 export interface RequestScope {
-  /** Aborted by the deadline or the node's stop, with a typed error. */
+  /** Aborted with a typed error on the deadline or the node's shutdown. */
   signal: AbortSignal;
-  /** Aborted by those and with `CallerGone`. */
-  attendedSignal: AbortSignal;
+  /** Also aborted, with `CallerGone`, when the caller disconnects. */
+  callerSignal: AbortSignal;
   release(): void;
 }
 
-/** Watches the caller's connection, the deadline and the node's stop. */
 export function openRequestScope(
   {clock, gate}: CallerContext,
   deadlineMs: number,
@@ -27,7 +25,7 @@
   reply.raw.once('close', onClose);
   return {
     signal: scope.signal,
-    attendedSignal: attended.signal,
+    callerSignal: attended.signal,
     release: () => {
       reply.raw.off('close', onClose);
       attended.release();
--- a/packages/serve-callers/src/response_sink.ts
+++ b/packages/serve-callers/src/response_sink.ts
@@ -1,19 +1,18 @@
-/** The caller's end of a stream: never ahead of what the caller reads. */
+/** Writes a stream to a caller with backpressure. */
 import {type ServerResponse} from 'node:http';
 import {type Clock} from '@mimosatack/clock';
 import {type FastifyReply} from 'fastify';
 
 /**
- * What has become of the caller: `gone` closed its connection, `stalled` did
- * not read for too long and was cut off.
+ * Whether the caller reads the stream, has closed its connection (`gone`), or
+ * was cut off because it read nothing for `stallMs` (`stalled`).
  */
-export type CallerFate = 'reading' | 'gone' | 'stalled';
+export type CallerStatus = 'reading' | 'gone' | 'stalled';
 
-/** What a sink is built from. */
 export interface ResponseSinkOptions {
   reply: FastifyReply;
   clock: Clock;
-  /** How long the caller may leave what was written unread. */
+  /** How long written data may stay unread before the caller is cut off. */
   stallMs: number;
   headers: Readonly<Record<string, string>>;
 }
@@ -23,60 +22,58 @@
   'cache-control': 'no-cache',
 };
 
-/** Writes a stream to one caller, at the pace at which it reads. */
 export class ResponseSink {
   private readonly raw: ServerResponse;
-  private readonly leaving = new AbortController();
-  private callerFate: CallerFate = 'reading';
-  private hasBegun = false;
+  private readonly lostController = new AbortController();
+  private currentStatus: CallerStatus = 'reading';
+  private hasStarted = false;
 
   constructor(private readonly options: ResponseSinkOptions) {
     this.raw = options.reply.raw;
-    this.raw.once('close', () => this.loseCaller('gone'));
-    if (this.raw.destroyed) this.loseCaller('gone');
+    this.raw.once('close', () => this.markCallerLost('gone'));
+    if (this.raw.destroyed) this.markCallerLost('gone');
   }
 
-  get fate(): CallerFate {
-    return this.callerFate;
+  get status(): CallerStatus {
+    return this.currentStatus;
   }
 
-  /** Whether the caller was sent anything. */
-  get isBegun(): boolean {
-    return this.hasBegun;
+  /** Whether the response headers were sent. */
+  get isStarted(): boolean {
+    return this.hasStarted;
   }
 
-  /** Aborted when the caller is gone or stalled. */
-  get lost(): AbortSignal {
-    return this.leaving.signal;
+  /** Aborted when the caller disconnects or stalls. */
+  get lostSignal(): AbortSignal {
+    return this.lostController.signal;
   }
 
-  /** Writes, and resolves once more may be written; false: caller lost. */
+  /** Resolves when more can be written, with false if the caller is lost. */
   async write(text: string): Promise<boolean> {
-    if (this.callerFate !== 'reading') return false;
-    this.begin();
-    if (!this.raw.write(text)) await this.waitUntilRead();
-    return this.callerFate === 'reading';
+    if (this.currentStatus !== 'reading') return false;
+    this.sendHeaders();
+    if (!this.raw.write(text)) await this.waitForDrain();
+    return this.currentStatus === 'reading';
   }
 
-  /** Ends a whole answer. */
+  /** Ends the response after a complete answer. */
   end(): void {
-    this.begin();
+    this.sendHeaders();
     this.raw.end();
   }
 
   /**
-   * Guards against a broken answer that looks whole: after the last words the
-   * connection is closed without the end of the body, which every HTTP client
-   * reports, also one that reads no error events.
+   * Closes the connection without ending the body, so that a client that
+   * ignores error events does not take a partial answer for a complete one.
    */
-  fail(lastWords: string): void {
+  fail(finalText: string): void {
     const {socket} = this.raw;
-    this.raw.write(lastWords, () => socket?.destroySoon());
+    this.raw.write(finalText, () => socket?.destroySoon());
   }
 
-  private begin(): void {
-    if (this.hasBegun) return;
-    this.hasBegun = true;
+  private sendHeaders(): void {
+    if (this.hasStarted) return;
+    this.hasStarted = true;
     const {reply, headers} = this.options;
     reply.hijack();
     this.raw.writeHead(200, {
@@ -86,30 +83,28 @@
     });
   }
 
-  /**
-   * Guards against a caller that reads slowly or not at all: what the engine
-   * sends would pile up in this process. Nothing more is read from the engine
-   * until the caller has read, and it may not take longer than the limit.
-   */
-  private waitUntilRead(): Promise<void> {
+  /** Keeps data for a slow caller from accumulating in this process. */
+  private waitForDrain(): Promise<void> {
     const {clock, stallMs} = this.options;
     return new Promise(resolve => {
       const finish = () => {
         timer.cancel();
         this.raw.off('drain', finish);
-        this.lost.removeEventListener('abort', finish);
+        this.lostSignal.removeEventListener('abort', finish);
         resolve();
       };
-      const timer = clock.setTimer(stallMs, () => this.loseCaller('stalled'));
+      const timer = clock.setTimer(stallMs, () =>
+        this.markCallerLost('stalled'),
+      );
       this.raw.once('drain', finish);
-      this.lost.addEventListener('abort', finish, {once: true});
+      this.lostSignal.addEventListener('abort', finish, {once: true});
     });
   }
 
-  private loseCaller(fate: 'gone' | 'stalled'): void {
-    if (this.callerFate !== 'reading' || this.raw.writableFinished) return;
-    this.callerFate = fate;
-    this.leaving.abort();
+  private markCallerLost(status: 'gone' | 'stalled'): void {
+    if (this.currentStatus !== 'reading' || this.raw.writableFinished) return;
+    this.currentStatus = status;
+    this.lostController.abort();
     this.raw.destroy();
   }
 }
--- a/packages/serve-callers/src/resume_routes.ts
+++ b/packages/serve-callers/src/resume_routes.ts
@@ -1,4 +1,4 @@
-/** Answers that go on: resumed at any node, or cancelled. */
+/** Routes that resume or cancel a request at any node. */
 import {type RequestToken} from '@mimosatack/answer-streams';
 import {TypedError} from '@mimosatack/errors';
 import {
@@ -14,17 +14,16 @@
   resumeStream,
 } from './engine_streams.js';
 import {openStreamScope} from './stream_scope.js';
-import {readTerms} from './request_terms.js';
+import {readRequestOptions} from './request_options.js';
 import {relayStream} from './stream_relay.js';
 
 interface RequestRoute {
   Params: {token: string};
 }
 
-const EVENT_ID_FORM = /^\d{1,15}$/;
+const ID_REGEX = /^\d{1,15}$/;
 const HTTP_ACCEPTED = 202;
 
-/** Adds the routes under `/v1/requests` to the callers' server. */
 export function addResumeRoutes(
   server: FastifyInstance,
   context: CallerContext,
@@ -46,17 +45,17 @@
   );
 }
 
-/** The last event that the caller has, or -1. */
+/** Returns -1 when the caller has no events. */
 function readLastEventId(incoming: FastifyRequest): number {
   const text = incoming.headers['last-event-id'];
   if (text === undefined || text === '') return -1;
-  if (typeof text === 'string' && EVENT_ID_FORM.test(text)) return Number(text);
+  if (typeof text === 'string' && ID_REGEX.test(text)) return Number(text);
   throw new TypedError('bad-request', 'Last-Event-ID must be an event id.', {
     run: 'not-run',
   });
 }
 
-/** Every reason for refusing looks the same, so that nobody learns from it. */
+/** Every refusal is identical, so that callers cannot probe for requests. */
 function readToken(
   incoming: FastifyRequest<RequestRoute>,
   context: CallerContext,
@@ -72,8 +71,9 @@
 }
 
 function makeNotFound(): TypedError {
-  return new TypedError('not-found', 'There is no such request.', {
-    remedy: 'Use the x-request-id of an answer to this team; send it again.',
+  return new TypedError('not-found', 'No request with this id was found.', {
+    remedy:
+      'Use the x-request-id of an answer to this team, or repeat the request.',
   });
 }
 
@@ -84,10 +84,14 @@
   const {stewardship} = context.state();
   const server = stewardship.findBackendServer(backendServerId);
   if (server) return {baseUrl: server.baseUrl, engineRequestId};
-  throw new TypedError('stream-broken', 'The backend server is gone.', {
-    run: 'unknown',
-    remedy: 'Send the request again and drop this answer.',
-  });
+  throw new TypedError(
+    'stream-broken',
+    'The backend server that ran the request is gone.',
+    {
+      run: 'unknown',
+      remedy: 'Send the request again and drop this answer.',
+    },
+  );
 }
 
 async function resume(
@@ -99,7 +103,7 @@
 ): Promise<void> {
   const {engineRequestId, backendServerId} = token;
   const engine = findEngine(token, context);
-  const {deadlineMs} = readTerms(incoming.headers, context.limits);
+  const {deadlineMs} = readRequestOptions(incoming.headers, context.limits);
   incoming.workInFlight?.nameRequest(engineRequestId);
   noteResumed(token, context);
   context.logger.log('stream-resumed', {
--- a/packages/serve-callers/src/second_run.test.ts
+++ b/packages/serve-callers/src/second_run.test.ts
@@ -24,7 +24,7 @@
 
 const test = suite('a second run on another replica');
 
-/** Far enough for the answers to two prompts to differ. */
+/** By this event, the answers to two prompts differ. */
 const KILL_AFTER_ID = 10;
 
 type Prompt = ReturnType<typeof makePrompt>;
@@ -48,7 +48,7 @@
   };
 }
 
-/** Relays `prompt` from one engine; the other runs `second` when it dies. */
+/** Relays `prompt` from one engine; the other runs `second` after a crash. */
 async function relayOverTwo(prompt: Prompt, second: Prompt) {
   const engines = [
     await startWarmEngine('r1', {tokenMs: 2}),
@@ -83,16 +83,15 @@
   return {...received, secondRuns};
 }
 
-test('goes on where the first one died', async () => {
-  // A caller would get an error after half its answer, though another
-  // replica gives the same one: the engine dies mid-stream.
+test('continues where the first run crashed', async () => {
+  // Guards against failing a stream that another replica can complete.
   const prompt = makePrompt(300, {temperature: 0});
   const received = await relayOverTwo(prompt, prompt);
   assert.is(received.text, expectedText(prompt));
   assert.ok(received.isEnded);
 });
 
-test('is not passed on where it differs', async () => {
+test('is not relayed when its output differs', async () => {
   const prompt = makePrompt(300, {seed: 7});
   const other = {...prompt, messages: [{role: 'user', content: 'rye bread'}]};
   const received = await relayOverTwo(prompt, other);
@@ -102,7 +101,7 @@
   assert.is(received.secondRuns, 1);
 });
 
-test('is not begun where sampling is random', async () => {
+test('is not started when sampling is random', async () => {
   const prompt = makePrompt(300);
   const received = await relayOverTwo(prompt, prompt);
   assert.is(received.errorKind, 'stream-broken');
--- a/packages/serve-callers/src/service_dispatch.ts
+++ b/packages/serve-callers/src/service_dispatch.ts
@@ -1,4 +1,4 @@
-/** Hands a call to a backend server of a plain service. */
+/** Sends a call to a backend server of a plain service. */
 import {type ServiceContent} from '@mimosatack/agreed-state';
 import {exchangeOnce} from '@mimosatack/dispatch-requests';
 import {TypedError, toTypedError} from '@mimosatack/errors';
@@ -7,7 +7,6 @@
 import {type CallerContext} from './caller_context.js';
 import {type DispatchTerms} from './unrepeatable_request.js';
 
-/** A call, ready to be handed over. */
 export interface ServiceCall {
   service: ServiceContent;
   callName: string;
@@ -20,9 +19,9 @@
 const RETRY_AFTER_MS = 1_000;
 
 /**
- * Hands the call to one backend server. Only while nothing of it has been
- * written to a connection does it go to another one: after that nobody can
- * tell whether it ran. An answer is passed on as it is, whatever its status.
+ * Sends the call to one backend server, and to another only while no byte was
+ * written to a connection: after that, the call may have run. Resolves with the
+ * answer whatever its status code.
  */
 export async function sendToService(
   call: ServiceCall,
@@ -36,7 +35,7 @@
       return await sendTo(id, call, terms, context);
     } catch (thrown) {
       const error = toTypedError(thrown);
-      const isLast = listOpen(call, tried, context).length <= 1;
+      const isLast = listUntried(call, tried, context).length <= 1;
       if (error.run !== 'not-run' || isLast) throw error;
       tried.add(id);
     }
@@ -51,7 +50,7 @@
 ): Promise<KeptAnswer> {
   const {clock, router} = context;
   const remainingMs = terms.startBeforeMs - clock.monotonicMs();
-  if (remainingMs <= 0) throw makeTooLate();
+  if (remainingMs <= 0) throw makeDeadlineExceeded();
   const server = context.state().stewardship.findBackendServer(id);
   router.noteSent(id);
   try {
@@ -76,16 +75,16 @@
   tried: ReadonlySet<BackendServerId>,
   context: CallerContext,
 ): BackendServerId {
-  const candidates = listOpen(call, tried, context);
+  const candidates = listUntried(call, tried, context);
   const id = context.router.choose({candidates, excluded: tried});
   if (id !== null) return id;
-  throw new TypedError('overloaded', 'No backend server is there.', {
+  throw new TypedError('overloaded', 'No backend server is available.', {
     run: 'not-run',
     retryAfterMs: RETRY_AFTER_MS,
   });
 }
 
-function listOpen(
+function listUntried(
   {service}: ServiceCall,
   tried: ReadonlySet<BackendServerId>,
   context: CallerContext,
@@ -98,8 +97,12 @@
     .filter(id => !tried.has(id));
 }
 
-function makeTooLate(): TypedError {
-  return new TypedError('deadline-exceeded', 'There was no time left.', {
-    run: 'not-run',
-  });
+function makeDeadlineExceeded(): TypedError {
+  return new TypedError(
+    'deadline-exceeded',
+    'The deadline passed before the call was sent.',
+    {
+      run: 'not-run',
+    },
+  );
 }
--- a/packages/serve-callers/src/service_routes.ts
+++ b/packages/serve-callers/src/service_routes.ts
@@ -1,4 +1,4 @@
-/** Calls to plain services, some of which may run at most once. */
+/** Routes for calls to plain services, some of which run at most once. */
 import {type IncomingHttpHeaders} from 'node:http';
 import {type ServiceContent} from '@mimosatack/agreed-state';
 import {TypedError, toTypedError} from '@mimosatack/errors';
@@ -6,10 +6,10 @@
 import {type FastifyInstance, type FastifyRequest} from 'fastify';
 import {type Caller, authenticateCaller} from '@mimosatack/authenticate';
 import {type CallerContext} from './caller_context.js';
-import {type RequestTerms, readTerms} from './request_terms.js';
+import {type RequestOptions, readRequestOptions} from './request_options.js';
 import {type ServiceCall, sendToService} from './service_dispatch.js';
 import {
-  findRunBeforeKey,
+  findRunBeforeKeyLookup,
   isUnrepeatableCall,
   readUnrepeatable,
 } from './unrepeatable_calls.js';
@@ -25,16 +25,15 @@
 }
 
 const DEFAULT_CONTENT_TYPE = 'application/json';
-/** Headers of the caller that backend servers and other nodes get. */
-const PASSED_HEADERS = ['content-type', 'x-request-id', 'x-priority'];
+/** Caller headers that are sent to backend servers and other nodes. */
+const PASS_THROUGH_HEADERS = ['content-type', 'x-request-id', 'x-priority'];
 
-/** Adds the plain-service routes to the callers' server. */
 export function addServiceRoutes(
   server: FastifyInstance,
   context: CallerContext,
 ): void {
   void server.register(async scope => {
-    takeBodiesAsBytes(scope);
+    parseBodiesAsBuffers(scope);
     scope.post<ServiceRoute>(
       '/v1/services/:service/:call',
       async (incoming, reply) => {
@@ -49,8 +48,8 @@
   });
 }
 
-/** A call's body is passed on byte by byte; the service alone reads it. */
-function takeBodiesAsBytes(scope: FastifyInstance): void {
+/** Services get the original bytes of the body. */
+function parseBodiesAsBuffers(scope: FastifyInstance): void {
   scope.removeAllContentTypeParsers();
   scope.addContentTypeParser(
     '*',
@@ -66,21 +65,23 @@
   try {
     return await runCall(incoming, context);
   } catch (thrown) {
-    throw hideNotRun(toTypedError(thrown), incoming.headers);
+    throw correctRunOutcome(toTypedError(thrown), incoming.headers);
   }
 }
 
 /**
- * Guards against a refusal before the key is looked up, such as for a service
- * that was deleted meanwhile: an earlier attempt with the key may have run.
+ * Guards against a wrong `not-run` in a refusal before the key lookup, such as
+ * for a deleted service: an earlier attempt with the key may have run.
  */
-function hideNotRun(
+function correctRunOutcome(
   error: TypedError,
   headers: IncomingHttpHeaders,
 ): TypedError {
-  const isBeforeKey =
+  const isBeforeKeyLookup =
     error.kind === 'not-found' || error.kind === 'bad-request';
-  return isBeforeKey ? error.withRun(findRunBeforeKey(headers)) : error;
+  return isBeforeKeyLookup
+    ? error.withRun(findRunBeforeKeyLookup(headers))
+    : error;
 }
 
 async function runCall(
@@ -89,16 +90,16 @@
 ): Promise<UnrepeatableAnswer> {
   const {headers, params, body} = incoming;
   const caller = authenticateCaller(headers.authorization, context.state());
-  const terms = readTerms(headers, context.limits);
+  const options = readRequestOptions(headers, context.limits);
   const service = findService(params, context);
   const call: ServiceCall = {
     service,
     callName: params.call,
-    headers: makeCallHeaders(headers, terms),
+    headers: makeCallHeaders(headers, options),
     body: Buffer.isBuffer(body) ? body : Buffer.alloc(0),
   };
   const expiresAtMs =
-    context.clock.monotonicMs() + findDeadlineMs(service, params.call, terms);
+    context.clock.monotonicMs() + findDeadlineMs(service, params.call, options);
   const isUnrepeatable =
     readUnrepeatable(headers) ||
     isUnrepeatableCall(
@@ -111,26 +112,26 @@
     return {answer, isReplay: false, headers: {}};
   }
   return context.unrepeatable.run(
-    makeRequest(incoming, caller, call, terms, expiresAtMs),
-    makeStart(call, context),
+    makeUnrepeatableRequest(incoming, caller, call, options, expiresAtMs),
+    makeStartRun(call, context),
   );
 }
 
-function makeStart(call: ServiceCall, context: CallerContext): StartRun {
+function makeStartRun(call: ServiceCall, context: CallerContext): StartRun {
   return terms => sendToService(call, terms, context);
 }
 
-function makeRequest(
+function makeUnrepeatableRequest(
   incoming: FastifyRequest<ServiceRoute>,
   caller: Caller,
   call: ServiceCall,
-  terms: RequestTerms,
+  options: RequestOptions,
   expiresAtMs: number,
 ): UnrepeatableRequest {
   const {headers, url} = incoming;
   return {
     team: caller.team,
-    idempotencyKey: terms.idempotencyKey,
+    idempotencyKey: options.idempotencyKey,
     path: url,
     body: call.body,
     expiresAtMs,
@@ -157,20 +158,30 @@
   try {
     return await sendToService(call, terms, context);
   } catch (thrown) {
-    throw describeLost(toTypedError(thrown), controller.signal.aborted);
+    throw replaceOutcomeUnknown(
+      toTypedError(thrown),
+      controller.signal.aborted,
+    );
   } finally {
     timer.cancel();
   }
 }
 
-/** A call that may be repeated has no key whose outcome could be asked for. */
-function describeLost(error: TypedError, isTimeOver: boolean): TypedError {
+/** A repeatable call has no key by which its outcome could be looked up. */
+function replaceOutcomeUnknown(
+  error: TypedError,
+  hasTimedOut: boolean,
+): TypedError {
   if (error.kind !== 'outcome-unknown') return error;
-  return isTimeOver
-    ? new TypedError('deadline-exceeded', 'No answer came in time.', {
-        run: 'unknown',
-      })
-    : new TypedError('backend-failed', 'The answer broke off.', {
+  return hasTimedOut
+    ? new TypedError(
+        'deadline-exceeded',
+        'No answer arrived before the deadline.',
+        {
+          run: 'unknown',
+        },
+      )
+    : new TypedError('backend-failed', 'The answer was lost or incomplete.', {
         run: 'unknown',
         cause: error,
       });
@@ -184,7 +195,7 @@
     .state()
     .configuration.find('service', service)?.content;
   if (content && Object.hasOwn(content.calls, call)) return content;
-  throw new TypedError('not-found', `There is no call ${service}/${call}.`, {
+  throw new TypedError('not-found', `Call ${service}/${call} does not exist.`, {
     run: 'not-run',
   });
 }
@@ -192,16 +203,16 @@
 function findDeadlineMs(
   service: ServiceContent,
   callName: string,
-  {deadlineMs}: RequestTerms,
+  {deadlineMs}: RequestOptions,
 ): number {
   return Math.min(deadlineMs, service.calls[callName]?.timeoutMs ?? deadlineMs);
 }
 
 function makeCallHeaders(
   headers: IncomingHttpHeaders,
-  {idempotencyKey}: RequestTerms,
+  {idempotencyKey}: RequestOptions,
 ): Record<string, string> {
-  const passed = PASSED_HEADERS.flatMap(name => {
+  const passed = PASS_THROUGH_HEADERS.flatMap(name => {
     const value = headers[name];
     return typeof value === 'string' ? [[name, value] as const] : [];
   });
--- a/packages/serve-callers/src/serving_sets.ts
+++ b/packages/serve-callers/src/serving_sets.ts
@@ -1,4 +1,4 @@
-/** Which replicas serve a model now, and when one will if none does. */
+/** Finds the replicas that serve a model, or when one is expected to. */
 import {type Outlook} from '@mimosatack/admit-requests';
 import {
   type AgreedState,
@@ -10,40 +10,38 @@
 import {type EngineBoard} from '@mimosatack/engine-board';
 import {type BackendServerId} from '@mimosatack/types';
 import {type ModelSelection} from './completion_request.js';
-import {LoadTimes} from './load_times.js';
+import {LoadTimeEstimator} from './load_time_estimator.js';
 
-/** What the outlook is made from. */
 export interface ServingSetsOptions {
   clock: Clock;
   state(): AgreedState;
   board: EngineBoard;
   isLeaving(id: BackendServerId): boolean;
-  /** Asks for a replica of a model that requests wait for. */
+  /** Reports that requests wait for a replica of the model. */
   noteDemand(model: string): void;
 }
 
-/** How long it takes until a demanded replica is decided. */
-const DECISION_MS = 1_000;
-/** After this long a demand counts as not heard. */
+/** The expected time until the scheduling node decides on a replica. */
+const EXPECTED_DECISION_MS = 1_000;
+/** A demand without a decision for this long is not expected to be met. */
 const MAX_DECISION_MS = 3_000;
-/** The transfer from the weight store where no plan says how long it takes. */
+/** The assumed transfer time from the weight store when no plan gives one. */
 const DEFAULT_STORE_MS = 1_500;
-/** Demand for one model is passed on no more often than this. */
+/** The minimum interval between demand reports for one model. */
 const DEMAND_INTERVAL_MS = 500;
-/** Demand that is not repeated for this long counts as new. */
-const DEMAND_KEPT_MS = 10_000;
-/** When to ask again for a model that nothing is going to load. */
+/** A demand that is repeated after this long counts as new. */
+const DEMAND_TTL_MS = 10_000;
+/** The retry time for a cold model without an upcoming event. */
 const COLD_RETRY_MS = 30_000;
 
 interface Demand {
   firstAtMs: number;
   lastAtMs: number;
-  passedOnAtMs: number;
+  forwardedAtMs: number;
 }
 
-/** The replicas of all models, as this node knows them. */
 export class ServingSets {
-  private readonly loadTimes = new LoadTimes();
+  private readonly loadTimes = new LoadTimeEstimator();
   private readonly demands = new Map<string, Demand>();
   private slotIndex = {
     state: null as AgreedState | null,
@@ -59,7 +57,7 @@
     );
   }
 
-  /** The backend servers that may be sent requests for a model now. */
+  /** The backend servers that can serve the model now. */
   listCandidates({model, adapter}: ModelSelection): BackendServerId[] {
     const {placement} = this.options.state();
     const nowMs = this.options.clock.wallMs();
@@ -80,23 +78,23 @@
       this.demands.delete(selection.model);
       return {status: 'serving'};
     }
-    const slotMs = this.expectSlotMs(selection);
-    const demandMs = this.expectDemandMs(selection);
+    const slotMs = this.estimateSlotMs(selection);
+    const demandMs = this.estimateDemandMs(selection);
     const expectedInMs = Math.min(slotMs, demandMs);
     if (!Number.isFinite(slotMs) || demandMs < slotMs) {
       this.noteDemand(selection.model);
     }
     return Number.isFinite(expectedInMs)
       ? {status: 'warming', expectedInMs}
-      : {status: 'cold', comeBackInMs: this.findComeBackMs(selection)};
+      : {status: 'cold', comeBackInMs: this.findRetryAfterMs(selection)};
   }
 
-  /** Infinite when no replica is decided. */
-  private expectSlotMs(selection: ModelSelection): number {
+  /** Infinity when no slot is decided. */
+  private estimateSlotMs(selection: ModelSelection): number {
     const nowMs = this.options.clock.wallMs();
     const expectedMs = this.listSlots(selection.model)
       .filter(slot => this.mayServe(slot, selection, nowMs))
-      .map(slot => this.loadTimes.expectLeftMs(slot, nowMs));
+      .map(slot => this.loadTimes.estimateRemainingMs(slot, nowMs));
     return Math.min(Infinity, ...expectedMs);
   }
 
@@ -117,20 +115,19 @@
   }
 
   /**
-   * Infinite when none may be loaded on demand, and when the demand has been
-   * there for so long without a decision that none is to be expected, such as
-   * during an outage of the log service.
+   * Infinity when the model cannot be loaded on demand, or when the demand has
+   * had no decision for too long, as during an outage of the log service.
    */
-  private expectDemandMs(selection: ModelSelection): number {
+  private estimateDemandMs(selection: ModelSelection): number {
     const {model} = selection;
     if (!this.mayLoadOnDemand(selection)) return Infinity;
     const demand = this.demands.get(model);
-    const askedForMs = demand
+    const demandAgeMs = demand
       ? this.options.clock.monotonicMs() - demand.firstAtMs
       : 0;
-    if (askedForMs > MAX_DECISION_MS) return Infinity;
-    const decisionMs = Math.max(0, DECISION_MS - askedForMs);
-    return decisionMs + this.loadTimes.expectMs(DEFAULT_STORE_MS);
+    if (demandAgeMs > MAX_DECISION_MS) return Infinity;
+    const decisionMs = Math.max(0, EXPECTED_DECISION_MS - demandAgeMs);
+    return decisionMs + this.loadTimes.estimateMs(DEFAULT_STORE_MS);
   }
 
   private mayLoadOnDemand({model, adapter}: ModelSelection): boolean {
@@ -139,7 +136,7 @@
     const maxReplicas =
       configuration.find('model', model)?.content.onDemand.maxReplicas ?? 0;
     if (maxReplicas > 0 && adapter === null) return true;
-    // A policy that loads on the first request decides no slot before it.
+    // A policy that loads on the first request decides no slot in advance.
     return this.listEvents(model).some(
       event =>
         event.startsAtMs <= nowMs &&
@@ -155,18 +152,18 @@
   private noteDemand(model: string): void {
     const nowMs = this.options.clock.monotonicMs();
     const known = this.demands.get(model);
-    const isOld = !known || nowMs - known.lastAtMs > DEMAND_KEPT_MS;
-    const demand: Demand = isOld
-      ? {firstAtMs: nowMs, lastAtMs: nowMs, passedOnAtMs: -Infinity}
+    const isStale = !known || nowMs - known.lastAtMs > DEMAND_TTL_MS;
+    const demand: Demand = isStale
+      ? {firstAtMs: nowMs, lastAtMs: nowMs, forwardedAtMs: -Infinity}
       : {...known, lastAtMs: nowMs};
-    const isDue = nowMs - demand.passedOnAtMs >= DEMAND_INTERVAL_MS;
-    if (isDue) demand.passedOnAtMs = nowMs;
+    const isDue = nowMs - demand.forwardedAtMs >= DEMAND_INTERVAL_MS;
+    if (isDue) demand.forwardedAtMs = nowMs;
     this.demands.set(model, demand);
     if (isDue) this.options.noteDemand(model);
   }
 
-  /** When the next event that needs the model starts. */
-  private findComeBackMs({model}: ModelSelection): number {
+  /** The time until the next event that needs the model. */
+  private findRetryAfterMs({model}: ModelSelection): number {
     const nowMs = this.options.clock.wallMs();
     const startsInMs = this.listEvents(model)
       .map(event => event.startsAtMs - nowMs)
@@ -184,9 +181,9 @@
   private listSlots(model: string): readonly Slot[] {
     const state = this.options.state();
     const {slotIndex} = this;
-    const isOld =
+    const isStale =
       slotIndex.state !== state || slotIndex.sequence !== state.sequence;
-    if (isOld) {
+    if (isStale) {
       const slots = indexByModel(state.placement.list());
       this.slotIndex = {state, sequence: state.sequence, slots};
     }
--- a/packages/serve-callers/src/simulated_routers.ts
+++ b/packages/serve-callers/src/simulated_routers.ts
@@ -1,4 +1,4 @@
-/** Routers before engine stand-ins in simulated time, for measurements. */
+/** Simulates routers and engines on a manual clock, for measurements. */
 import {AdmissionGate, type Outlook} from '@mimosatack/admit-requests';
 import {ManualClock} from '@mimosatack/clock';
 import {SeededRandom, pickOne} from '@mimosatack/random';
@@ -8,7 +8,7 @@
 
 export const ROUTERS = 8;
 export const ENGINES = 12;
-export const PLACES = 8;
+export const MAX_RUNNING = 8;
 const FIRST_TOKEN_MS = 20;
 const TOKEN_MS = 5;
 const MIN_TOKENS = 4;
@@ -16,39 +16,36 @@
 const REPORT_LAG_MS = 500;
 const REPORT_INTERVAL_MS = 500;
 const MODEL = 'm';
-const SETTLE_MS = 120_000;
+const COOL_DOWN_MS = 120_000;
 
 const MEAN_SERVICE_MS =
   FIRST_TOKEN_MS + TOKEN_MS * ((MIN_TOKENS + MAX_TOKENS) / 2 - 1);
 
-/** What became of one request; times since it arrived. */
+/** The outcome of one request; times are relative to its arrival. */
 export interface SimulatedOutcome {
   status: 'answered' | 'refused';
-  /** Until an engine began it. */
+  /** Until an engine started it. */
   waitedMs: number;
   /** Until its final answer. */
-  tookMs: number;
+  latencyMs: number;
 }
 
-/** What is simulated. */
 export interface SimulationOptions {
   strategy: StrategyName;
-  /** Requests as a share of what all engines can do. */
+  /** Offered load as a fraction of the capacity of all engines. */
   utilization: number;
   seed: number;
-  /** How long requests arrive; those that arrive before the second don't count. */
+  /** How long requests arrive. */
   durationMs: number;
+  /** Requests that arrive earlier are not counted. */
   warmUpMs: number;
   deadlineMs: number;
 }
 
-/** One way to choose, as one router does it. */
+/** A routing strategy, as run by one router. */
 interface Strategy {
   noteReport(engine: number, load: LoadReport): void;
-  /**
-   * Calls `start` with the engine once the request may be sent to it, or
-   * rejects.
-   */
+  /** Calls `start` with the chosen engine, or rejects a refused request. */
   send(
     requestId: string,
     deadlineMs: number,
@@ -56,18 +53,18 @@
   ): Promise<void>;
 }
 
-interface World {
+interface Simulation {
   clock: ManualClock;
   random: SeededRandom;
   engines: EngineStandIn[];
 }
 
 const STRATEGIES = {
-  random: ({random}: World): Strategy => ({
+  random: ({random}: Simulation): Strategy => ({
     noteReport: () => undefined,
     send: (_id, _deadlineMs, start) => start(random.nextInt(0, ENGINES - 1)),
   }),
-  leastReported: ({random}: World): Strategy => {
+  leastReported: ({random}: Simulation): Strategy => {
     const loads = new Map<number, number>();
     return {
       noteReport: (engine, load) =>
@@ -79,42 +76,47 @@
       },
     };
   },
-  mimosatack: makeOwn,
+  mimosatack: makeMimosatackStrategy,
 } as const;
 
 export type StrategyName = keyof typeof STRATEGIES;
 export const STRATEGY_NAMES = Object.keys(STRATEGIES) as StrategyName[];
 
-/** Runs one simulation and tells the outcomes after the warm-up. */
+/** Runs one simulation; resolves with the outcomes after the warm-up. */
 export async function simulate(
   options: SimulationOptions,
 ): Promise<SimulatedOutcome[]> {
-  const world = makeWorld(options.seed);
-  const {clock, random} = world;
+  const simulation = makeSimulation(options.seed);
+  const {clock, random} = simulation;
   const routers = Array.from({length: ROUTERS}, () =>
-    STRATEGIES[options.strategy](world),
+    STRATEGIES[options.strategy](simulation),
   );
-  startReports(world, routers);
+  startReports(simulation, routers);
   const outcomes: SimulatedOutcome[] = [];
-  const perMs = (ENGINES * PLACES * options.utilization) / MEAN_SERVICE_MS;
+  const perMs = (ENGINES * MAX_RUNNING * options.utilization) / MEAN_SERVICE_MS;
   const startMs = clock.monotonicMs();
   const elapsedMs = () => clock.monotonicMs() - startMs;
   for (let count = 0; elapsedMs() < options.durationMs; count += 1) {
     await advance(clock, -Math.log(1 - random.nextFraction()) / perMs);
     const router = routers[random.nextInt(0, ROUTERS - 1)] as Strategy;
     const isCounted = elapsedMs() >= options.warmUpMs;
-    const sent = sendOne(world, router, `${count}`, options.deadlineMs);
+    const sent = sendRequest(
+      simulation,
+      router,
+      `${count}`,
+      options.deadlineMs,
+    );
     void sent.then(outcome => {
       if (isCounted) outcomes.push(outcome);
     });
-    await settle();
+    await flushPromises();
   }
-  await advance(clock, SETTLE_MS);
+  await advance(clock, COOL_DOWN_MS);
   return outcomes;
 }
 
-async function sendOne(
-  {clock, random, engines}: World,
+async function sendRequest(
+  {clock, random, engines}: Simulation,
   router: Strategy,
   requestId: string,
   deadlineMs: number,
@@ -124,26 +126,26 @@
   let waitedMs = 0;
   const start = async (index: number) => {
     const engine = engines[index] as EngineStandIn;
-    waitedMs = (await run(engine, requestId, tokens)) - arrivedMs;
+    waitedMs = (await runOnEngine(engine, requestId, tokens)) - arrivedMs;
   };
   const status = await router.send(requestId, deadlineMs, start).then(
     () => 'answered' as const,
     () => 'refused' as const,
   );
-  return {status, waitedMs, tookMs: clock.monotonicMs() - arrivedMs};
+  return {status, waitedMs, latencyMs: clock.monotonicMs() - arrivedMs};
 }
 
-function startReports({clock, engines}: World, routers: Strategy[]): void {
+function startReports({clock, engines}: Simulation, routers: Strategy[]): void {
   engines.forEach((engine, index) => {
     const {load} = engine.readState();
     routers.forEach(router => router.noteReport(index, load));
   });
   clock.setTimer(REPORT_INTERVAL_MS, () =>
-    startReports({clock, engines} as World, routers),
+    startReports({clock, engines} as Simulation, routers),
   );
 }
 
-function makeOwn({clock, random}: World): Strategy {
+function makeMimosatackStrategy({clock, random}: Simulation): Strategy {
   const router = new Router({
     clock,
     random,
@@ -190,18 +192,18 @@
   };
 }
 
-/** Lets the promises of what has happened run before time goes on. */
-function settle(): Promise<void> {
+/** Lets pending promise callbacks run before the clock advances. */
+function flushPromises(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
 
-function makeWorld(seed: number): World {
+function makeSimulation(seed: number): Simulation {
   const clock = new ManualClock();
   const engines = Array.from({length: ENGINES}, (_, index) => {
     const engine = new EngineStandIn(
       {
         backendServerId: `${index}`,
-        maxRunning: PLACES,
+        maxRunning: MAX_RUNNING,
         firstTokenMs: FIRST_TOKEN_MS,
         tokenMs: TOKEN_MS,
         loadReportLagMs: REPORT_LAG_MS,
@@ -225,20 +227,20 @@
   return {clock, random: new SeededRandom(seed), engines};
 }
 
-/** Moves time on timer by timer, so that promises run in between. */
+/** Advances timer by timer and runs promise callbacks in between. */
 async function advance(clock: ManualClock, deltaMs: number): Promise<void> {
   const targetMs = clock.monotonicMs() + deltaMs;
   let nextMs = clock.nextTimerMs() ?? Infinity;
   while (nextMs <= targetMs) {
     clock.advance(nextMs - clock.monotonicMs());
-    await settle();
+    await flushPromises();
     nextMs = clock.nextTimerMs() ?? Infinity;
   }
   clock.advance(targetMs - clock.monotonicMs());
 }
 
-/** Resolves at the end with the time at which the engine began. */
-function run(
+/** Resolves when the request ends, with the time at which it started. */
+function runOnEngine(
   engine: EngineStandIn,
   requestId: string,
   maxTokens: number,
--- a/packages/serve-callers/src/stream_relay.ts
+++ b/packages/serve-callers/src/stream_relay.ts
@@ -1,4 +1,4 @@
-/** Relays the stream of one answer from engines to one caller. */
+/** Relays a streamed answer from engines to a caller. */
 import {
   type AnswerLimits,
   DEFAULT_ANSWER_LIMITS,
@@ -21,22 +21,20 @@
 import {mergeSignals} from './stream_scope.js';
 import {ResponseSink} from './response_sink.js';
 
-/** One run of a request on one engine. */
 export interface EngineRun {
   backendServerId: BackendServerId;
   engineRequestId: string;
-  /** The engine's answer in hand, or null to begin by resuming. */
+  /** The engine's open stream, or null to start with `resume`. */
   first: OpenStream | null;
-  /** The engine's stream again, from an event on; `not-found` is final. */
+  /** Reopens the stream at event `fromId`; `not-found` is final. */
   resume(fromId: number, signal: AbortSignal): Promise<OpenStream>;
 }
 
-/** What is relayed, to whom, and within which limits. */
 export interface StreamRelayInput {
   run: EngineRun;
-  /** The id under which the caller may resume; sent as `x-request-id`. */
+  /** The id that the caller can resume with; sent as `x-request-id`. */
   requestToken: string;
-  /** The first event that the caller lacks. */
+  /** The first event that the caller has not received. */
   firstId: number;
   reply: FastifyReply;
   maxAnswerBytes: number;
@@ -44,41 +42,41 @@
   clock: Clock;
   random: RandomSource;
   logger: EventLogger;
-  /** Ends the stream with its reason, a typed error. */
+  /** Ends the stream; the abort reason is a typed error. */
   signal: AbortSignal;
-  /** Called once, when the first events are there and are about to be sent. */
+  /** Called once, before the first events are sent. */
   onFirstEvents?(): void;
   /**
-   * Runs the request once more on another replica when this one can't finish
-   * it; null when there is none. Left out where two runs may differ.
+   * Runs the request again on another replica when the current run fails, or
+   * resolves with null when there is none. Must be omitted when the output of
+   * two runs may differ.
    */
   runElsewhere?(error: TypedError): Promise<EngineRun | null>;
 }
 
-/** What came of a relayed stream. */
 export interface RelayOutcome {
   status: 'whole' | 'broken' | 'caller-gone' | 'caller-stalled';
-  /** Why the stream broke, as the caller was told. */
+  /** The error that was sent to the caller of a broken stream. */
   error: TypedError | null;
   sentEvents: number;
 }
 
 /**
- * Relays until the answer is whole. Rejects only as long as the caller was
- * sent nothing, so that the request can still be answered otherwise; after
- * that a failure is told in the stream, and the connection closed.
+ * Relays until the answer is complete. Rejects only before the caller has
+ * received data, so that the request can be retried; later failures are sent as
+ * an error event, and the connection is closed.
  */
 export function relayStream(input: StreamRelayInput): Promise<RelayOutcome> {
   return new StreamRelay(input).relay();
 }
 
-const MAX_RUNS_ELSEWHERE = 3;
+const MAX_EXTRA_RUNS = 3;
 
 class StreamRelay {
   private readonly sink: ResponseSink;
   private run: EngineRun;
   private sentEvents = 0;
-  private runsElsewhere = 0;
+  private extraRuns = 0;
 
   constructor(private readonly input: StreamRelayInput) {
     this.run = input.run;
@@ -91,7 +89,7 @@
   }
 
   async relay(): Promise<RelayOutcome> {
-    const scope = mergeSignals([this.input.signal, this.sink.lost]);
+    const scope = mergeSignals([this.input.signal, this.sink.lostSignal]);
     try {
       await this.relayAll(scope.signal);
       return this.finish();
@@ -104,7 +102,7 @@
 
   private async relayAll(signal: AbortSignal): Promise<void> {
     for await (const events of this.readRuns(signal)) {
-      if (!this.sink.isBegun) this.input.onFirstEvents?.();
+      if (!this.sink.isStarted) this.input.onFirstEvents?.();
       const text = events.map(formatEvent).join('');
       if (!(await this.sink.write(text))) return;
       this.sentEvents += events.length;
@@ -125,7 +123,7 @@
         return;
       } catch (thrown) {
         const error = toTypedError(thrown);
-        if (!delivered || !(await this.startElsewhere(error))) throw error;
+        if (!delivered || !(await this.startOnOtherReplica(error))) throw error;
         answer = continueElsewhere(delivered, this.readRun(0, signal));
       }
     }
@@ -149,11 +147,11 @@
     });
   }
 
-  private async startElsewhere(error: TypedError): Promise<boolean> {
+  private async startOnOtherReplica(error: TypedError): Promise<boolean> {
     const isRepairable =
       error.kind === 'stream-broken' && !(error instanceof DivergedError);
-    if (!isRepairable || this.runsElsewhere >= MAX_RUNS_ELSEWHERE) return false;
-    this.runsElsewhere += 1;
+    if (!isRepairable || this.extraRuns >= MAX_EXTRA_RUNS) return false;
+    this.extraRuns += 1;
     const next = (await this.input.runElsewhere?.(error)) ?? null;
     if (!next) return false;
     this.input.logger.log('stream-continued-elsewhere', {
@@ -166,33 +164,33 @@
   }
 
   private finish(): RelayOutcome {
-    if (this.sink.fate === 'reading') {
+    if (this.sink.status === 'reading') {
       this.sink.end();
-      return this.makeOutcome('whole', null);
+      return this.toOutcome('whole', null);
     }
-    return this.loseCaller();
+    return this.finishWithoutCaller();
   }
 
   private fail(error: TypedError): RelayOutcome {
-    if (this.sink.fate !== 'reading') return this.loseCaller();
-    if (!this.sink.isBegun) throw error;
+    if (this.sink.status !== 'reading') return this.finishWithoutCaller();
+    if (!this.sink.isStarted) throw error;
     const {engineRequestId: requestId, backendServerId} = this.run;
     this.input.logger.log('stream-broken', {requestId, backendServerId, error});
     this.sink.fail(formatErrorEvent(error));
-    return this.makeOutcome('broken', error);
+    return this.toOutcome('broken', error);
   }
 
-  private loseCaller(): RelayOutcome {
-    if (this.sink.fate === 'gone') return this.makeOutcome('caller-gone', null);
+  private finishWithoutCaller(): RelayOutcome {
+    if (this.sink.status === 'gone') return this.toOutcome('caller-gone', null);
     this.input.logger.log('caller-stalled', {
       requestId: this.run.engineRequestId,
       stalledMs: this.input.callerStallMs,
       sentEvents: this.sentEvents,
     });
-    return this.makeOutcome('caller-stalled', null);
+    return this.toOutcome('caller-stalled', null);
   }
 
-  private makeOutcome(
+  private toOutcome(
     status: RelayOutcome['status'],
     error: TypedError | null,
   ): RelayOutcome {
--- a/packages/serve-callers/src/stream_scope.ts
+++ b/packages/serve-callers/src/stream_scope.ts
@@ -1,17 +1,17 @@
-/** How long a request may go on: until its deadline, or until it is cut off. */
+/** Abort signals that combine a deadline with other signals. */
 import {type Clock} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
 
-/** One signal for several ends; `release` lets go of all of them. */
+/** A combined signal; `release` removes its timer and listeners. */
 export interface StreamScope {
   signal: AbortSignal;
   release(): void;
 }
 
 /**
- * A scope that ends with the deadline or with one of `others`. Listeners are
- * taken off again, since a signal of the whole node lives for ever and would
- * hold on to every request it was merged into.
+ * Opens a scope that aborts at the deadline or with one of `others`. `release`
+ * must be called: a signal that lives as long as the node would otherwise
+ * retain every request.
  */
 export function openStreamScope(
   clock: Clock,
@@ -21,9 +21,13 @@
   const merged = mergeSignals(others);
   const timer = clock.setTimer(deadlineMs, () =>
     merged.abort(
-      new TypedError('deadline-exceeded', `It took over ${deadlineMs} ms.`, {
-        run: 'unknown',
-      }),
+      new TypedError(
+        'deadline-exceeded',
+        `The request exceeded its deadline of ${deadlineMs} ms.`,
+        {
+          run: 'unknown',
+        },
+      ),
     ),
   );
   return {
@@ -35,7 +39,7 @@
   };
 }
 
-/** A signal that is aborted with the first of `signals`, or by hand. */
+/** A signal that aborts with the first of `signals` or by `abort`. */
 export function mergeSignals(
   signals: readonly AbortSignal[],
 ): StreamScope & {abort(reason: unknown): void} {
--- a/packages/serve-callers/src/streams.test.ts
+++ b/packages/serve-callers/src/streams.test.ts
@@ -40,13 +40,12 @@
 }
 
 const DEADLINE_MS = 12_345;
-const MAX_UNREAD = 1024 * 1024;
+const MAX_UNREAD_BYTES = 1024 * 1024;
 
 const streams = suite('streams to callers');
 
-streams('chunks late, doubled, crossed and cut give the right text', () =>
-  // A caller would read swapped, doubled and strange words, or half an
-  // answer: the engine does all of it at once, and its connection breaks.
+streams('repairs reordered, duplicated, crossed and cut chunks', () =>
+  // Guards against relaying the chunks of a faulty engine unchecked.
   withEntries(async ({engine, first}) => {
     engine.core.faults.set({
       ...{reorderFraction: 0.2, doubleFraction: 0.2, crossedAnswers: 2},
@@ -61,9 +60,8 @@
   }),
 );
 
-streams('an engine that dies mid-stream is told, never silent', () =>
-  // A caller would take half an answer for the whole one: the engine dies
-  // after some words, and nobody can give the rest.
+streams('an engine crash mid-stream sends an error event', () =>
+  // Guards against a partial answer that looks complete.
   withEntries(
     async ({engine, first}) => {
       const prompt = makePrompt(2_000);
@@ -86,7 +84,7 @@
   ),
 );
 
-streams('a whole answer of another request is not passed on', () =>
+streams('refuses a whole answer of another request', () =>
   withEntries(async ({engine, first}) => {
     engine.core.faults.set({crossedAnswers: 100});
     const answer = await request(`${first.baseUrl}/v1/chat/completions`, {
@@ -102,7 +100,7 @@
   }),
 );
 
-streams('an answer over its limit ends with its kind', () =>
+streams('an answer over the limit ends with answer-too-large', () =>
   withEntries(
     async ({first}) => {
       const response = await askForStream(first, makePrompt(500));
@@ -114,9 +112,9 @@
   ),
 );
 
-streams('a passed deadline is told, and frees the engine', () => {
-  // A caller would read half an answer and no reason: its deadline passes in
-  // the middle of the stream. The engine would go on for nobody.
+streams('a passed deadline sends an error and cancels at the engine', () => {
+  // Guards against a stream that stops without an error at its deadline, and
+  // against an engine that keeps generating.
   const clock = new SystemClock();
   let passDeadline: () => void = () => undefined;
   const setTimer: Clock['setTimer'] = (delayMs, callback) => {
@@ -143,9 +141,8 @@
   }, overrides);
 });
 
-streams('a caller that does not read is cut off, with little kept', () =>
-  // The node would run out of memory: a caller asks for a long answer and
-  // stops reading, and all that the engine sends piles up.
+streams('cuts off a caller that does not read, with a bounded buffer', () =>
+  // Guards against unbounded memory use for a caller that stops reading.
   withEntries(
     async ({first}) => {
       const words = [{role: 'user', content: 'x'.repeat(50_000)}];
@@ -153,7 +150,9 @@
       const response = await askForStream(first, prompt);
       const listStalls = () => first.logger.fieldsOf('caller-stalled');
       await waitUntil(
-        () => listStalls().length > 0 || first.countUnreadBytes() > MAX_UNREAD,
+        () =>
+          listStalls().length > 0 ||
+          first.countUnreadBytes() > MAX_UNREAD_BYTES,
       );
       assert.is(listStalls().length, 1);
       assert.ok(Number(listStalls()[0]?.sentEvents) < 1_000);
@@ -166,14 +165,15 @@
 
 streams.run();
 
-/** Requests whose callers are gone are kept for longer than any test. */
-const KEEP = {abandoned: new AbandonedRequests(new SystemClock(), 60_000)};
+/** The grace period for abandoned requests outlasts the test. */
+const LONG_GRACE = {
+  abandoned: new AbandonedRequests(new SystemClock(), 60_000),
+};
 
 const resuming = suite('resuming at any node');
 
-resuming('the entry node dies, another gives the rest', () =>
-  // A caller would have to ask again and read the start twice: the node that
-  // took its request dies mid-stream. No node knows of the request.
+resuming('another node continues the stream when the entry node crashes', () =>
+  // Guards against resuming that depends on state in the crashed node.
   withEntries(async ({engine, first, second}) => {
     const prompt = makePrompt(200);
     const start = await receive(await askForStream(first, prompt), 20);
@@ -187,11 +187,11 @@
     assert.is(start.text + rest.text, expectedText(prompt));
     assert.ok(rest.isEnded);
     assert.is(engine.core.observe().requests.length, 1);
-    KEEP.abandoned.stop();
-  }, KEEP),
+    LONG_GRACE.abandoned.stop();
+  }, LONG_GRACE),
 );
 
-resuming('a whole answer can be had again, also from its very end', () =>
+resuming('a completed answer can be resumed from its start and its end', () =>
   withEntries(async ({first, second}) => {
     const prompt = makePrompt(10);
     const {requestToken, lastEventId} = await receive(
@@ -204,9 +204,9 @@
   }),
 );
 
-resuming("another team's, forged and expired ids are refused alike", () =>
-  // A caller would read a stranger's answer, or learn from the refusals which
-  // requests exist: it tries an id it has seen, and ids it made up.
+resuming("another team's, forged and invalid ids get identical refusals", () =>
+  // Guards against reading another team's answer, and against refusals that
+  // reveal which requests exist.
   withEntries(async ({first, second}) => {
     const response = await askForStream(first, makePrompt(5));
     const {requestToken} = await receive(response);
@@ -241,7 +241,7 @@
   }),
 );
 
-resuming('a caller that is gone for good frees the engine', () =>
+resuming('a caller that does not resume gets its request cancelled', () =>
   withEntries(async ({engine, first}) => {
     const response = await askForStream(first, makePrompt(50_000));
     await receive(response, 3);
--- a/packages/serve-callers/src/ticket_runner.ts
+++ b/packages/serve-callers/src/ticket_runner.ts
@@ -1,4 +1,4 @@
-/** Runs requests whose key is a ticket, in the process that gave it out. */
+/** Runs requests whose key is a ticket in the process that issued it. */
 import {type Clock} from '@mimosatack/clock';
 import {toTypedError} from '@mimosatack/errors';
 import {
@@ -6,18 +6,17 @@
   type TicketTable,
   makeOutcomeUnknown,
 } from '@mimosatack/unrepeatable';
-import {isTyped, readVerdict, toAnswer} from './unrepeatable_answers.js';
+import {isNodeAnswer, readVerdict, toAnswer} from './unrepeatable_answers.js';
 import {type Forward, type KeyOwners} from './unrepeatable_forward.js';
 import {
-  type KeyedUnrepeatable,
+  type KeyedUnrepeatableRequest,
   type StartRun,
   type UnrepeatableAnswer,
   type UnrepeatableRequest,
   beginRun,
-  keyRequest,
+  makeKeyedRequest,
 } from './unrepeatable_request.js';
 
-/** What the runner is built from. */
 export interface TicketRunnerOptions {
   clock: Clock;
   incarnation: string;
@@ -26,7 +25,7 @@
   forward: Forward;
 }
 
-/** Runs own tickets and passes those of other processes on. */
+/** Runs tickets of this process and forwards those of other processes. */
 export class TicketRunner {
   constructor(private readonly options: TicketRunnerOptions) {}
 
@@ -37,7 +36,7 @@
   ): Promise<UnrepeatableAnswer> {
     const {clock, incarnation, tickets} = this.options;
     const key = request.idempotencyKey ?? '';
-    const keyed = keyRequest(request, key, ticket.generation);
+    const keyed = makeKeyedRequest(request, key, ticket.generation);
     if (ticket.incarnation !== incarnation) {
       return this.runElsewhere(ticket, keyed);
     }
@@ -48,33 +47,36 @@
   }
 
   /**
-   * Never says `not-run` by itself: the process that the ticket belongs to may
-   * have run it for an earlier request that this node knows nothing of.
+   * Does not report `not-run` on its own: the issuing process may have run an
+   * earlier request with the ticket.
    */
   private async runElsewhere(
     {incarnation}: Ticket,
-    keyed: KeyedUnrepeatable,
+    keyed: KeyedUnrepeatableRequest,
   ): Promise<UnrepeatableAnswer> {
     const {owners, forward} = this.options;
     if (keyed.request.isForwarded) {
-      throw makeOutcomeUnknown('The key belongs to a process that is gone.');
+      throw makeOutcomeUnknown('The process that issued the key has stopped.');
     }
     const target = owners.findProcess(incarnation);
-    if (!target) return this.askHeirs(incarnation, keyed);
+    if (!target) return this.findOutcome(incarnation, keyed);
     try {
       const relayed = await forward(target, keyed.request);
-      if (isTyped(relayed)) return relayed;
-      throw makeOutcomeUnknown('The node that keeps the key is stopping.');
+      if (isNodeAnswer(relayed)) return relayed;
+      throw makeOutcomeUnknown('The node that issued the key is stopping.');
     } catch (thrown) {
       const error = toTypedError(thrown);
-      if (error.run === 'not-run') return this.askHeirs(incarnation, keyed);
-      throw makeOutcomeUnknown('The node that keeps the key was lost.', error);
+      if (error.run === 'not-run') return this.findOutcome(incarnation, keyed);
+      throw makeOutcomeUnknown(
+        'The node that issued the key did not report the outcome.',
+        error,
+      );
     }
   }
 
-  private async askHeirs(
+  private async findOutcome(
     incarnation: string,
-    {generation, keyHash, requestHash}: KeyedUnrepeatable,
+    {generation, keyHash, requestHash}: KeyedUnrepeatableRequest,
   ): Promise<UnrepeatableAnswer> {
     const verdict = await this.options.owners.askHeirs({
       incarnation,
--- a/packages/serve-callers/src/unrepeatable_answers.ts
+++ b/packages/serve-callers/src/unrepeatable_answers.ts
@@ -1,4 +1,4 @@
-/** Answers to requests that run at most once, own ones and relayed ones. */
+/** Converts local and relayed answers to requests that run at most once. */
 import {type WholeAnswer} from '@mimosatack/dispatch-requests';
 import {TypedError} from '@mimosatack/errors';
 import {
@@ -11,17 +11,16 @@
 } from '@mimosatack/unrepeatable';
 import {type UnrepeatableAnswer} from './unrepeatable_request.js';
 
-/** The part of a relayed refusal that matters here. */
 interface RelayedError {
   kind: string;
   run?: string;
 }
 
 const REPLAY_HEADER = 'idempotent-replayed';
-/** Tells an answer of the backend server from a refusal of the system. */
+/** Present on answers of a backend server, absent on a node's refusals. */
 const OUTCOME_HEADER = 'x-run-outcome';
 const RELAYED_HEADERS = ['retry-after', REPLAY_HEADER, OUTCOME_HEADER];
-/** Refusals of a node that has no log, or does not know the caller yet. */
+/** Refusals by a node that could not look up the key. */
 const NO_VERDICT_KINDS = [
   'unauthorized',
   'forbidden',
@@ -30,7 +29,7 @@
   'shutting-down',
 ];
 
-/** An answer of this node. */
+/** Converts an answer of this node. */
 export function toAnswer({answer, isReplay}: KeyedAnswer): UnrepeatableAnswer {
   return {
     answer,
@@ -42,7 +41,7 @@
   };
 }
 
-/** An answer of another node, passed on as it is. */
+/** Converts an answer of another node, which is passed on unchanged. */
 export function relayAnswer({
   headers,
   ...answer
@@ -58,35 +57,39 @@
   };
 }
 
-/** Whether a relayed answer is one of the system's, not of its library. */
-export function isTyped(relayed: UnrepeatableAnswer): boolean {
-  return hasOutcome(relayed) || readError(relayed) !== null;
+/** Whether node code produced the answer, rather than its HTTP library. */
+export function isNodeAnswer(relayed: UnrepeatableAnswer): boolean {
+  return hasRunOutcome(relayed) || readError(relayed) !== null;
 }
 
-/** Takes no refusal of another node, only an answer. */
-export function refuseUnlessRan(
+/** Throws `outcome-unknown` unless the request ran. */
+export function requireRunOutcome(
   relayed: UnrepeatableAnswer,
 ): UnrepeatableAnswer {
-  if (hasOutcome(relayed)) return relayed;
-  throw makeOutcomeUnknown('The keeper of the key has no answer.');
+  if (hasRunOutcome(relayed)) return relayed;
+  throw makeOutcomeUnknown('The node that owns the key has no answer.');
 }
 
 /**
- * A keeper that could not look the key up has handed nothing over, which the
- * error says by `not-run`; of earlier requests it knows nothing.
+ * Throws when the owner could not look up the key. The `not-run` of this error
+ * covers the forwarded attempt only: an earlier request may have run.
  */
-export function refuseIfNoVerdict(
+export function requireVerdict(
   relayed: UnrepeatableAnswer,
 ): UnrepeatableAnswer {
   const error = readError(relayed);
-  const isVerdict = error !== null && !isBeforeKey(error);
-  if (hasOutcome(relayed) || isVerdict) return relayed;
-  throw new TypedError('platform-unavailable', 'The keeper is of no help.', {
-    run: 'not-run',
-  });
+  const isVerdict = error !== null && !isBeforeKeyLookup(error);
+  if (hasRunOutcome(relayed) || isVerdict) return relayed;
+  throw new TypedError(
+    'platform-unavailable',
+    'The node that owns the key could not look it up.',
+    {
+      run: 'not-run',
+    },
+  );
 }
 
-/** The answer that a known key gets, or its refusal. */
+/** Returns the recorded answer, or throws the error for the verdict. */
 export function readVerdict(verdict: InheritedVerdict): KeptAnswer {
   switch (verdict.status) {
     case 'ran':
@@ -97,25 +100,28 @@
     case 'never-run':
       throw new TypedError(
         'shutting-down',
-        'The node that the key belonged to stopped before it ran the key.',
+        'The node that issued the key stopped before it ran the request.',
         {
           run: 'not-run',
-          remedy: 'Send it with a new key, under a keyPrefix of /v1/entries.',
+          remedy:
+            'Use a new key that starts with a keyPrefix from /v1/entries.',
         },
       );
     case 'no-table':
-      throw makeOutcomeUnknown('The key belongs to a process that is gone.');
+      throw makeOutcomeUnknown('The process that issued the key has stopped.');
     case 'unknown':
-      throw makeOutcomeUnknown('The outcome of this key is not known.');
+      throw makeOutcomeUnknown(
+        'The outcome of the request with this key is unknown.',
+      );
   }
 }
 
-function hasOutcome({headers}: UnrepeatableAnswer): boolean {
+function hasRunOutcome({headers}: UnrepeatableAnswer): boolean {
   return headers[OUTCOME_HEADER] !== undefined;
 }
 
-/** A node that starts refuses all, and can't say that the key did not run. */
-function isBeforeKey({kind, run}: RelayedError): boolean {
+/** A starting node refuses keyed requests as `overloaded` without `not-run`. */
+function isBeforeKeyLookup({kind, run}: RelayedError): boolean {
   const isStarting = kind === 'overloaded' && run !== 'not-run';
   return isStarting || NO_VERDICT_KINDS.includes(kind);
 }
--- a/packages/serve-callers/src/unrepeatable_calls.test.ts
+++ b/packages/serve-callers/src/unrepeatable_calls.test.ts
@@ -52,7 +52,7 @@
 
 const test = suite('unrepeatable calls');
 
-test('a document, or an active event of the team, asks for it', () => {
+test('a document or an active event of the team requires it', () => {
   const state = createState();
   const is = (team: string, call: string, atMs: number) =>
     isUnrepeatableCall({team, service: 'notify', call}, state, atMs);
@@ -63,7 +63,7 @@
   assert.not(is('zorza', 'push', STARTS_AT_MS));
 });
 
-test('a caller may ask for it, in clear words', () => {
+test('the header requests it with true or false only', () => {
   assert.ok(readUnrepeatable({'x-unrepeatable': 'true'}));
   assert.not(readUnrepeatable({'x-unrepeatable': 'false'}));
   assert.not(readUnrepeatable({}));
@@ -73,9 +73,8 @@
   );
 });
 
-test('a node that starts or stops knows nothing of a key', async () => {
-  // A phone repeats an order at a node that is about to stop. Another node has
-  // run it; hearing `not-run` here, the volunteer would order once more.
+test('a starting or stopping node reports keys as unknown', async () => {
+  // Guards against a `not-run` for a request that another node has run.
   const engine = await startWarmEngine('r1');
   const entry = await startEntry('n1', [engine]);
   const send = async (headers: Record<string, string>) => {
--- a/packages/serve-callers/src/unrepeatable_calls.ts
+++ b/packages/serve-callers/src/unrepeatable_calls.ts
@@ -1,30 +1,29 @@
-/** Which requests run at most once. */
+/** Decides which calls run at most once. */
 import {type IncomingHttpHeaders} from 'node:http';
 import {type AgreedState} from '@mimosatack/agreed-state';
 import {type RunOutcome, TypedError} from '@mimosatack/errors';
 
-/** A call of a plain service by a team. */
 export interface TeamCall {
   team: string;
   service: string;
   call: string;
 }
 
-const HEADER = 'x-unrepeatable';
+const UNREPEATABLE_HEADER = 'x-unrepeatable';
 
-/** Whether the caller asks for it in a header; rejects other values. */
+/** Reads the caller's header; throws `bad-request` if invalid. */
 export function readUnrepeatable(headers: IncomingHttpHeaders): boolean {
-  const value = headers[HEADER];
+  const value = headers[UNREPEATABLE_HEADER];
   if (value === undefined || value === 'false') return false;
   if (value === 'true') return true;
   throw new TypedError(
     'bad-request',
-    `Header ${HEADER} must be true or false.`,
+    `Header ${UNREPEATABLE_HEADER} must be true or false.`,
     {run: 'not-run'},
   );
 }
 
-/** Whether the service's document or an event of the team asks for it. */
+/** Reads the service's document and the active events of the team. */
 export function isUnrepeatableCall(
   {team, service, call}: TeamCall,
   {configuration}: AgreedState,
@@ -44,9 +43,11 @@
 }
 
 /**
- * What a refusal may say of a request whose key has not been looked up: with a
- * key, an earlier request may have run at any node.
+ * The outcome to report in a refusal before the key lookup: an earlier request
+ * with the key may have run at any node.
  */
-export function findRunBeforeKey(headers: IncomingHttpHeaders): RunOutcome {
+export function findRunBeforeKeyLookup(
+  headers: IncomingHttpHeaders,
+): RunOutcome {
   return headers['idempotency-key'] === undefined ? 'not-run' : 'unknown';
 }
--- a/packages/serve-callers/src/unrepeatable_forward.ts
+++ b/packages/serve-callers/src/unrepeatable_forward.ts
@@ -1,4 +1,4 @@
-/** Passes a request on to the node that keeps its key. */
+/** Forwards a request to the node that owns its key. */
 import {type Clock} from '@mimosatack/clock';
 import {exchangeOnce} from '@mimosatack/dispatch-requests';
 import {
@@ -12,37 +12,36 @@
   abortAt,
 } from './unrepeatable_request.js';
 
-/** A node that a request is passed on to. */
 export interface ForwardTarget {
   incarnation: string;
   baseUrl: string;
 }
 
-/** Who keeps a key, as far as this node has heard; all hints. */
+/** Finds the owner of a key; the results may be out of date. */
 export interface KeyOwners {
-  /** The process of that incarnation, unless it is known to be gone. */
+  /** Null when the process is known to have stopped. */
   findProcess(incarnation: string): ForwardTarget | null;
-  /** The node that keeps a partition of the claims; null for this node. */
+  /** The node that owns a partition of the claims; null for this node. */
   findKeeper(partition: number): ForwardTarget | null;
-  /** Asks those that may answer for a process that has stopped. */
+  /** Asks the nodes that took over the tickets of a stopped process. */
   askHeirs(query: InheritedQuery): Promise<InheritedVerdict>;
 }
 
-/** Passes a request on; see `sendOnce` for what the errors say. */
+/** Rejects with the errors of `exchangeOnce`. */
 export type Forward = (
   target: ForwardTarget,
   request: UnrepeatableRequest,
 ) => Promise<UnrepeatableAnswer>;
 
-/** A node that gets a request with this header does not pass it on. */
+/** Marks a forwarded request, which is not forwarded again. */
 export const FORWARDED_HEADER = 'x-forwarded-by-node';
 
 const CONNECT_TIMEOUT_MS = 1_000;
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
-/** What the way back from another node may take. */
+/** Reserved for the answer's way back from the other node. */
 const RETURN_MARGIN_MS = 30;
 
-/** Makes the function that passes requests on over HTTP. */
+/** Creates a function that forwards requests over HTTP. */
 export function makeForward(nodeName: string, clock: Clock): Forward {
   return async (target, request) => {
     const remainingMs = request.expiresAtMs - clock.monotonicMs();
--- a/packages/serve-callers/src/unrepeatable_request.ts
+++ b/packages/serve-callers/src/unrepeatable_request.ts
@@ -1,4 +1,4 @@
-/** Requests that run at most once, as they go from the routes to their run. */
+/** Types and helpers for requests that run at most once. */
 import {type Clock, type Timer} from '@mimosatack/clock';
 import {toTypedError} from '@mimosatack/errors';
 import {
@@ -9,55 +9,53 @@
   hashRequest,
 } from '@mimosatack/unrepeatable';
 
-/** A request that must run at most once. */
 export interface UnrepeatableRequest {
   team: string;
   idempotencyKey: string | null;
   path: string;
   body: Uint8Array;
-  /** When the caller's deadline is, on the monotonic clock. */
+  /** The caller's deadline on the monotonic clock. */
   expiresAtMs: number;
-  /** Headers that another node needs, the authorization among them. */
+  /** Headers for forwarding to another node, including authorization. */
   headers: Readonly<Record<string, string>>;
-  /** Whether another node has passed it on to this one. */
+  /** Whether another node forwarded the request to this one. */
   isForwarded: boolean;
 }
 
-/** What a run must heed. */
+/** Time limits of a run. */
 export interface DispatchTerms {
-  /** On the monotonic clock; nothing is handed over after it. */
+  /** The latest time to send the request, on the monotonic clock. */
   startBeforeMs: number;
-  /** Ends the wait for an answer; later than the caller's deadline. */
+  /** Ends the wait for an answer, some time after the caller's deadline. */
   signal: AbortSignal;
 }
 
-/** The answer, perhaps of an earlier request or by another node. */
+/** An answer, possibly to an earlier request or from another node. */
 export interface UnrepeatableAnswer extends KeyedAnswer {
   headers: Readonly<Record<string, string>>;
 }
 
-/** Hands the request over and gives the answer; errors must carry `run`. */
+/** Sends the request to a backend server; errors must carry `run`. */
 export type StartRun = (terms: DispatchTerms) => Promise<KeptAnswer>;
 
-/** A request whose key was read. */
-export interface KeyedUnrepeatable extends KeyedRequest {
+export interface KeyedUnrepeatableRequest extends KeyedRequest {
   request: UnrepeatableRequest;
 }
 
 /**
- * An answer is awaited this much longer than its caller does, so that a
- * repeat of the request learns the outcome.
+ * How long after the caller's deadline to wait for the answer, so that a repeat
+ * of the request gets the outcome.
  */
 const OUTCOME_GRACE_MS = 30_000;
-/** Nothing is handed over that close to the deadline. */
+/** No request is sent in this time before its deadline. */
 export const START_MARGIN_MS = 20;
 
-/** Names the key and the request for the memories of keys. */
-export function keyRequest(
+/** Adds the hashes that the key tables compare. */
+export function makeKeyedRequest(
   request: UnrepeatableRequest,
   key: string,
   generation: number,
-): KeyedUnrepeatable {
+): KeyedUnrepeatableRequest {
   return {
     request,
     keyHash: hashKey(request.team, key),
@@ -67,27 +65,27 @@
   };
 }
 
-/** Starts a run; whatever it rejects with says what is known of it. */
+/** Runs a request; errors always carry `run`. */
 export async function beginRun(
   {expiresAtMs}: UnrepeatableRequest,
   start: StartRun,
   clock: Clock,
 ): Promise<KeptAnswer> {
-  const abandon = abortAt(expiresAtMs + OUTCOME_GRACE_MS, clock);
+  const runTimeout = abortAt(expiresAtMs + OUTCOME_GRACE_MS, clock);
   try {
     return await start({
       startBeforeMs: expiresAtMs - START_MARGIN_MS,
-      signal: abandon.signal,
+      signal: runTimeout.signal,
     });
   } catch (thrown) {
     const error = toTypedError(thrown);
     throw error.run === undefined ? error.withRun('unknown') : error;
   } finally {
-    abandon.timer.cancel();
+    runTimeout.timer.cancel();
   }
 }
 
-/** A signal that aborts at a monotonic time unless its timer is cancelled. */
+/** Aborts at a time of the monotonic clock unless the timer is cancelled. */
 export function abortAt(
   atMs: number,
   clock: Clock,
--- a/packages/serve-callers/src/unrepeatable_runner.test.ts
+++ b/packages/serve-callers/src/unrepeatable_runner.test.ts
@@ -25,22 +25,22 @@
 
 type Cluster = Awaited<ReturnType<typeof createCluster>>;
 
-/** What a caller gets: the kind and run of a refusal, or the status. */
-interface Seen {
+interface CallerResult {
+  /** The kind and run of a refusal, or the status code. */
   outcome: string;
   isReplay: boolean;
 }
 
-/** Nodes that share a log and a service; each a runner behind a server. */
+/** Nodes that share a log and a service; each is a runner with a server. */
 async function createCluster() {
   const clock: Clock = new SystemClock();
   const platform = await startPlatformStandIn();
   const service = await startServiceStandIn({runMs: 1});
   const mint = new TicketMint('a secret of the cluster');
-  const places = new Map<string, string>();
-  const heirs = new InheritedTickets();
-  const closers: Array<() => Promise<unknown>> = [];
-  const hints = {keeper: ''};
+  const baseUrls = new Map<string, string>();
+  const inheritedTickets = new InheritedTickets();
+  const cleanups: Array<() => Promise<unknown>> = [];
+  const hints = {partitionOwner: ''};
 
   const start = async (incarnation: string, port = 0) => {
     const log = new HttpLogService({
@@ -54,7 +54,7 @@
       random: new SeededRandom(1),
       log,
       incarnation,
-      isAlive: other => places.has(other),
+      isAlive: other => baseUrls.has(other),
       options: {
         partitionCount: 1,
         appendGapMs: 1,
@@ -64,7 +64,7 @@
     });
     const tickets = new TicketTable({clock});
     const find = (name: string) => {
-      const baseUrl = places.get(name);
+      const baseUrl = baseUrls.get(name);
       return baseUrl === undefined ? null : {incarnation: name, baseUrl};
     };
     const runner = new UnrepeatableRunner({
@@ -77,8 +77,10 @@
       owners: {
         findProcess: find,
         findKeeper: () =>
-          hints.keeper === incarnation ? null : find(hints.keeper),
-        askHeirs: async query => heirs.find(query),
+          hints.partitionOwner === incarnation
+            ? null
+            : find(hints.partitionOwner),
+        askHeirs: async query => inheritedTickets.find(query),
       },
     });
     let startRun: StartRun = ({signal}) =>
@@ -121,9 +123,9 @@
     await server.listen({host: '127.0.0.1', port});
     const {port: usedPort} = server.server.address() as AddressInfo;
     const baseUrl = `http://127.0.0.1:${usedPort}`;
-    places.set(incarnation, baseUrl);
+    baseUrls.set(incarnation, baseUrl);
     const kill = () => server.close();
-    closers.push(
+    cleanups.push(
       () => claims.stop(0),
       () => log.close(),
       kill,
@@ -135,7 +137,7 @@
       tickets,
       claims,
       kill,
-      /** Holds requests back until the function it returns is called. */
+      /** Delays requests until the returned function is called. */
       freeze: () => {
         let thaw: () => void = () => undefined;
         frozen = new Promise(resolve => (thaw = resolve));
@@ -147,18 +149,27 @@
   };
 
   const close = async () => {
-    await Promise.all(closers.map(closer => closer()));
+    await Promise.all(cleanups.map(cleanup => cleanup()));
     await service.close();
     await platform.close();
   };
-  return {clock, platform, service, places, heirs, hints, start, close};
+  return {
+    clock,
+    platform,
+    service,
+    baseUrls,
+    inheritedTickets,
+    hints,
+    start,
+    close,
+  };
 }
 
 async function send(
   {baseUrl}: {baseUrl: string},
   key: string | null,
   extra: {body?: object; timeoutMs?: number} = {},
-): Promise<Seen> {
+): Promise<CallerResult> {
   const answer = await fetch(baseUrl + PATH, {
     method: 'POST',
     headers: {
@@ -199,8 +210,8 @@
   });
 }
 
-testCluster('a ticket runs in its process, whoever gets it', async cluster => {
-  // A volunteer's phone loses its entry host's answer and tries another one.
+testCluster('a ticket runs in the process that issued it', async cluster => {
+  // Guards against a second run when a caller repeats at another node.
   const [a, b] = [await cluster.start('a'), await cluster.start('b')];
   const key = `${a.prefix}order-17`;
   assert.equal(await send(b, key), {outcome: '200', isReplay: false});
@@ -213,10 +224,9 @@
   assert.is(countRuns(cluster), 1);
 });
 
-testCluster('a ticket outlives no restart at one address', async cluster => {
-  // A node runs an order, is killed and comes back at the same address. The
-  // caller repeats the order there and through another node. The new process
-  // knows nothing of it; it must neither run it nor call it not run.
+testCluster('a ticket is unknown after a node restart', async cluster => {
+  // Guards against a second run or a wrong `not-run` by a restarted process
+  // without the ticket's history.
   const [a, b] = [await cluster.start('a'), await cluster.start('b')];
   const key = `${a.prefix}order-17`;
   await send(a, key);
@@ -224,19 +234,19 @@
   const again = await cluster.start('a2', a.port);
   assert.is((await send(again, key)).outcome, 'outcome-unknown unknown');
   assert.is((await send(b, key)).outcome, 'outcome-unknown unknown');
-  cluster.places.delete('a');
+  cluster.baseUrls.delete('a');
   assert.is((await send(b, key)).outcome, 'outcome-unknown unknown');
   assert.is(countRuns(cluster), 1);
 });
 
-testCluster('heirs tell what a stopped process knew', async cluster => {
+testCluster('inherited tickets answer for a stopped process', async cluster => {
   const [a, b] = [await cluster.start('a'), await cluster.start('b')];
   const key = `${a.prefix}order-17`;
   await send(a, key);
   a.tickets.close();
   const {floorGeneration, keys} = a.tickets.export();
   makeTicketPages('a', floorGeneration, keys).forEach(page =>
-    cluster.heirs.takePage(page),
+    cluster.inheritedTickets.takePage(page),
   );
   await a.kill();
   assert.equal(await send(b, key), {outcome: '200', isReplay: true});
@@ -247,9 +257,9 @@
   assert.is(countRuns(cluster), 1);
 });
 
-testCluster('one key at three nodes at once runs once', async cluster => {
-  // Two routers each take themselves for the keeper of the key, and a third
-  // passes it on: the log's order decides, and all callers get one answer.
+testCluster('a key sent to three nodes at once runs once', async cluster => {
+  // Guards against several runs when two nodes consider themselves the owner
+  // and a third one forwards.
   const nodes = [
     await cluster.start('a'),
     await cluster.start('b'),
@@ -258,16 +268,16 @@
   const key = makeDatedKey(1);
   const seen = await Promise.all(nodes.map(node => send(node, key)));
   assert.ok(seen.every(({outcome}) => outcome === '200'));
-  cluster.hints.keeper = 'a';
+  cluster.hints.partitionOwner = 'a';
   const other = makeDatedKey(2);
   const passed = await Promise.all(nodes.map(node => send(node, other)));
   assert.ok(passed.every(({outcome}) => outcome === '200'));
   assert.is(countRuns(cluster), 2);
 });
 
-testCluster('a keeper that is lost does not lose its keys', async cluster => {
+testCluster('keys survive the crash of their owner', async cluster => {
   const [a, b] = [await cluster.start('a'), await cluster.start('b')];
-  cluster.hints.keeper = 'a';
+  cluster.hints.partitionOwner = 'a';
   const [known, fresh] = [makeDatedKey(1), makeDatedKey(2)];
   await send(b, known);
   await a.kill();
@@ -276,12 +286,11 @@
   assert.is(countRuns(cluster), 2);
 });
 
-testCluster('a frozen keeper makes no not-run untrue', async cluster => {
-  // The keeper of a key is frozen with a request in hand. The entry host
-  // claims the key itself and can hand nothing over. It must not say
-  // `not-run`: on thawing, the keeper runs the request it was given.
+testCluster('a frozen owner turns not-run into unknown', async cluster => {
+  // Guards against a wrong `not-run`: the owner can still run the request that
+  // was forwarded before it froze.
   const [a, b] = [await cluster.start('a'), await cluster.start('b')];
-  cluster.hints.keeper = 'a';
+  cluster.hints.partitionOwner = 'a';
   const thaw = a.freeze();
   b.setStart(async () => {
     throw new TypedError('overloaded', 'full', {run: 'not-run'});
@@ -292,9 +301,9 @@
   while (countRuns(cluster) === 0) await sleep(cluster.clock, 5);
 });
 
-testCluster('a node killed after its claim leaves unknown', async cluster => {
-  // A node claims a key and dies before it hands the order over. No other may
-  // run it, as nobody can tell, and none may say that it did not run.
+testCluster('a crash after the claim leaves a key unknown', async cluster => {
+  // Guards against a second run or a `not-run` for a request whose node crashed
+  // between the claim and the outcome.
   const [a, b] = [await cluster.start('a'), await cluster.start('b')];
   const key = makeDatedKey(1);
   let claimed: () => void = () => undefined;
@@ -305,7 +314,7 @@
   });
   const lost = send(a, key).catch(() => undefined);
   await isClaimed;
-  cluster.places.delete('a');
+  cluster.baseUrls.delete('a');
   await a.kill();
   assert.is((await send(b, key)).outcome, 'outcome-unknown unknown');
   assert.is(b.claims.counters.orphaned, 1);
@@ -313,10 +322,9 @@
   await lost;
 });
 
-testCluster('without the log, tickets run and claims wait', async cluster => {
-  // The log service is down while an event runs. Orders under a ticket go on.
-  // A key of the caller's own may have run elsewhere: it is not called not
-  // run, and its caller is told at once when to come back.
+testCluster('without the log, tickets run and claims fail', async cluster => {
+  // Guards against failing tickets during a log outage, and against a `not-run`
+  // for a caller-generated key that may have run at another node.
   const a = await cluster.start('a');
   await send(a, makeDatedKey(1));
   cluster.platform.core.log.faults.set({down: true});
@@ -331,7 +339,7 @@
   assert.is(countRuns(cluster), 2);
 });
 
-testCluster('an answer lost after the run is unknown to all', async cluster => {
+testCluster('an answer lost after the run stays unknown', async cluster => {
   const [a, b] = [await cluster.start('a'), await cluster.start('b')];
   const keys = [`${a.prefix}order-17`, makeDatedKey(1)];
   for (const key of keys) {
@@ -343,7 +351,7 @@
   assert.is(countRuns(cluster), 2);
 });
 
-testCluster('what handed nothing over may run later', async cluster => {
+testCluster('a request that was not sent may run later', async cluster => {
   const [a, b] = [await cluster.start('a'), await cluster.start('b')];
   const keys = [`${a.prefix}order-17`, makeDatedKey(1)];
   a.setStart(async () => {
@@ -355,9 +363,8 @@
   assert.is(countRuns(cluster), 1);
 });
 
-testCluster('a caller that gave up learns the outcome later', async cluster => {
-  // A service freezes for longer than a caller waits, and runs the order on
-  // thawing. The caller that repeats it gets its answer instead of `unknown`.
+testCluster('a repeat after a timeout gets the outcome', async cluster => {
+  // Guards against discarding the answer of a run that outlasts the deadline.
   const a = await cluster.start('a');
   const key = `${a.prefix}order-17`;
   cluster.service.core.gate.freeze(null);
@@ -368,7 +375,7 @@
   assert.is(countRuns(cluster), 1);
 });
 
-testCluster('bad keys are refused with what is known', async cluster => {
+testCluster('invalid keys get the correct run outcome', async cluster => {
   const a = await cluster.start('a');
   const forged = `${a.prefix}17`.replace('~a~', '~b~');
   const ahead = makeDatedKey(1, Date.now() + 3_600_000);
--- a/packages/serve-callers/src/unrepeatable_runner.ts
+++ b/packages/serve-callers/src/unrepeatable_runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs requests at most once each, by their keys: tickets in the process that
- * gave them out, keys of the caller's own after a claim in the log.
+ * Runs each request at most once by its key: tickets run in the process that
+ * issued them, caller-generated keys after a claim in the log.
  */
 import {type ClaimKeys, readDatedKey} from '@mimosatack/claim-keys';
 import {type Clock} from '@mimosatack/clock';
@@ -18,7 +18,6 @@
   type UnrepeatableRequest,
 } from './unrepeatable_request.js';
 
-/** What the runner is built from. */
 export interface UnrepeatableRunnerOptions {
   clock: Clock;
   nodeName: string;
@@ -29,7 +28,7 @@
   owners: KeyOwners;
 }
 
-/** Decides which node runs a request, and whether it may run. */
+/** Selects the runner for a request by the form of its key. */
 export class UnrepeatableRunner {
   private readonly tickets: TicketRunner;
   private readonly claims: ClaimRunner;
@@ -40,33 +39,33 @@
     this.claims = new ClaimRunner({...options, forward});
   }
 
-  /** Calls `start` at most once for a key, on one node of the system. */
+  /** Calls `start` at most once per key across all nodes. */
   async run(
     request: UnrepeatableRequest,
     start: StartRun,
   ): Promise<UnrepeatableAnswer> {
     const {idempotencyKey} = request;
     if (idempotencyKey === null) {
-      throw makeBadKey('This request runs at most once and needs a key.');
+      throw makeBadKey('A request that runs at most once needs a key.');
     }
     const reading = this.options.mint.read(idempotencyKey);
     switch (reading.status) {
       case 'ticket':
         return this.tickets.run(reading.ticket, request, start);
       case 'forged':
-        throw makeBadKey('The key has a prefix that no node has given out.');
+        throw makeBadKey('The key has a prefix that no node has issued.');
       case 'not-a-ticket':
-        return this.runDated(idempotencyKey, request, start);
+        return this.runWithDatedKey(idempotencyKey, request, start);
     }
   }
 
-  private async runDated(
+  private async runWithDatedKey(
     text: string,
     request: UnrepeatableRequest,
     start: StartRun,
   ): Promise<UnrepeatableAnswer> {
     const dated = readDatedKey(text);
-    if (!dated) throw makeBadKey('The key does not carry its date.');
+    if (!dated) throw makeBadKey('The key contains no timestamp.');
     return this.claims.run(dated, request, start);
   }
 }
