--- a/packages/agreed-state/src/agreed_state.ts
+++ b/packages/agreed-state/src/agreed_state.ts
@@ -1,7 +1,7 @@
 /**
- * The state that every node folds from the log. The same records in the same
- * order give the same state on every node: no clock, no random number and no
- * order of a map outside the log enters the rules.
+ * The replicated state, computed by applying log records in order. The rules
+ * read no clock, no random numbers and no iteration order that the log does
+ * not determine, so every node computes the same state.
  */
 import {createHash} from 'node:crypto';
 import {
@@ -17,108 +17,113 @@
   type ConfigurationSnapshot,
 } from './configuration/configuration.js';
 import {type Outcome, VALID, makeVoid} from './outcome.js';
-import {type RememberedId, RememberedIds} from './remembered_ids.js';
+import {type RecordIdEntry, RecentRecordIds} from './recent_record_ids.js';
 import {Placement, type PlacementSnapshot} from './placement/placement.js';
 import {
   Stewardship,
   type StewardshipSnapshot,
 } from './stewardship/stewardship.js';
 
-/** The newest rules that this release can fold by. */
+/** The newest rules version that this release supports. */
 export const SUPPORTED_RULES_VERSION = 1;
 
 /**
- * How many records back a record may have been written and still count. The
- * fold remembers record ids for this long, so a second copy of a record is
- * either remembered or too old to count: nothing takes effect twice.
+ * Maximum age of a record's basis, in records. Record ids are kept for the same
+ * number of records, so a duplicate is either recognized by its id or void as
+ * too old.
  */
 export const BASIS_HORIZON = 20_000;
 
-/** After how many records tombstones beyond the horizon are dropped. */
-const FORGET_STEP = 5_000;
+const TOMBSTONE_PRUNE_INTERVAL = 5_000;
 
-/** One folded record with its verdict. */
+/** A log record and the outcome of applying it. */
 export interface FoldedRecord {
   sequence: number;
   offset: LogOffset;
+  /** Null if the record cannot be decoded. */
   record: AgreedRecord | null;
   recordId: string | null;
   outcome: Outcome;
 }
 
-/** The plain form of the whole state. */
+/** The serialized form of the whole state. */
 interface StateSnapshot {
   form: number;
   rulesVersion: number;
   nextOffset: LogOffset;
   sequence: number;
   checkpointSequence: number;
-  rememberedIds: RememberedId[];
+  rememberedIds: RecordIdEntry[];
   configuration: ConfigurationSnapshot;
   stewardship: StewardshipSnapshot;
   placement: PlacementSnapshot;
 }
 
-const SNAPSHOT_FORM = 1;
+const SNAPSHOT_FORMAT = 1;
 
-/** The replicated state: configuration, backend servers, decided replicas. */
+/** The replicated state: configuration, backend servers and slots. */
 export class AgreedState {
   configuration = new Configuration();
   stewardship = new Stewardship();
   placement = new Placement(this.configuration, this.stewardship);
-  /** The offset of the next append to fold. */
+  /** The offset of the next append to apply. */
   nextOffset: LogOffset = 0;
-  /** How many records were folded; the last one has this number. */
+  /** Sequence number of the last applied record, counted from 1. */
   sequence = 0;
   rulesVersion = 1;
   private nextRulesVersion = 1;
-  /** The sequence number that the newest noted checkpoint covers. */
+  /** The last sequence number that the newest recorded checkpoint covers. */
   checkpointSequence = 0;
-  private rememberedIds = new RememberedIds(BASIS_HORIZON);
+  private recentRecordIds = new RecentRecordIds(BASIS_HORIZON);
 
-  /** Whether this release knows the rules that are in force. */
+  /** Whether this release supports the active rules version. */
   get isSupported(): boolean {
     return this.rulesVersion <= SUPPORTED_RULES_VERSION;
   }
 
   /**
-   * Folds one append. Appends must come in order without a gap; an append
-   * that was folded before is passed over, and so is everything once rules
-   * are in force that this release does not know.
+   * Applies one append. Appends must arrive in order without gaps. An append
+   * that was already applied is skipped, and so is every append after a rules
+   * version that this release does not support becomes active.
    */
   foldAppend(offset: LogOffset, data: Uint8Array): FoldedRecord[] {
     if (offset < this.nextOffset || !this.isSupported) return [];
     if (offset > this.nextOffset) {
       throw new RangeError(
-        `Append ${offset} is not next; expected ${this.nextOffset}.`,
+        `Append offset ${offset} is out of order; expected ${this.nextOffset}.`,
       );
     }
-    const folded = decodeBatch(data).map(entry => this.foldOne(offset, entry));
+    const applied = decodeBatch(data).map(entry =>
+      this.applyEntry(offset, entry),
+    );
     this.nextOffset = offset + 1;
     this.rulesVersion = this.nextRulesVersion;
-    return folded;
+    return applied;
   }
 
-  private foldOne(offset: LogOffset, entry: DecodedRecord): FoldedRecord {
+  private applyEntry(offset: LogOffset, entry: DecodedRecord): FoldedRecord {
     this.sequence += 1;
-    this.forgetOld();
+    this.expireOldEntries();
     const record = 'record' in entry ? entry.record : null;
     const recordId = 'record' in entry ? entry.record.recordId : entry.recordId;
     const outcome =
       'record' in entry
-        ? this.judge(entry.record)
+        ? this.applyOnce(entry.record)
         : makeVoid('unreadable', entry.error.message);
     return {sequence: this.sequence, offset, record, recordId, outcome};
   }
 
-  private judge(record: AgreedRecord): Outcome {
-    if (this.rememberedIds.has(record.recordId)) {
-      return makeVoid('duplicate', 'The record was folded before.');
+  private applyOnce(record: AgreedRecord): Outcome {
+    if (this.recentRecordIds.has(record.recordId)) {
+      return makeVoid(
+        'duplicate',
+        'A record with this id was already applied.',
+      );
     }
     if (record.basisSequence < this.sequence - BASIS_HORIZON) {
-      return makeVoid('stale-basis', 'The record was written too long ago.');
+      return makeVoid('stale-basis', 'The basis of the record is too old.');
     }
-    this.rememberedIds.add(record.recordId, this.sequence);
+    this.recentRecordIds.add(record.recordId, this.sequence);
     return this.apply(record);
   }
 
@@ -166,7 +171,10 @@
 
   private noteCheckpoint(body: BodyOf<'note-checkpoint'>): Outcome {
     if (body.coversSequence <= this.checkpointSequence) {
-      return makeVoid('duplicate', 'A newer checkpoint was noted.');
+      return makeVoid(
+        'duplicate',
+        'A checkpoint that covers this sequence number is already recorded.',
+      );
     }
     this.checkpointSequence = body.coversSequence;
     return VALID;
@@ -179,34 +187,37 @@
   }
 
   /**
-   * Guards against two releases that would fold the same record differently:
-   * new rules hold only from the next append on, and a node that does not know
-   * them stops folding there instead of going its own way.
+   * Activates a rules version from the next append on. A node whose release
+   * does not support the version stops there instead of computing a different
+   * state.
    */
   private activateRules(version: number): Outcome {
     if (version <= this.nextRulesVersion) {
-      return makeVoid('version-conflict', 'These rules are in force already.');
+      return makeVoid(
+        'version-conflict',
+        'This rules version or a newer one is already active.',
+      );
     }
     this.nextRulesVersion = version;
     return VALID;
   }
 
-  /** Tombstones go in steps, since dropping a few at a time is slow. */
-  private forgetOld(): void {
-    this.rememberedIds.advanceTo(this.sequence);
-    if (this.sequence % FORGET_STEP !== 0) return;
+  /** Prunes tombstones at intervals because each pruning scans all of them. */
+  private expireOldEntries(): void {
+    this.recentRecordIds.advanceTo(this.sequence);
+    if (this.sequence % TOMBSTONE_PRUNE_INTERVAL !== 0) return;
     this.configuration.forgetTombstonesBefore(this.sequence - BASIS_HORIZON);
   }
 
-  /** The whole state as bytes; equal states give equal bytes. */
+  /** Serializes the state; equal states give equal bytes. */
   toBytes(): Uint8Array {
     const snapshot: StateSnapshot = {
-      form: SNAPSHOT_FORM,
+      form: SNAPSHOT_FORMAT,
       rulesVersion: this.rulesVersion,
       nextOffset: this.nextOffset,
       sequence: this.sequence,
       checkpointSequence: this.checkpointSequence,
-      rememberedIds: this.rememberedIds.list(),
+      rememberedIds: this.recentRecordIds.list(),
       configuration: this.configuration.toSnapshot(),
       stewardship: this.stewardship.toSnapshot(),
       placement: this.placement.toSnapshot(),
@@ -214,11 +225,11 @@
     return pack(snapshot);
   }
 
-  /** Restores a state; throws a RangeError for bytes of an unknown form. */
+  /** Restores a state; throws a RangeError if the format is unknown. */
   static fromBytes(data: Uint8Array): AgreedState {
     const snapshot = unpack(data) as StateSnapshot;
-    if (snapshot?.form !== SNAPSHOT_FORM) {
-      throw new RangeError('The checkpoint has an unknown form.');
+    if (snapshot?.form !== SNAPSHOT_FORMAT) {
+      throw new RangeError('The checkpoint has an unknown format.');
     }
     const state = new AgreedState();
     state.rulesVersion = snapshot.rulesVersion;
@@ -226,7 +237,7 @@
     state.nextOffset = snapshot.nextOffset;
     state.sequence = snapshot.sequence;
     state.checkpointSequence = snapshot.checkpointSequence;
-    state.rememberedIds = RememberedIds.restore(
+    state.recentRecordIds = RecentRecordIds.restore(
       BASIS_HORIZON,
       snapshot.rememberedIds,
     );
@@ -240,7 +251,7 @@
     return state;
   }
 
-  /** A short digest; two nodes at the same offset must show the same one. */
+  /** SHA-256 of the state; nodes at the same offset must have equal digests. */
   digest(): string {
     return createHash('sha256').update(this.toBytes()).digest('hex');
   }
--- a/packages/agreed-state/src/configuration/configuration.ts
+++ b/packages/agreed-state/src/configuration/configuration.ts
@@ -1,6 +1,6 @@
 /**
- * The documents that operators publish. A change names the version it was
- * made against; of two that race, the first in the log wins.
+ * The documents that operators publish. A change names the version that it
+ * replaces; of two concurrent changes, only the first in the log is valid.
  */
 import {
   type BodyOf,
@@ -28,7 +28,6 @@
   resolveEvent,
 } from './resolve_event.js';
 
-/** The content type of each kind of document. */
 export interface ContentByKind {
   team: TeamContent;
   model: ModelContent;
@@ -37,24 +36,24 @@
   event: EventContent;
 }
 
-/** A document in force. */
+/** The current version of a document. */
 export interface Document<K extends DocumentKind = DocumentKind> {
   kind: K;
   id: string;
   version: number;
-  /** The sequence number of the record that put this version in force. */
+  /** Sequence number of the record that published this version. */
   sequence: number;
   content: ContentByKind[K];
 }
 
-/** A deleted document; its version goes on if it is created again. */
+/** A deleted document; versions continue if it is created again. */
 interface Tombstone {
   key: string;
   version: number;
   sequence: number;
 }
 
-/** The plain form of the aggregate, for checkpoints. */
+/** The serialized form of the configuration, for checkpoints. */
 export interface ConfigurationSnapshot {
   documents: Document[];
   tombstones: Tombstone[];
@@ -70,7 +69,7 @@
   event: eventSchema,
 };
 
-/** The aggregate of all documents and of the events resolved from them. */
+/** All documents and the events resolved from them. */
 export class Configuration {
   private readonly documents: Record<DocumentKind, Map<string, Document>> = {
     team: new Map(),
@@ -80,7 +79,7 @@
     event: new Map(),
   };
   private readonly tombstones = new Map<string, Tombstone>();
-  /** Contents of template versions that a pinned event still names. */
+  /** Contents of replaced template versions that events are pinned to. */
   private readonly pinnedTemplates = new Map<string, TemplateContent>();
   private readonly events = new Map<string, ResolvedEvent>();
   private changes = 0;
@@ -90,8 +89,8 @@
     snapshot.documents.forEach(document =>
       restored.documents[document.kind].set(document.id, document),
     );
-    snapshot.tombstones.forEach(stone =>
-      restored.tombstones.set(stone.key, stone),
+    snapshot.tombstones.forEach(tombstone =>
+      restored.tombstones.set(tombstone.key, tombstone),
     );
     snapshot.pinnedTemplates.forEach(([key, content]) =>
       restored.pinnedTemplates.set(key, content),
@@ -112,8 +111,8 @@
   }
 
   /**
-   * Grows with every change of a document, so that indexes over them know
-   * when they are stale. It is no part of the folded state.
+   * Increases with every document change, so that derived indexes can detect
+   * that they are stale. The count is not part of the replicated state.
    */
   get changeCount(): number {
     return this.changes;
@@ -135,11 +134,11 @@
     return [...this.events.values()];
   }
 
-  /** The version that a change must name; 0 for what never existed. */
+  /** The `expectedVersion` of the next change; 0 for an unknown document. */
   currentVersion(kind: DocumentKind, id: string): number {
     return (
       this.documents[kind].get(id)?.version ??
-      this.tombstones.get(keyOf(kind, id))?.version ??
+      this.tombstones.get(formatKey(kind, id))?.version ??
       0
     );
   }
@@ -161,11 +160,11 @@
       sequence,
       content: parsed.data,
     } as Document;
-    return this.putChecked(document, sequence);
+    return this.publish(document, sequence);
   }
 
   delete(body: BodyOf<'delete-document'>, sequence: number): Outcome {
-    const key = keyOf(body.kind, body.id);
+    const key = formatKey(body.kind, body.id);
     const document = this.documents[body.kind].get(body.id);
     if (!document) {
       return makeVoid('unknown-reference', `There is no ${key}.`);
@@ -187,11 +186,11 @@
     return VALID;
   }
 
-  /** Drops tombstones that no readable record can contradict any more. */
+  /** Drops tombstones that only records with a stale basis can conflict with. */
   forgetTombstonesBefore(sequence: number): void {
     [...this.tombstones.values()]
-      .filter(stone => stone.sequence < sequence)
-      .forEach(stone => this.tombstones.delete(stone.key));
+      .filter(tombstone => tombstone.sequence < sequence)
+      .forEach(tombstone => this.tombstones.delete(tombstone.key));
   }
 
   private checkVersion(body: {
@@ -201,17 +200,19 @@
   }): Outcome | null {
     const current = this.currentVersion(body.kind, body.id);
     if (current === body.expectedVersion) return null;
-    const key = keyOf(body.kind, body.id);
-    const winner = this.documents[body.kind].get(body.id)?.sequence;
+    const key = formatKey(body.kind, body.id);
+    const recordSequence = this.documents[body.kind].get(body.id)?.sequence;
     return makeVoid(
       'version-conflict',
       `${key} is at version ${current}, not ${body.expectedVersion}` +
-        (winner === undefined ? '.' : `; record ${winner} put it there.`),
+        (recordSequence === undefined
+          ? '.'
+          : `; record ${recordSequence} published it.`),
     );
   }
 
-  private putChecked(document: Document, sequence: number): Outcome {
-    const key = keyOf(document.kind, document.id);
+  private publish(document: Document, sequence: number): Outcome {
+    const key = formatKey(document.kind, document.id);
     const missing = this.findMissingReference(document);
     if (missing) return makeVoid('unknown-reference', missing);
     const documents = this.documents[document.kind];
@@ -289,11 +290,11 @@
     const content =
       version === latest.version
         ? latest.content
-        : this.pinnedTemplates.get(pinKeyOf(name, version));
+        : this.pinnedTemplates.get(formatPinKey(name, version));
     if (!content) {
       return {
         faults: [
-          `templateVersion: version ${version} of ${name} is not kept; ` +
+          `templateVersion: version ${version} of ${name} is not available; ` +
             `use ${latest.version}`,
         ],
       };
@@ -303,7 +304,7 @@
     });
   }
 
-  /** Keeps the version that a template leaves behind if an event names it. */
+  /** Keeps the replaced version of a template if an event is pinned to it. */
   private keepPinnedTemplate(previous: Document | undefined): void {
     if (previous?.kind !== 'template') return;
     const isPinned = this.list('event').some(
@@ -313,7 +314,7 @@
     );
     if (!isPinned) return;
     this.pinnedTemplates.set(
-      pinKeyOf(previous.id, previous.version),
+      formatPinKey(previous.id, previous.version),
       previous.content as TemplateContent,
     );
   }
@@ -351,10 +352,10 @@
   }
 }
 
-function keyOf(kind: DocumentKind, id: string): string {
+function formatKey(kind: DocumentKind, id: string): string {
   return `${kind} ${id}`;
 }
 
-function pinKeyOf(template: string, version: number): string {
+function formatPinKey(template: string, version: number): string {
   return `${template}@${version}`;
 }
--- a/packages/agreed-state/src/configuration/document_schema.ts
+++ b/packages/agreed-state/src/configuration/document_schema.ts
@@ -1,4 +1,4 @@
-/** The content of the documents that operators publish. */
+/** Schemas of the documents that operators publish. */
 import {z} from 'zod';
 
 const name = z
@@ -8,7 +8,6 @@
   .regex(/^[A-Za-z0-9][A-Za-z0-9._-]*$/, 'use letters, digits, ".", "_", "-"');
 const durationMs = z.number().int().min(0);
 
-/** What a token allows. */
 export const TOKEN_ROLES = ['caller', 'operator', 'admin'] as const;
 export type TokenRole = (typeof TOKEN_ROLES)[number];
 
@@ -40,7 +39,7 @@
   adapters: z
     .record(name, z.strictObject({memoryMib: z.number().int().min(0)}))
     .default({}),
-  /** Replicas that may be loaded for requests outside events. */
+  /** Limits for replicas that are loaded for requests outside events. */
   onDemand: z
     .strictObject({
       maxReplicas: z.number().int().min(0).max(64).default(1),
@@ -55,7 +54,7 @@
   calls: z.record(
     name,
     z.strictObject({
-      /** Whether one call may run at most once. */
+      /** Whether each call must run at most once. */
       unrepeatable: z.boolean().default(false),
       timeoutMs: durationMs.default(10_000),
     }),
@@ -75,19 +74,19 @@
   team: name,
   description: z.string().max(1000).default(''),
   parameters: z.record(name, parameterSchema).default({}),
-  /** An event in which `${parameter}` may stand in place of any value. */
+  /** Event definition; its strings may contain `${parameter}` placeholders. */
   event: z.record(z.string(), z.unknown()),
 });
 
 export const eventSchema = z.strictObject({
   team: name,
   template: name,
-  /** Keeps the event on one version of its template. */
+  /** Pins the event to one version of its template. */
   templateVersion: z.number().int().min(1).optional(),
   parameters: z.record(z.string(), z.unknown()).default({}),
 });
 
-/** What a template must give once its parameters are filled in. */
+/** An event definition after parameter substitution. */
 export const resolvedEventSchema = z.strictObject({
   startsAt: z.union([z.string(), z.number()]),
   durationMinutes: z.number().min(0.01).max(10_080),
@@ -99,13 +98,13 @@
         version: name.optional(),
         adapters: z.array(name).max(64).default([]),
         replicas: z.number().int().min(1).max(256),
-        /** Replicas that may be added for lost ones. */
+        /** Additional replicas allowed as replacements for lost ones. */
         maxSurge: z.number().int().min(0).max(64).default(1),
       }),
     )
     .max(64)
     .default([]),
-  /** Plain-service calls that run at most once during the event. */
+  /** Service calls that must run at most once during the event. */
   unrepeatable: z
     .array(z.strictObject({service: name, call: name}))
     .max(64)
--- a/packages/agreed-state/src/configuration/resolve_event.ts
+++ b/packages/agreed-state/src/configuration/resolve_event.ts
@@ -1,4 +1,4 @@
-/** Fills the parameters of a template into an event. */
+/** Resolves events by substituting the parameters of their templates. */
 import {type EventId, type TeamName} from '@mimosatack/types';
 import {type z} from 'zod';
 import {
@@ -9,7 +9,7 @@
   resolvedEventSchema,
 } from './document_schema.js';
 
-/** One model that an event needs warm, with its replicas. */
+/** One model that an event needs, with its replicas. */
 export interface ResolvedNeed {
   model: string;
   version: string;
@@ -21,13 +21,13 @@
   memoryMib: number;
 }
 
-/** An event with every parameter filled in. */
+/** An event after parameter substitution. */
 export interface ResolvedEvent {
   eventId: EventId;
   team: TeamName;
   template: string;
   templateVersion: number;
-  /** Grows whenever the resolved content changes. */
+  /** Sequence number of the record that last changed the resolved content. */
   revision: number;
   startsAtMs: number;
   endsAtMs: number;
@@ -36,7 +36,7 @@
   unrepeatable: {service: string; call: string}[];
 }
 
-/** The documents that resolving an event looks at. */
+/** Document lookups that resolving an event needs. */
 export interface ResolveContext {
   findModel(name: string): ModelContent | undefined;
 }
@@ -48,7 +48,7 @@
 const PLACEHOLDER = /\$\{([A-Za-z0-9][A-Za-z0-9._-]*)\}/g;
 const WHOLE_PLACEHOLDER = /^\$\{([A-Za-z0-9][A-Za-z0-9._-]*)\}$/;
 
-/** Resolves one event, or says everything that is wrong with it. */
+/** Resolves one event, or lists the faults of the first failed check. */
 export function resolveEvent(
   eventId: EventId,
   content: EventContent,
@@ -58,11 +58,11 @@
 ): ResolveResult {
   const parameterFaults = checkParameters(template, content.parameters);
   if (parameterFaults.length > 0) return {faults: parameterFaults};
-  const values = fillDefaults(template, content.parameters);
-  const filled = fillIn(template.event, values);
-  const parsed = resolvedEventSchema.safeParse(filled);
+  const values = applyDefaults(template, content.parameters);
+  const substituted = substitute(template.event, values);
+  const parsed = resolvedEventSchema.safeParse(substituted);
   if (!parsed.success) return {faults: describeIssues(parsed.error)};
-  const startsAtMs = readTimeMs(parsed.data.startsAt);
+  const startsAtMs = parseTimeMs(parsed.data.startsAt);
   if (startsAtMs === null) {
     return {faults: ['startsAt: give an ISO 8601 time with a time zone']};
   }
@@ -85,7 +85,7 @@
   };
 }
 
-/** Lists the faults of a schema check, each with the place it stands at. */
+/** Formats schema issues as `path: message`. */
 export function describeIssues(error: z.ZodError): string[] {
   return error.issues.map(
     issue => `${issue.path.join('.') || 'content'}: ${issue.message}`,
@@ -121,7 +121,7 @@
   };
 }
 
-/** Accelerator memory of one replica of a model with some adapters. */
+/** Accelerator memory of one replica with the given adapters. */
 export function sumReplicaMemoryMib(
   model: ModelContent,
   adapters: readonly string[],
@@ -155,7 +155,7 @@
     case 'boolean':
       return typeof value === 'boolean' ? null : 'give true or false';
     case 'time':
-      return readTimeMs(value) === null
+      return parseTimeMs(value) === null
         ? 'give an ISO 8601 time with a time zone'
         : null;
     case 'string-list':
@@ -190,8 +190,8 @@
   return Array.isArray(value) && value.every(item => typeof item === 'string');
 }
 
-/** Reads an absolute time; a text without a time zone is refused. */
-function readTimeMs(value: unknown): number | null {
+/** Parses an absolute time; null for a string without a time zone. */
+function parseTimeMs(value: unknown): number | null {
   if (typeof value === 'number') return Number.isFinite(value) ? value : null;
   if (typeof value !== 'string') return null;
   if (!/T.*(Z|[+-]\d\d:?\d\d)$/.test(value)) return null;
@@ -199,7 +199,7 @@
   return Number.isNaN(parsedMs) ? null : parsedMs;
 }
 
-function fillDefaults(
+function applyDefaults(
   template: TemplateContent,
   given: Record<string, unknown>,
 ): Record<string, unknown> {
@@ -211,16 +211,22 @@
   );
 }
 
-function fillIn(node: unknown, values: Record<string, unknown>): unknown {
-  if (typeof node === 'string') return fillInText(node, values);
-  if (Array.isArray(node)) return node.map(item => fillIn(item, values));
+function substitute(node: unknown, values: Record<string, unknown>): unknown {
+  if (typeof node === 'string') return substituteText(node, values);
+  if (Array.isArray(node)) return node.map(item => substitute(item, values));
   if (node === null || typeof node !== 'object') return node;
   return Object.fromEntries(
-    Object.entries(node).map(([key, value]) => [key, fillIn(value, values)]),
+    Object.entries(node).map(([key, value]) => [
+      key,
+      substitute(value, values),
+    ]),
   );
 }
 
-function fillInText(text: string, values: Record<string, unknown>): unknown {
+function substituteText(
+  text: string,
+  values: Record<string, unknown>,
+): unknown {
   const whole = WHOLE_PLACEHOLDER.exec(text);
   if (whole?.[1] !== undefined && Object.hasOwn(values, whole[1])) {
     return values[whole[1]];
--- a/packages/agreed-state/src/fold_properties.test.ts
+++ b/packages/agreed-state/src/fold_properties.test.ts
@@ -1,4 +1,4 @@
-/** Properties that hold for every order of records. */
+/** Properties of the replicated state for any sequence of records. */
 import fc from 'fast-check';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
@@ -7,24 +7,24 @@
 import {findPeakMib} from './placement/memory_profile.js';
 import {holdsFromMs} from './placement/slot.js';
 import {
-  type FoldBench,
+  type StateFixture,
   START_MS,
   makeClaim,
   makeEvent,
   makePlan,
   makePut,
-  makeReadyBench,
+  makeReadyFixture,
   makeSlot,
 } from './test_fixtures.js';
 
-/** CI runs a fixed seed; a longer run sets these by environment variables. */
+/** Fixed by default; longer runs override both in the environment. */
 const SEED = Number(process.env['PROPERTY_SEED'] ?? 20261202);
 const RUNS = Number(process.env['PROPERTY_RUNS'] ?? 150);
 
-const properties = suite('fold properties');
+const properties = suite('state properties');
 
-/** A step that some node takes, from what the state was `lag` steps ago. */
-type Step = (bench: FoldBench) => void;
+/** Applies a generated record or append to the current state. */
+type Step = (fixture: StateFixture) => void;
 
 const author = fc.constantFrom('node-1.aaaaaaaa', 'node-2.bbbbbbbb');
 const server = fc.constantFrom('r1', 'r2');
@@ -39,33 +39,33 @@
     minutes: fc.integer({min: 1, max: 40}),
     isStaged: fc.boolean(),
     event: fc.constantFrom('saturday', 'b'),
-    isSpare: fc.boolean(),
+    isReplacement: fc.boolean(),
   })
-  .map((choice): Step => bench => {
+  .map((choice): Step => fixture => {
     const loadAtMs = START_MS + choice.loadAt * MINUTE_MS;
-    const held = bench.state.placement.list();
-    const slot = makeSlot(`s${bench.appends.length}`, choice.server, {
+    const held = fixture.state.placement.list();
+    const slot = makeSlot(`s${fixture.appends.length}`, choice.server, {
       loadAtMs,
       untilMs: loadAtMs + choice.minutes * MINUTE_MS,
       stage: choice.isStaged
         ? {fromMs: loadAtMs - MINUTE_MS, untilMs: loadAtMs - 1}
         : null,
-      replaces: choice.isSpare ? (held[0]?.slotId ?? null) : null,
+      replaces: choice.isReplacement ? (held[0]?.slotId ?? null) : null,
     });
-    bench.fold(makePlan(bench, [slot], choice.event), choice.author);
+    fixture.apply(makePlan(fixture, [slot], choice.event), choice.author);
   });
 
-const claimStep = fc.record({author, server}).map((choice): Step => bench => {
-  bench.fold(makeClaim(bench, choice.server), choice.author);
+const claimStep = fc.record({author, server}).map((choice): Step => fixture => {
+  fixture.apply(makeClaim(fixture, choice.server), choice.author);
 });
 
 const endStep = fc
   .record({author, index: fc.nat(20)})
-  .map((choice): Step => bench => {
-    const slots = bench.state.placement.list();
+  .map((choice): Step => fixture => {
+    const slots = fixture.state.placement.list();
     const slot = slots[choice.index % Math.max(1, slots.length)];
     if (!slot) return;
-    bench.fold(
+    fixture.apply(
       {type: 'end-slots', slotIds: [slot.slotId], reason: 'moved'},
       choice.author,
     );
@@ -73,14 +73,14 @@
 
 const releaseStep = fc
   .record({author, index: fc.nat(20)})
-  .map((choice): Step => bench => {
-    const slots = bench.state.placement.list();
+  .map((choice): Step => fixture => {
+    const slots = fixture.state.placement.list();
     const slot = slots[choice.index % Math.max(1, slots.length)];
     if (!slot) return;
     const {backendServerId, slotId} = slot;
     const epoch =
-      bench.state.stewardship.findClaim(backendServerId)?.epoch ?? 0;
-    bench.fold(
+      fixture.state.stewardship.findClaim(backendServerId)?.epoch ?? 0;
+    fixture.apply(
       {
         type: 'release-slots',
         backendServerId,
@@ -93,35 +93,35 @@
 
 const extendStep = fc
   .record({index: fc.nat(20), minutes: minute})
-  .map((choice): Step => bench => {
-    const slots = bench.state.placement.list();
+  .map((choice): Step => fixture => {
+    const slots = fixture.state.placement.list();
     const slot = slots[choice.index % Math.max(1, slots.length)];
     if (!slot) return;
     const untilMs = slot.untilMs + choice.minutes * MINUTE_MS;
-    bench.fold({type: 'extend-slots', slotIds: [slot.slotId], untilMs});
+    fixture.apply({type: 'extend-slots', slotIds: [slot.slotId], untilMs});
   });
 
 const eventStep = fc
   .record({minute, replicas: fc.integer({min: 1, max: 3})})
-  .map((choice): Step => bench => {
-    const version = bench.state.configuration.currentVersion('event', 'b');
+  .map((choice): Step => fixture => {
+    const version = fixture.state.configuration.currentVersion('event', 'b');
     const start = new Date(START_MS + choice.minute * MINUTE_MS);
     const content = makeEvent(start.toISOString(), choice.replicas);
-    bench.fold(makePut('event', 'b', content, version));
+    fixture.apply(makePut('event', 'b', content, version));
   });
 
-const replayStep = fc.nat(50).map((index): Step => bench => {
-  const data = bench.appends[index % bench.appends.length];
+const replayStep = fc.nat(50).map((index): Step => fixture => {
+  const data = fixture.appends[index % fixture.appends.length];
   if (!data) return;
-  bench.appends.push(data);
-  bench.state.foldAppend(bench.state.nextOffset, data);
+  fixture.appends.push(data);
+  fixture.state.foldAppend(fixture.state.nextOffset, data);
 });
 
-const garbageStep = fc
+const randomBytesStep = fc
   .uint8Array({maxLength: 40})
-  .map((data): Step => bench => {
-    bench.appends.push(data);
-    bench.state.foldAppend(bench.state.nextOffset, data);
+  .map((data): Step => fixture => {
+    fixture.appends.push(data);
+    fixture.state.foldAppend(fixture.state.nextOffset, data);
   });
 
 const steps = fc.array(
@@ -133,28 +133,31 @@
     {weight: 2, arbitrary: extendStep},
     {weight: 1, arbitrary: eventStep},
     {weight: 2, arbitrary: replayStep},
-    {weight: 1, arbitrary: garbageStep},
+    {weight: 1, arbitrary: randomBytesStep},
   ),
   {minLength: 1, maxLength: 40},
 );
 
 const fencing = fc.constantFrom('refuses-old' as const, 'ignores' as const);
 
-function runSteps(support: 'refuses-old' | 'ignores', all: Step[]): FoldBench {
-  const bench = makeReadyBench(2, {fencing: support});
-  bench.fold(makePut('event', 'b', makeEvent('2027-01-01T10:00:00Z')));
-  all.forEach(step => step(bench));
-  return bench;
+function runSteps(
+  support: 'refuses-old' | 'ignores',
+  allSteps: Step[],
+): StateFixture {
+  const fixture = makeReadyFixture(2, {fencing: support});
+  fixture.apply(makePut('event', 'b', makeEvent('2027-01-01T10:00:00Z')));
+  allSteps.forEach(step => step(fixture));
+  return fixture;
 }
 
 function check(property: fc.IPropertyWithHooks<unknown>): void {
   fc.assert(property, {seed: SEED, numRuns: RUNS});
 }
 
-properties('never plan more memory than a server has', () => {
+properties('never reserve more memory than a server has', () => {
   check(
-    fc.property(fencing, steps, (support, all) => {
-      const {placement, stewardship} = runSteps(support, all).state;
+    fc.property(fencing, steps, (support, allSteps) => {
+      const {placement, stewardship} = runSteps(support, allSteps).state;
       stewardship
         .listBackendServers()
         .forEach(({backendServerId, memoryMib}) => {
@@ -171,10 +174,10 @@
   );
 });
 
-properties('never hold more replicas than were decided', () => {
+properties('never plan more replicas than an event permits', () => {
   check(
-    fc.property(fencing, steps, (support, all) => {
-      const {placement, configuration} = runSteps(support, all).state;
+    fc.property(fencing, steps, (support, allSteps) => {
+      const {placement, configuration} = runSteps(support, allSteps).state;
       configuration.listEvents().forEach(event => {
         const purpose = {for: 'event' as const, eventId: event.eventId};
         const need = event.needs[0]!;
@@ -187,45 +190,55 @@
   );
 });
 
-properties('give equal states on every node, checkpoints or not', () => {
+properties('give equal states with and without a checkpoint', () => {
   check(
-    fc.property(fencing, steps, fc.nat(60), (support, all, cut) => {
-      const bench = runSteps(support, all);
-      const whole = new AgreedState();
-      bench.appends.forEach((data, offset) => whole.foldAppend(offset, data));
-      const at = cut % bench.appends.length;
-      const early = new AgreedState();
-      bench.appends
-        .slice(0, at)
-        .forEach((data, offset) => early.foldAppend(offset, data));
-      const late = AgreedState.fromBytes(early.toBytes());
-      bench.appends
-        .slice(at)
-        .forEach((data, index) => late.foldAppend(at + index, data));
-      assert.is(late.digest(), whole.digest());
-      assert.is(whole.digest(), bench.state.digest());
-    }),
+    fc.property(
+      fencing,
+      steps,
+      fc.nat(60),
+      (support, allSteps, checkpointAt) => {
+        const fixture = runSteps(support, allSteps);
+        const uninterrupted = new AgreedState();
+        fixture.appends.forEach((data, offset) =>
+          uninterrupted.foldAppend(offset, data),
+        );
+        const at = checkpointAt % fixture.appends.length;
+        const beforeCheckpoint = new AgreedState();
+        fixture.appends
+          .slice(0, at)
+          .forEach((data, offset) => beforeCheckpoint.foldAppend(offset, data));
+        const afterCheckpoint = AgreedState.fromBytes(
+          beforeCheckpoint.toBytes(),
+        );
+        fixture.appends
+          .slice(at)
+          .forEach((data, index) =>
+            afterCheckpoint.foldAppend(at + index, data),
+          );
+        assert.is(afterCheckpoint.digest(), uninterrupted.digest());
+        assert.is(uninterrupted.digest(), fixture.state.digest());
+      },
+    ),
   );
 });
 
-// An append answers too late, is sent again and again, and all copies reach
-// the log with others in between. None but the first may change anything.
-properties('change nothing by copies of what was folded', () => {
+// Guards against retried appends that take effect more than once.
+properties('change nothing when an append is applied again', () => {
   check(
-    fc.property(fencing, steps, fc.nat(60), (support, all, index) => {
-      const bench = runSteps(support, all);
-      const data = bench.appends[index % bench.appends.length]!;
+    fc.property(fencing, steps, fc.nat(60), (support, allSteps, index) => {
+      const fixture = runSteps(support, allSteps);
+      const data = fixture.appends[index % fixture.appends.length]!;
       const before = {
-        slots: bench.state.placement.toSnapshot(),
-        documents: bench.state.configuration.toSnapshot(),
-        servers: bench.state.stewardship.toSnapshot(),
+        slots: fixture.state.placement.toSnapshot(),
+        documents: fixture.state.configuration.toSnapshot(),
+        servers: fixture.state.stewardship.toSnapshot(),
       };
-      bench.state.foldAppend(bench.state.nextOffset, data);
+      fixture.state.foldAppend(fixture.state.nextOffset, data);
       assert.equal(
         {
-          slots: bench.state.placement.toSnapshot(),
-          documents: bench.state.configuration.toSnapshot(),
-          servers: bench.state.stewardship.toSnapshot(),
+          slots: fixture.state.placement.toSnapshot(),
+          documents: fixture.state.configuration.toSnapshot(),
+          servers: fixture.state.stewardship.toSnapshot(),
         },
         before,
       );
@@ -233,7 +246,7 @@
   );
 });
 
-properties('survive any bytes', () => {
+properties('accept arbitrary bytes without throwing', () => {
   check(
     fc.property(fc.uint8Array({maxLength: 200}), data => {
       const state = new AgreedState();
--- a/packages/agreed-state/src/measure_main.ts
+++ b/packages/agreed-state/src/measure_main.ts
@@ -1,4 +1,4 @@
-/** Program: what folding and keeping the agreed state costs, by size. */
+/** Measures time, CPU and memory of applying and storing the state, by size. */
 import {encodeBatch} from '@mimosatack/records';
 import {AgreedState} from './agreed_state.js';
 import {WorkloadBuilder, type WorkloadSize} from './measure_workload.js';
@@ -37,24 +37,24 @@
 
 function measure(label: string, size: WorkloadSize): Measurement {
   const appends = encodeAppends(size);
-  const sentBytes = appends.reduce((sum, data) => sum + data.length, 0);
+  const encodedBytes = appends.reduce((sum, data) => sum + data.length, 0);
   const heapBefore = readHeapBytes();
   const cpuBefore = process.cpuUsage();
   const state = new AgreedState();
-  const foldMs = time(() =>
+  const foldMs = measureMs(() =>
     appends.forEach((data, offset) => state.foldAppend(offset, data)),
   );
   const cpu = process.cpuUsage(cpuBefore);
   const heapMib = (readHeapBytes() - heapBefore) / MIB;
-  const writeMs = time(() => state.toBytes());
+  const writeMs = measureMs(() => state.toBytes());
   const bytes = state.toBytes();
-  const readMs = time(() => AgreedState.fromBytes(bytes));
+  const readMs = measureMs(() => AgreedState.fromBytes(bytes));
   return {
     label,
     foldMs,
     cpuMs: (cpu.user + cpu.system) / 1000,
     microsPerRecord: (foldMs * 1000) / size.records,
-    bytesPerRecord: sentBytes / size.records,
+    bytesPerRecord: encodedBytes / size.records,
     checkpointKib: bytes.length / 1024,
     writeMs,
     readMs,
@@ -63,7 +63,7 @@
 }
 
 function encodeAppends(size: WorkloadSize): Uint8Array[] {
-  const records = new WorkloadBuilder(size).fill();
+  const records = new WorkloadBuilder(size).build();
   const count = Math.ceil(records.length / BATCH_RECORDS);
   return Array.from({length: count}, (_unused, index) =>
     encodeBatch(
@@ -72,13 +72,13 @@
   );
 }
 
-function time(action: () => unknown): number {
+function measureMs(action: () => unknown): number {
   const startMs = performance.now();
   action();
   return performance.now() - startMs;
 }
 
-/** Run with `--expose-gc`, so that garbage is not counted. */
+/** Includes garbage unless Node runs with `--expose-gc`. */
 function readHeapBytes(): number {
   globalThis.gc?.();
   return process.memoryUsage().heapUsed;
--- a/packages/agreed-state/src/measure_workload.ts
+++ b/packages/agreed-state/src/measure_workload.ts
@@ -1,14 +1,14 @@
-/** A log of a given size, for measurements of the fold. */
+/** Builds logs of a given size for measurements. */
 import {type AgreedRecord, type RecordBody} from '@mimosatack/records';
 
-/** How much there is of everything. */
+/** Number of objects of each kind. */
 export interface WorkloadSize {
   models: number;
   adaptersPerModel: number;
   servers: number;
-  /** Events that are planned or running at once. */
+  /** Events that are planned or running at the same time. */
   openEvents: number;
-  /** Records in all, those that set everything up included. */
+  /** All records, including those that create documents and servers. */
   records: number;
 }
 
@@ -16,9 +16,9 @@
 const EVENT_MS = 30 * 60_000;
 const MODEL_MIB = 16_384;
 const SERVER_MIB = 655_360;
-const DOMAINS = 8;
+const FAILURE_DOMAIN_COUNT = 8;
 
-/** Builds records that are all valid: events come, are planned and go. */
+/** Builds valid records that publish, plan, end and delete events. */
 export class WorkloadBuilder {
   readonly records: AgreedRecord[] = [];
   private readonly epochs = new Map<string, number>();
@@ -29,8 +29,8 @@
     this.addServers();
   }
 
-  /** Adds whole lives of events until there are enough records. */
-  fill(): AgreedRecord[] {
+  /** Adds complete event lifecycles until there are enough records. */
+  build(): AgreedRecord[] {
     while (this.records.length < this.size.records) this.addEvent();
     return this.records;
   }
@@ -70,7 +70,7 @@
         hostId: backendServerId,
         baseUrl: `http://10.0.${index >> 8}.${index & 255}:8000`,
         pool: 'runners',
-        failureDomain: `domain-${index % DOMAINS}`,
+        failureDomain: `domain-${index % FAILURE_DOMAIN_COUNT}`,
         region: 'central',
         fencing: 'refuses-old',
         accelerators: 8,
--- a/packages/agreed-state/src/outcome.ts
+++ b/packages/agreed-state/src/outcome.ts
@@ -1,6 +1,6 @@
-/** What the fold makes of one record. */
+/** Outcomes of applying log records. */
 
-/** Why a record is void; void records change nothing, on any node. */
+/** Why a record is void. A void record changes nothing on any node. */
 export type VoidReason =
   | 'duplicate'
   | 'stale-basis'
@@ -15,14 +15,11 @@
   | 'stale-epoch'
   | 'in-doubt';
 
-/** The verdict of the rules on one record. */
 export type Outcome =
   {status: 'valid'} | {status: 'void'; reason: VoidReason; message: string};
 
-/** The verdict on a record that took effect. */
 export const VALID: Outcome = {status: 'valid'};
 
-/** Builds the verdict on a record that breaks a rule. */
 export function makeVoid(reason: VoidReason, message: string): Outcome {
   return {status: 'void', reason, message};
 }
--- a/packages/agreed-state/src/placement/memory_profile.ts
+++ b/packages/agreed-state/src/placement/memory_profile.ts
@@ -1,16 +1,16 @@
-/** The accelerator memory of one backend server over planned time. */
+/** Accelerator memory reserved on one backend server over time. */
 
-/** A stretch of time in which some memory is held. */
+/** An amount of memory reserved for a time range. */
 export interface MemoryHold {
   fromMs: number;
-  /** Infinity for a hold whose end nobody can tell. */
+  /** Infinity if the end is unknown. */
   untilMs: number;
   memoryMib: number;
 }
 
 /**
- * The most memory held at any moment of `[fromMs, untilMs)`. Holds only begin
- * at their `fromMs`, so the maximum lies at the start or at such a beginning.
+ * The peak of the reserved memory in `[fromMs, untilMs)`. The sum rises only
+ * where a hold starts, so only those times and `fromMs` are evaluated.
  */
 export function findPeakMib(
   holds: readonly MemoryHold[],
@@ -20,8 +20,10 @@
   const overlapping = holds.filter(
     hold => hold.fromMs < untilMs && hold.untilMs > fromMs,
   );
-  const moments = overlapping.map(hold => Math.max(hold.fromMs, fromMs));
-  return moments.reduce(
+  const candidateTimesMs = overlapping.map(hold =>
+    Math.max(hold.fromMs, fromMs),
+  );
+  return candidateTimesMs.reduce(
     (peakMib, atMs) => Math.max(peakMib, sumHeldMib(overlapping, atMs)),
     0,
   );
--- a/packages/agreed-state/src/placement/placement.ts
+++ b/packages/agreed-state/src/placement/placement.ts
@@ -1,7 +1,7 @@
 /**
- * The decided replicas. A plan is void if it would hold more memory than a
- * backend server has, or more replicas than the event decided, whatever its
- * author believed when it wrote the plan.
+ * The planned replicas (slots). A plan that exceeds the memory of a backend
+ * server or the replica count of its purpose is void, also if it was valid in
+ * the state that its author saw.
  */
 import {type BodyOf, type SlotPlan} from '@mimosatack/records';
 import {type Configuration} from '../configuration/configuration.js';
@@ -11,19 +11,19 @@
 import {type MemoryHold, findPeakMib} from './memory_profile.js';
 import {type Slot, formatPurpose, holdsFromMs, listSlotHolds} from './slot.js';
 
-/** How many plans were accepted for one purpose. */
+/** Number of plans accepted for one purpose. */
 interface PlanCount {
   purpose: string;
   plans: number;
 }
 
-/** The plain form of the aggregate, for checkpoints. */
+/** The serialized form of the placement, for checkpoints. */
 export interface PlacementSnapshot {
   slots: Slot[];
   planCounts: PlanCount[];
 }
 
-/** What a purpose allows for one model. */
+/** The replicas of one model that a purpose permits. */
 interface ReplicaAllowance {
   version: string;
   adapters: readonly string[];
@@ -33,7 +33,7 @@
   maxSurge: number;
 }
 
-/** The aggregate of all slots that are not released. */
+/** All slots that are not yet released. */
 export class Placement {
   private readonly slots = new Map<string, Slot>();
   private readonly byBackendServer = new Map<string, Set<Slot>>();
@@ -84,12 +84,15 @@
     return [...(this.byPurpose.get(formatPurpose(purpose)) ?? [])];
   }
 
-  /** The number that the next plan for this purpose must name. */
+  /** The `expectedPlan` that the next plan for this purpose must name. */
   countPlans(purpose: Slot['purpose']): number {
     return this.planCounts.get(formatPurpose(purpose)) ?? 0;
   }
 
-  /** The memory that is spoken for on a backend server, over time. */
+  /**
+   * The memory reserved on a backend server over time. A slot in doubt reserves
+   * memory without an end, because a former steward may still load it.
+   */
   listHolds(backendServerId: string): MemoryHold[] {
     return this.listOn(backendServerId).flatMap(slot =>
       this.stewardship.isInDoubt(backendServerId, slot.slotId)
@@ -149,7 +152,10 @@
   extend(body: BodyOf<'extend-slots'>): Outcome {
     const slots = body.slotIds.map(slotId => this.slots.get(slotId));
     if (slots.some(slot => !slot || slot.status === 'ending')) {
-      return makeVoid('unknown-reference', 'A slot is gone or ending.');
+      return makeVoid(
+        'unknown-reference',
+        'A slot does not exist or is ending.',
+      );
     }
     const extended = (slots as Slot[]).filter(
       slot => slot.untilMs < body.untilMs,
@@ -177,36 +183,39 @@
       );
     }
     const slots = body.slotIds.map(slotId => this.slots.get(slotId));
-    const isForeign = slots.some(
+    const hasInvalidSlot = slots.some(
       slot =>
         !slot ||
         slot.backendServerId !== body.backendServerId ||
         slot.status !== 'ending',
     );
-    if (isForeign) {
-      return makeVoid('unknown-reference', 'A slot is not ending here.');
+    if (hasInvalidSlot) {
+      return makeVoid(
+        'unknown-reference',
+        'A slot is not in status `ending` on this backend server.',
+      );
     }
-    const doubtful = body.slotIds.find(slotId =>
+    const inDoubtId = body.slotIds.find(slotId =>
       this.stewardship.isInDoubt(body.backendServerId, slotId),
     );
-    if (doubtful !== undefined) {
+    if (inDoubtId !== undefined) {
       return makeVoid(
         'in-doubt',
-        `An earlier steward may still load slot ${doubtful}.`,
+        `A former steward may still load slot ${inDoubtId}.`,
       );
     }
     (slots as Slot[]).forEach(slot => this.remove(slot));
     return VALID;
   }
 
-  /** Drops what a backend server held; called when the server is gone. */
+  /** Drops all slots of a backend server that is being removed. */
   removeBackendServer(backendServerId: string): void {
     this.listOn(backendServerId).forEach(slot => this.remove(slot));
   }
 
   /**
    * Drops the plan count of a deleted event once its last slot is released. A
-   * late plan for it stays void: it names a revision that no event has.
+   * late plan for the event stays void because its target revision is gone.
    */
   forgetEvent(eventId: string): void {
     const purpose = {for: 'event' as const, eventId};
@@ -239,7 +248,7 @@
     const isRepeated =
       ids.size < body.slots.length ||
       body.slots.some(plan => this.slots.has(plan.slotId));
-    if (isRepeated) return makeVoid('invalid-content', 'A slot id repeats.');
+    if (isRepeated) return makeVoid('invalid-content', 'A slot id is reused.');
     const faults = body.slots
       .map(plan => this.findSlotFault(plan, body.purpose))
       .filter(fault => fault !== null);
@@ -253,16 +262,16 @@
     purpose: Slot['purpose'],
   ): string | null {
     if (plan.untilMs <= plan.loadAtMs) {
-      return `Slot ${plan.slotId} ends before it is loaded.`;
+      return `Slot ${plan.slotId} does not end after its load time.`;
     }
     if (plan.stage && plan.stage.untilMs > plan.loadAtMs) {
-      return `Slot ${plan.slotId} is staged after it is loaded.`;
+      return `Slot ${plan.slotId} has a stage that ends after its load time.`;
     }
     const server = this.stewardship.findBackendServer(plan.backendServerId);
     if (!server) return `There is no backend server ${plan.backendServerId}.`;
     const allowance = this.findAllowance(purpose, plan);
     if (!allowance) {
-      return `${formatPurpose(purpose)} needs no ${plan.model}.`;
+      return `${formatPurpose(purpose)} has no need that matches ${plan.model}.`;
     }
     if (server.pool !== allowance.pool) {
       return `${plan.model} runs in pool ${allowance.pool}, not ${server.pool}.`;
@@ -294,8 +303,8 @@
   }
 
   /**
-   * Counts every slot that is not released, ending ones too: what an engine
-   * has not been seen to unload may still be loaded.
+   * Counts ending slots too, because the engine may still have their replicas
+   * loaded until they are released.
    */
   private checkReplicaCount(body: BodyOf<'decide-slots'>): Outcome | null {
     const held = this.listFor(body.purpose);
@@ -305,16 +314,16 @@
           body.purpose,
           plan,
         ) as ReplicaAllowance;
-        const same = [...held, ...body.slots].filter(
+        const sameModel = [...held, ...body.slots].filter(
           other => other.model === plan.model,
         );
-        const firsts = same.filter(other => other.replaces === null);
+        const originals = sameModel.filter(other => other.replaces === null);
         const isTooMany =
-          same.length > allowance.replicas + allowance.maxSurge ||
-          firsts.length > allowance.replicas;
+          sameModel.length > allowance.replicas + allowance.maxSurge ||
+          originals.length > allowance.replicas;
         return isTooMany
-          ? `${plan.model} may have ${allowance.replicas} replicas ` +
-              `and ${allowance.maxSurge} for lost ones.`
+          ? `${plan.model} is limited to ${allowance.replicas} replicas ` +
+              `and ${allowance.maxSurge} replacements.`
           : null;
       })
       .find(message => message !== null);
@@ -336,22 +345,22 @@
     return overcommitted
       ? makeVoid(
           'memory-exceeded',
-          `${overcommitted.backendServerId} has no room for ` +
-            `${overcommitted.model} at that time.`,
+          `${overcommitted.backendServerId} has too little memory for ` +
+            `${overcommitted.model} in that time range.`,
         )
       : null;
   }
 
   private add(slot: Slot): void {
     this.slots.set(slot.slotId, slot);
-    addTo(this.byBackendServer, slot.backendServerId, slot);
-    addTo(this.byPurpose, formatPurpose(slot.purpose), slot);
+    addToIndex(this.byBackendServer, slot.backendServerId, slot);
+    addToIndex(this.byPurpose, formatPurpose(slot.purpose), slot);
   }
 
   private remove(slot: Slot): void {
     this.slots.delete(slot.slotId);
-    removeFrom(this.byBackendServer, slot.backendServerId, slot);
-    removeFrom(this.byPurpose, formatPurpose(slot.purpose), slot);
+    removeFromIndex(this.byBackendServer, slot.backendServerId, slot);
+    removeFromIndex(this.byPurpose, formatPurpose(slot.purpose), slot);
     if (slot.purpose.for === 'event') this.forgetEvent(slot.purpose.eventId);
   }
 }
@@ -367,13 +376,17 @@
   );
 }
 
-function addTo(index: Map<string, Set<Slot>>, key: string, slot: Slot): void {
+function addToIndex(
+  index: Map<string, Set<Slot>>,
+  key: string,
+  slot: Slot,
+): void {
   const members = index.get(key) ?? new Set<Slot>();
   members.add(slot);
   index.set(key, members);
 }
 
-function removeFrom(
+function removeFromIndex(
   index: Map<string, Set<Slot>>,
   key: string,
   slot: Slot,
--- a/packages/agreed-state/src/stewardship.test.ts
+++ b/packages/agreed-state/src/stewardship.test.ts
@@ -2,159 +2,166 @@
 import * as assert from 'uvu/assert';
 import {AgreedState} from './agreed_state.js';
 import {
-  type FoldBench,
+  type StateFixture,
   makeClaim,
   makePlan,
-  makeReadyBench,
+  makeReadyFixture,
   makeServer,
   makeSlot,
-  verdictOf,
+  outcomeCode,
 } from './test_fixtures.js';
 
-const OLD = 'node-1.aaaaaaaa';
-const NEW = 'node-2.bbbbbbbb';
+const FORMER_HOLDER = 'node-1.aaaaaaaa';
+const NEW_HOLDER = 'node-2.bbbbbbbb';
 
 const stewardship = suite('stewardship');
 
-function makeTakenOverBench(fencing: 'refuses-old' | 'ignores'): FoldBench {
-  const bench = makeReadyBench(1, {fencing});
-  bench.fold(makeClaim(bench, 'r1'), OLD);
-  bench.fold(makePlan(bench, [makeSlot('s1', 'r1')]));
-  bench.fold(makeClaim(bench, 'r1'), NEW);
-  bench.fold({type: 'end-slots', slotIds: ['s1'], reason: 'event-changed'});
-  return bench;
+function makeTakenOverFixture(
+  fencing: 'refuses-old' | 'ignores',
+): StateFixture {
+  const fixture = makeReadyFixture(1, {fencing});
+  fixture.apply(makeClaim(fixture, 'r1'), FORMER_HOLDER);
+  fixture.apply(makePlan(fixture, [makeSlot('s1', 'r1')]));
+  fixture.apply(makeClaim(fixture, 'r1'), NEW_HOLDER);
+  fixture.apply({type: 'end-slots', slotIds: ['s1'], reason: 'event-changed'});
+  return fixture;
 }
 
-function release(bench: FoldBench): string {
-  const epoch = bench.state.stewardship.findClaim('r1')?.epoch ?? 0;
+function release(fixture: StateFixture): string {
+  const epoch = fixture.state.stewardship.findClaim('r1')?.epoch ?? 0;
   const body = {
     type: 'release-slots' as const,
     backendServerId: 'r1',
     epoch,
     slotIds: ['s1'],
   };
-  return verdictOf(bench.fold(body, NEW));
+  return outcomeCode(fixture.apply(body, NEW_HOLDER));
 }
 
-stewardship('takes only the first of two claims', () => {
-  const bench = makeReadyBench();
-  const claim = makeClaim(bench, 'r1');
-  assert.is(verdictOf(bench.fold(claim, OLD)), 'valid');
-  assert.is(verdictOf(bench.fold(claim, NEW)), 'stale-epoch');
-  assert.is(bench.state.stewardship.findClaim('r1')?.holder, OLD);
+stewardship('accepts only the first of two concurrent claims', () => {
+  const fixture = makeReadyFixture();
+  const claim = makeClaim(fixture, 'r1');
+  assert.is(outcomeCode(fixture.apply(claim, FORMER_HOLDER)), 'valid');
+  assert.is(outcomeCode(fixture.apply(claim, NEW_HOLDER)), 'stale-epoch');
+  assert.is(fixture.state.stewardship.findClaim('r1')?.holder, FORMER_HOLDER);
 });
 
 stewardship('gives each claim a higher epoch', () => {
-  const bench = makeReadyBench();
-  const epochs = [OLD, NEW, OLD].map(author => {
-    bench.fold(makeClaim(bench, 'r1'), author);
-    return bench.state.stewardship.findClaim('r1')!.epoch;
+  const fixture = makeReadyFixture();
+  const epochs = [FORMER_HOLDER, NEW_HOLDER, FORMER_HOLDER].map(author => {
+    fixture.apply(makeClaim(fixture, 'r1'), author);
+    return fixture.state.stewardship.findClaim('r1')!.epoch;
   });
   assert.ok(epochs[0]! < epochs[1]! && epochs[1]! < epochs[2]!);
 });
 
-// A node is frozen with a load order in hand, another takes over and the event
-// is changed. The engine ignores fencing numbers, so the thawed node's order
-// still loads the old slot: its memory must stay counted until then.
+// Guards against memory that is planned twice: a paused former holder may still
+// load its slot on an engine that ignores fencing tokens.
 stewardship('keeps slots of a former holder in doubt', () => {
-  const bench = makeTakenOverBench('ignores');
-  assert.is(release(bench), 'in-doubt');
-  const holds = bench.state.placement.listHolds('r1');
+  const fixture = makeTakenOverFixture('ignores');
+  assert.is(release(fixture), 'in-doubt');
+  const holds = fixture.state.placement.listHolds('r1');
   assert.equal(
     holds.map(hold => hold.untilMs),
     [Infinity],
   );
 });
 
-stewardship('has no doubt where the engine refuses old orders', () => {
-  const bench = makeTakenOverBench('refuses-old');
-  assert.is(release(bench), 'valid');
+stewardship('records no doubt if the engine rejects old fencing tokens', () => {
+  const fixture = makeTakenOverFixture('refuses-old');
+  assert.is(release(fixture), 'valid');
 });
 
-stewardship('has no doubt after the holder gave up by itself', () => {
-  const bench = makeReadyBench(1, {fencing: 'ignores'});
-  bench.fold(makeClaim(bench, 'r1'), OLD);
-  const {epoch} = bench.state.stewardship.findClaim('r1')!;
-  bench.fold(makePlan(bench, [makeSlot('s1', 'r1')]));
-  bench.fold({type: 'yield-steward', backendServerId: 'r1', epoch}, OLD);
-  bench.fold(makeClaim(bench, 'r1'), NEW);
-  assert.is(bench.state.stewardship.listDoubts('r1').length, 0);
+stewardship('records no doubt after the holder yielded', () => {
+  const fixture = makeReadyFixture(1, {fencing: 'ignores'});
+  fixture.apply(makeClaim(fixture, 'r1'), FORMER_HOLDER);
+  const {epoch} = fixture.state.stewardship.findClaim('r1')!;
+  fixture.apply(makePlan(fixture, [makeSlot('s1', 'r1')]));
+  fixture.apply(
+    {type: 'yield-steward', backendServerId: 'r1', epoch},
+    FORMER_HOLDER,
+  );
+  fixture.apply(makeClaim(fixture, 'r1'), NEW_HOLDER);
+  assert.is(fixture.state.stewardship.listDoubts('r1').length, 0);
 });
 
-// Only the former holder knows that it has nothing on the way. Another node
-// that says so for it, from an old view, must not end the doubt.
+// Guards against a doubt that another node clears although the former holder
+// may still have orders in flight.
 stewardship('lets only the former holder acknowledge', () => {
-  const bench = makeTakenOverBench('ignores');
-  const [doubt] = bench.state.stewardship.listDoubts('r1');
+  const fixture = makeTakenOverFixture('ignores');
+  const [doubt] = fixture.state.stewardship.listDoubts('r1');
   const clear = {
     type: 'clear-doubt' as const,
     backendServerId: 'r1',
     epoch: doubt!.epoch,
     evidence: 'acknowledged' as const,
   };
-  assert.is(verdictOf(bench.fold(clear, NEW)), 'stale-epoch');
-  assert.is(release(bench), 'in-doubt');
-  assert.is(verdictOf(bench.fold(clear, OLD)), 'valid');
-  assert.is(release(bench), 'valid');
+  assert.is(outcomeCode(fixture.apply(clear, NEW_HOLDER)), 'stale-epoch');
+  assert.is(release(fixture), 'in-doubt');
+  assert.is(outcomeCode(fixture.apply(clear, FORMER_HOLDER)), 'valid');
+  assert.is(release(fixture), 'valid');
 });
 
-// Two takeovers in a row leave two former holders, each of which may still
-// have an order on the way. Clearing one doubt must not clear the other.
-stewardship('keeps the doubts of several former holders apart', () => {
-  const bench = makeReadyBench(1, {fencing: 'ignores'});
-  bench.fold(makeClaim(bench, 'r1'), OLD);
-  bench.fold(makePlan(bench, [makeSlot('s1', 'r1')]));
-  bench.fold(makeClaim(bench, 'r1'), NEW);
-  bench.fold(makeClaim(bench, 'r1'), 'node-3.cccccccc');
-  const doubts = bench.state.stewardship.listDoubts('r1');
+// Guards against clearing the doubts of all former holders after two takeovers.
+stewardship('keeps the doubts of several former holders separate', () => {
+  const fixture = makeReadyFixture(1, {fencing: 'ignores'});
+  fixture.apply(makeClaim(fixture, 'r1'), FORMER_HOLDER);
+  fixture.apply(makePlan(fixture, [makeSlot('s1', 'r1')]));
+  fixture.apply(makeClaim(fixture, 'r1'), NEW_HOLDER);
+  fixture.apply(makeClaim(fixture, 'r1'), 'node-3.cccccccc');
+  const doubts = fixture.state.stewardship.listDoubts('r1');
   assert.equal(
     doubts.map(doubt => doubt.formerHolder),
-    [OLD, NEW],
+    [FORMER_HOLDER, NEW_HOLDER],
   );
-  bench.fold({
+  fixture.apply({
     type: 'clear-doubt',
     backendServerId: 'r1',
     epoch: doubts[0]!.epoch,
     evidence: 'host-gone',
   });
-  assert.ok(bench.state.stewardship.isInDoubt('r1', 's1'));
+  assert.ok(fixture.state.stewardship.isInDoubt('r1', 's1'));
 });
 
-// The old holder thaws and says that it releases a slot, under its old epoch.
-// The slot is the new holder's to release.
+// Guards against a former holder that resumes and releases a slot which the new
+// holder is responsible for.
 stewardship('refuses a release under an old epoch', () => {
-  const bench = makeReadyBench();
-  bench.fold(makeClaim(bench, 'r1'), OLD);
-  const {epoch} = bench.state.stewardship.findClaim('r1')!;
-  bench.fold(makePlan(bench, [makeSlot('s1', 'r1')]));
-  bench.fold({type: 'end-slots', slotIds: ['s1'], reason: 'moved'});
-  bench.fold(makeClaim(bench, 'r1'), NEW);
-  const folded = bench.fold({
+  const fixture = makeReadyFixture();
+  fixture.apply(makeClaim(fixture, 'r1'), FORMER_HOLDER);
+  const {epoch} = fixture.state.stewardship.findClaim('r1')!;
+  fixture.apply(makePlan(fixture, [makeSlot('s1', 'r1')]));
+  fixture.apply({type: 'end-slots', slotIds: ['s1'], reason: 'moved'});
+  fixture.apply(makeClaim(fixture, 'r1'), NEW_HOLDER);
+  const applied = fixture.apply({
     type: 'release-slots',
     backendServerId: 'r1',
     epoch,
     slotIds: ['s1'],
   });
-  assert.is(verdictOf(folded), 'stale-epoch');
+  assert.is(outcomeCode(applied), 'stale-epoch');
 });
 
-// An operator drains a runner, and the host list then reports a new address.
-// If the new registration forgot the drain, work would come back unasked.
+// Guards against a changed address that ends a drain, so that the backend server
+// receives work again.
 stewardship('keeps a drain across registrations and checkpoints', () => {
-  const bench = makeReadyBench();
+  const fixture = makeReadyFixture();
   const drain = (isDraining: boolean, backendServerId = 'r1') =>
-    verdictOf(
-      bench.fold({type: 'drain-backend-server', backendServerId, isDraining}),
+    outcomeCode(
+      fixture.apply({
+        type: 'drain-backend-server',
+        backendServerId,
+        isDraining,
+      }),
     );
   assert.is(drain(true), 'valid');
   assert.is(drain(true), 'version-conflict');
   assert.is(drain(true, 'r9'), 'unknown-reference');
-  bench.fold(makeServer('r1', {baseUrl: 'http://10.0.0.2:8000'}));
-  const restored = AgreedState.fromBytes(bench.state.toBytes());
+  fixture.apply(makeServer('r1', {baseUrl: 'http://10.0.0.2:8000'}));
+  const restored = AgreedState.fromBytes(fixture.state.toBytes());
   assert.ok(restored.stewardship.isDraining('r1'));
   assert.not(restored.stewardship.isDraining('r2'));
   assert.is(drain(false), 'valid');
-  assert.not(bench.state.stewardship.isDraining('r1'));
+  assert.not(fixture.state.stewardship.isDraining('r1'));
 });
 
 stewardship.run();
--- a/packages/agreed-state/src/stewardship/stewardship.ts
+++ b/packages/agreed-state/src/stewardship/stewardship.ts
@@ -1,7 +1,7 @@
 /**
- * The backend servers and who may send them orders. The claim with the
- * highest epoch holds; its epoch is the sequence number of its record, so it
- * grows with every claim on every backend server.
+ * The registered backend servers and their stewards, the nodes that may send
+ * orders to them. The claim with the highest epoch is in force. An epoch is the
+ * sequence number of the claim's record, so epochs increase across all servers.
  */
 import {type BodyOf} from '@mimosatack/records';
 import {
@@ -11,7 +11,6 @@
 } from '@mimosatack/types';
 import {type Outcome, VALID, makeVoid} from '../outcome.js';
 
-/** A backend server that requests and orders may be sent to. */
 export interface BackendServer {
   backendServerId: BackendServerId;
   hostId: string;
@@ -24,19 +23,18 @@
   memoryMib: number;
 }
 
-/** Who holds a backend server. */
+/** The claim of a node to be the steward of a backend server. */
 export interface StewardClaim {
   holder: NodeIncarnation;
   epoch: number;
   successors: NodeIncarnation[];
-  /** The holder gave it up and has nothing on the way. */
+  /** The holder yielded the claim and has no orders in flight. */
   isYielded: boolean;
 }
 
 /**
- * Orders of a former holder that may still arrive, because the engine does
- * not refuse old fencing numbers. Until the doubt is cleared, its slots count
- * as loaded.
+ * Slots that a former holder may still load, because the engine does not reject
+ * old fencing tokens. They count as loaded until the doubt is cleared.
  */
 export interface Doubt {
   formerHolder: NodeIncarnation;
@@ -48,18 +46,16 @@
   server: BackendServer;
   claim: StewardClaim | null;
   doubts: Doubt[];
-  /** An operator wants it to receive no new work. */
   isDraining: boolean;
-  /** Whether the platform's list says that its host leaves. */
   isLeaving: boolean;
 }
 
-/** The plain form of the aggregate, for checkpoints. */
+/** The serialized form of the entries, for checkpoints. */
 export interface StewardshipSnapshot {
   entries: ServerEntry[];
 }
 
-/** The aggregate of backend servers and their stewards. */
+/** The backend servers with their claims and doubts. */
 export class Stewardship {
   private readonly entries = new Map<BackendServerId, ServerEntry>();
 
@@ -114,7 +110,10 @@
       return VALID;
     }
     if (JSON.stringify(entry.server) === JSON.stringify(server)) {
-      return makeVoid('duplicate', 'The backend server is registered so.');
+      return makeVoid(
+        'duplicate',
+        'The backend server is already registered with these values.',
+      );
     }
     entry.server = server;
     return VALID;
@@ -129,33 +128,33 @@
         );
   }
 
-  /** Whether an operator wants it to receive no new work. */
+  /** Whether an operator stopped new work for the backend server. */
   isDraining(id: BackendServerId): boolean {
     return this.entries.get(id)?.isDraining ?? false;
   }
 
-  /** Whether its host leaves. */
+  /** Whether the platform reports that the host of the server is leaving. */
   isLeaving(id: BackendServerId): boolean {
     return this.entries.get(id)?.isLeaving ?? false;
   }
 
   drain(body: BodyOf<'drain-backend-server'>): Outcome {
-    return this.change(body.backendServerId, entry => {
-      const isNews = entry.isDraining !== body.isDraining;
+    return this.update(body.backendServerId, entry => {
+      const hasChanged = entry.isDraining !== body.isDraining;
       entry.isDraining = body.isDraining;
-      return isNews;
+      return hasChanged;
     });
   }
 
   noteHostState(body: BodyOf<'note-host-state'>): Outcome {
-    return this.change(body.backendServerId, entry => {
-      const isNews = entry.isLeaving !== body.isLeaving;
+    return this.update(body.backendServerId, entry => {
+      const hasChanged = entry.isLeaving !== body.isLeaving;
       entry.isLeaving = body.isLeaving;
-      return isNews;
+      return hasChanged;
     });
   }
 
-  private change(
+  private update(
     id: BackendServerId,
     apply: (entry: ServerEntry) => boolean,
   ): Outcome {
@@ -165,10 +164,13 @@
     }
     return apply(entry)
       ? VALID
-      : makeVoid('version-conflict', 'It is in that state already.');
+      : makeVoid(
+          'version-conflict',
+          'The backend server is already in that state.',
+        );
   }
 
-  /** @param slotIds the slots that the former holder may have on the way. */
+  /** @param slotIds slots for which the former holder may have sent orders. */
   claim(
     body: BodyOf<'claim-steward'>,
     author: NodeIncarnation,
@@ -189,7 +191,7 @@
         `${body.backendServerId} is held under epoch ${currentEpoch}.`,
       );
     }
-    this.noteDoubt(entry, author, slotIds);
+    this.recordDoubt(entry, author, slotIds);
     entry.claim = {
       holder: author,
       epoch: sequence,
@@ -202,7 +204,10 @@
   yield(body: BodyOf<'yield-steward'>, author: NodeIncarnation): Outcome {
     const claim = this.findClaim(body.backendServerId);
     if (claim?.epoch !== body.epoch || claim.holder !== author) {
-      return makeVoid('stale-epoch', 'The author does not hold this epoch.');
+      return makeVoid(
+        'stale-epoch',
+        'The author does not hold the claim with this epoch.',
+      );
     }
     claim.isYielded = true;
     return VALID;
@@ -212,33 +217,39 @@
     const entry = this.entries.get(body.backendServerId);
     const doubt = entry?.doubts.find(other => other.epoch === body.epoch);
     if (!entry || !doubt) {
-      return makeVoid('unknown-reference', 'There is no such doubt.');
+      return makeVoid(
+        'unknown-reference',
+        'No doubt is recorded for this epoch.',
+      );
     }
     if (body.evidence === 'acknowledged' && author !== doubt.formerHolder) {
-      return makeVoid('stale-epoch', 'Only the former holder may say so.');
+      return makeVoid(
+        'stale-epoch',
+        'Only the former holder may acknowledge the doubt.',
+      );
     }
     entry.doubts = entry.doubts.filter(other => other !== doubt);
     return VALID;
   }
 
   /**
-   * Guards against a holder that is only frozen: it may send its last order
-   * after the takeover. An engine that refuses old fencing numbers turns that
-   * order down; any other may still load a slot, so those slots stay counted.
+   * Guards against a former holder that was only paused and sends an order
+   * after the takeover. Unless the engine rejects old fencing tokens, the order
+   * may still load a slot, so the slots keep their memory reserved.
    */
-  private noteDoubt(
+  private recordDoubt(
     entry: ServerEntry,
     author: NodeIncarnation,
     slotIds: string[],
   ): void {
     const former = entry.claim;
-    const cannotArrive =
+    const isWithoutDoubt =
       !former ||
       former.isYielded ||
       former.holder === author ||
       entry.server.fencing === 'refuses-old' ||
       slotIds.length === 0;
-    if (cannotArrive) return;
+    if (isWithoutDoubt) return;
     entry.doubts.push({
       formerHolder: former.holder,
       epoch: former.epoch,
--- a/packages/agreed-state/src/test_fixtures.ts
+++ b/packages/agreed-state/src/test_fixtures.ts
@@ -1,4 +1,4 @@
-/** Builders of records and states for the tests of this package. */
+/** Builders of records and states for tests. */
 import {
   type AgreedRecord,
   type BodyOf,
@@ -8,29 +8,28 @@
 } from '@mimosatack/records';
 import {AgreedState, type FoldedRecord} from './agreed_state.js';
 
-/** Folds bodies one by one, each as a record and an append of its own. */
-export class FoldBench {
+/** Applies each body as one record in its own append. */
+export class StateFixture {
   state = new AgreedState();
   readonly appends: Uint8Array[] = [];
-  private counter = 0;
+  private recordCount = 0;
 
-  /** Folds one body written by `author` and returns its verdict. */
-  fold(body: RecordBody, author = 'node-1.aaaaaaaa'): FoldedRecord {
-    return this.foldRecord(this.makeRecord(body, author));
+  apply(body: RecordBody, author = 'node-1.aaaaaaaa'): FoldedRecord {
+    return this.applyRecord(this.makeRecord(body, author));
   }
 
-  foldRecord(record: AgreedRecord): FoldedRecord {
+  applyRecord(record: AgreedRecord): FoldedRecord {
     const data = encodeBatch([record]);
     this.appends.push(data);
-    const [folded] = this.state.foldAppend(this.state.nextOffset, data);
-    if (!folded) throw new Error('nothing was folded');
-    return folded;
+    const [applied] = this.state.foldAppend(this.state.nextOffset, data);
+    if (!applied) throw new Error('no record was applied');
+    return applied;
   }
 
   makeRecord(body: RecordBody, author = 'node-1.aaaaaaaa'): AgreedRecord {
-    this.counter += 1;
+    this.recordCount += 1;
     return {
-      recordId: `record-${this.counter}`,
+      recordId: `record-${this.recordCount}`,
       author,
       basisSequence: this.state.sequence,
       writtenAtMs: 0,
@@ -41,8 +40,8 @@
   }
 }
 
-/** The verdict as one word: `valid`, or the reason why it is void. */
-export function verdictOf({outcome}: FoldedRecord): string {
+/** `valid`, or the reason why the record is void. */
+export function outcomeCode({outcome}: FoldedRecord): string {
   return outcome.status === 'valid' ? 'valid' : outcome.reason;
 }
 
@@ -96,23 +95,23 @@
   };
 }
 
-/** The start of the event that `makeReadyBench` creates. */
+/** Start of the event that `makeReadyFixture` publishes. */
 export const START_MS = Date.parse('2027-01-01T10:00:00Z');
 
-/** A state with a team, a model of 600 MiB, a template, an event, 2 servers. */
-export function makeReadyBench(
+/** A team, a model of 600 MiB, a template, an event and two servers. */
+export function makeReadyFixture(
   replicas = 1,
   server: Partial<BodyOf<'register-backend-server'>> = {},
-): FoldBench {
-  const bench = new FoldBench();
-  bench.fold(makePut('team', 'pantry', {}));
-  bench.fold(makePut('model', 'lists', makeModel()));
-  bench.fold(makePut('template', 'window', makeTemplate()));
+): StateFixture {
+  const fixture = new StateFixture();
+  fixture.apply(makePut('team', 'pantry', {}));
+  fixture.apply(makePut('model', 'lists', makeModel()));
+  fixture.apply(makePut('template', 'window', makeTemplate()));
   const event = makeEvent('2027-01-01T10:00:00Z', replicas);
-  bench.fold(makePut('event', 'saturday', event));
-  bench.fold(makeServer('r1', server));
-  bench.fold(makeServer('r2', server));
-  return bench;
+  fixture.apply(makePut('event', 'saturday', event));
+  fixture.apply(makeServer('r1', server));
+  fixture.apply(makeServer('r2', server));
+  return fixture;
 }
 
 export function makeModel(): Record<string, unknown> {
@@ -140,14 +139,14 @@
   };
 }
 
-/** A plan for the event of `makeReadyBench`, as it stands in the state. */
+/** A plan that is based on the current state. */
 export function makePlan(
-  bench: FoldBench,
+  fixture: StateFixture,
   slots: SlotPlan[],
   eventId = 'saturday',
 ): BodyOf<'decide-slots'> {
   const purpose = {for: 'event' as const, eventId};
-  const {configuration, placement} = bench.state;
+  const {configuration, placement} = fixture.state;
   return {
     type: 'decide-slots',
     purpose,
@@ -158,10 +157,10 @@
 }
 
 export function makeClaim(
-  bench: FoldBench,
+  fixture: StateFixture,
   backendServerId: string,
 ): BodyOf<'claim-steward'> {
-  const claim = bench.state.stewardship.findClaim(backendServerId);
+  const claim = fixture.state.stewardship.findClaim(backendServerId);
   return {
     type: 'claim-steward',
     backendServerId,
