--- a/packages/answer-streams/src/abort_error.ts
+++ b/packages/answer-streams/src/abort_error.ts
@@ -1,13 +1,13 @@
-/** What ended a wait, as a typed error. */
+/** Converts the reason of an aborted signal to a typed error. */
 import {TypedError} from '@mimosatack/errors';
 
-/** The reason of an aborted signal; a timeout is a passed deadline. */
+/** A reason that is not a typed error counts as an exceeded deadline. */
 export function asAbortError(signal: AbortSignal): TypedError {
   const reason: unknown = signal.reason;
   if (reason instanceof TypedError) return reason;
   return new TypedError(
     'deadline-exceeded',
-    'The answer was not whole by the deadline.',
+    'The response was not complete by the deadline.',
     {run: 'unknown'},
   );
 }
--- a/packages/answer-streams/src/answer_fixture.ts
+++ b/packages/answer-streams/src/answer_fixture.ts
@@ -1,4 +1,4 @@
-/** Answers, engines and clocks for the tests of this package. */
+/** Fake engines, connections and clocks for tests. */
 import {setImmediate} from 'node:timers/promises';
 import {type Clock, type Timer} from '@mimosatack/clock';
 import {TypedError, toTypedError} from '@mimosatack/errors';
@@ -16,20 +16,19 @@
 
 export const REQUEST_ID = 'q1';
 
-/** What one connection to the engine brings, and how it ends. */
+/** The events that one connection delivers, and how it ends. */
 export interface Connection {
   events: readonly StreamEvent[];
   /**
-   * `open` stays silent until it is closed, `lingering` for a while, and
-   * `endless` never ends a line.
+   * `open` sends nothing until the reader closes it, `lingering` closes after a
+   * short delay, and `endless` sends a line without an end.
    */
   end: 'closed' | 'reset' | 'open' | 'lingering' | 'endless';
 }
 
-/** The engine's side: what a resume from an event on gives. */
+/** Returns the connection or error for a resume from `fromId`. */
 export type Engine = (fromId: number) => Connection | TypedError;
 
-/** What came of reading an answer. */
 export interface Reading {
   events: StreamEvent[];
   error: TypedError | null;
@@ -48,33 +47,33 @@
   return {id, data: JSON.stringify({request_id: owner, choices})};
 }
 
-/** The right events of an answer with `count` chunks, its end included. */
-export function makeAnswer(count: number): StreamEvent[] {
+/** The events of a complete response: `count` chunks and the end. */
+export function makeResponse(count: number): StreamEvent[] {
   const chunks = Array.from({length: count}, (_unused, id) =>
     makeChunk(id, `w${id} `, REQUEST_ID, id === count - 1 ? 'stop' : null),
   );
   return [...chunks, {id: count, data: END_OF_ANSWER}];
 }
 
-/** An engine that keeps an answer and gives all of it. */
-export function makeKeeper(answer: readonly StreamEvent[]): Engine {
+/** An engine that retains a response and can resume it at any event. */
+export function makeRetainingEngine(response: readonly StreamEvent[]): Engine {
   return fromId => ({
-    events: answer.filter(event => event.id >= fromId),
+    events: response.filter(event => event.id >= fromId),
     end: 'closed',
   });
 }
 
-/** Timers fire as soon as all else has run. */
-export function createHastyClock(): Clock {
+/** A clock whose timers fire in the next turn of the event loop. */
+export function createImmediateClock(): Clock {
   return {
     wallMs: () => 0,
     monotonicMs: () => 0,
     setTimer: (_delayMs, callback): Timer => {
-      const cancelling = new AbortController();
+      const cancellation = new AbortController();
       void setImmediate().then(() => {
-        if (!cancelling.signal.aborted) callback();
+        if (!cancellation.signal.aborted) callback();
       });
-      return {cancel: () => cancelling.abort()};
+      return {cancel: () => cancellation.abort()};
     },
   };
 }
@@ -94,23 +93,23 @@
   signal: AbortSignal = new AbortController().signal,
 ): Promise<Reading> {
   const reading: Reading = {events: [], error: null, repairs: []};
-  const answer = readAnswer({
+  const response = readAnswer({
     requestId: REQUEST_ID,
     firstId: 0,
     first: openConnection(first),
     resume: async fromId => {
-      const given = engine(fromId);
-      if (given instanceof TypedError) throw given;
-      return openConnection(given);
+      const resumed = engine(fromId);
+      if (resumed instanceof TypedError) throw resumed;
+      return openConnection(resumed);
     },
-    clock: createHastyClock(),
+    clock: createImmediateClock(),
     random: new SeededRandom(1),
     limits: {...DEFAULT_ANSWER_LIMITS, ...overrides},
     signal,
     onRepair: cause => reading.repairs.push(cause),
   });
   try {
-    for await (const events of answer) reading.events.push(...events);
+    for await (const events of response) reading.events.push(...events);
   } catch (thrown) {
     reading.error = toTypedError(thrown);
   }
--- a/packages/answer-streams/src/answer_limits.ts
+++ b/packages/answer-streams/src/answer_limits.ts
@@ -1,26 +1,24 @@
-/** How much of an answer is kept and waited for. */
+/** Limits for reading a response from an engine. */
 
-/** Limits of reading one answer. */
 export interface AnswerLimits {
-  /** Largest answer, in bytes of its chunks. */
+  /** Maximum size of all event data of a response, in bytes. */
   maxAnswerBytes: number;
-  /** Largest single event, in characters. */
+  /** Maximum size of one event, in characters. */
   maxEventChars: number;
-  /** How many events may wait for an earlier one. */
+  /** Maximum number of buffered out-of-order events. */
   maxWaitingEvents: number;
-  /** How many characters may wait for an earlier event. */
+  /** Maximum size of the buffered out-of-order events, in characters. */
   maxWaitingChars: number;
-  /** How long a gap may stay before it is filled by a resume. */
+  /** Time without new bytes after which a gap causes a resume. */
   gapWaitMs: number;
-  /** Resumes in a row that may bring nothing new. */
+  /** Maximum number of consecutive resumes without progress. */
   maxIdleResumes: number;
-  /** Resumes of one answer in all. */
+  /** Maximum number of resumes of one response. */
   maxResumes: number;
-  /** Pause before a resume that follows one without anything new. */
+  /** Minimum delay before a resume after one without progress. */
   resumeDelayMs: number;
 }
 
-/** Limits used where none are given. */
 export const DEFAULT_ANSWER_LIMITS: AnswerLimits = {
   maxAnswerBytes: 16 * 1024 * 1024,
   maxEventChars: 256 * 1024,
--- a/packages/answer-streams/src/answer_reader.test.ts
+++ b/packages/answer-streams/src/answer_reader.test.ts
@@ -5,82 +5,90 @@
 import {
   type Connection,
   type Engine,
-  makeAnswer,
+  makeResponse,
   makeChunk,
-  makeKeeper,
+  makeRetainingEngine,
   readFrom,
 } from './answer_fixture.js';
 import {END_OF_ANSWER, EventSequencer, type StreamEvent} from './index.js';
 
-const repairs = suite('repairs of answers');
+const reader = suite('response reader');
 
-repairs('chunks that come late and twice are put in order', async () => {
-  // A caller would read words swapped and doubled: the engine sends a chunk
-  // after its successor and another one twice. Nothing is asked for again.
-  const answer = makeAnswer(6);
-  const [a, b, c, d, e, f, end] = answer;
+reader('reordered and duplicated chunks are put in order', async () => {
+  // Guards against swapped or repeated text, and against a needless resume.
+  const response = makeResponse(6);
+  const [a, b, c, d, e, f, end] = response;
   const events = [b, a, a, d, c, c, f, e, end] as StreamEvent[];
-  const reading = await readFrom({events, end: 'open'}, failIfAsked);
-  assert.equal(reading.events, answer);
+  const reading = await readFrom({events, end: 'open'}, failOnResume);
+  assert.equal(reading.events, response);
   assert.equal(reading.repairs, []);
 });
 
-repairs(
-  'a lost chunk is asked for again while the stream goes on',
+reader(
+  'a lost chunk causes a resume while the connection stays open',
   async () => {
-    // A caller would wait for ever, or read a text with a word missing: one
-    // chunk is lost and the connection stays open without a word.
-    const answer = makeAnswer(6);
-    const events = answer.filter(event => event.id !== 2).slice(0, 4);
-    const reading = await readFrom({events, end: 'open'}, makeKeeper(answer));
-    assert.equal(reading.events, answer);
+    // Guards against a read that waits forever or a response with missing text.
+    const response = makeResponse(6);
+    const events = response.filter(event => event.id !== 2).slice(0, 4);
+    const reading = await readFrom(
+      {events, end: 'open'},
+      makeRetainingEngine(response),
+    );
+    assert.equal(reading.events, response);
     assert.equal(reading.repairs, ['gap']);
   },
 );
 
-repairs('a chunk of another request is dropped and had again', async () => {
-  // A caller would read a stranger's words: the engine mixes up two requests
-  // and puts a chunk of the other one in the place of the right chunk.
-  const answer = makeAnswer(6);
-  const events = answer.map(event =>
+reader('a chunk of another request is replaced by a resume', async () => {
+  // Guards against an engine that sends one caller the text of another.
+  const response = makeResponse(6);
+  const events = response.map(event =>
     event.id === 3 ? makeChunk(3, 'secret ', 'q2') : event,
   );
-  const reading = await readFrom({events, end: 'open'}, makeKeeper(answer));
-  assert.equal(reading.events, answer);
+  const reading = await readFrom(
+    {events, end: 'open'},
+    makeRetainingEngine(response),
+  );
+  assert.equal(reading.events, response);
   assert.equal(reading.repairs, ['foreign-event']);
 });
 
-repairs(
-  "the end of another request's answer does not cut this one",
+reader(
+  "the end of another request's response does not truncate this one",
   async () => {
-    // A caller would take half an answer for the whole: the end of a shorter
-    // answer comes on this connection, before the chunk whose place it names.
-    const answer = makeAnswer(6);
+    // Guards against a truncated response that looks complete.
+    const response = makeResponse(6);
     const falseEnd = {id: 3, data: END_OF_ANSWER};
-    const events = [answer[0], falseEnd, ...answer.slice(1)] as StreamEvent[];
-    const reading = await readFrom({events, end: 'closed'}, makeKeeper(answer));
-    assert.equal(reading.events, answer);
+    const events = [
+      response[0],
+      falseEnd,
+      ...response.slice(1),
+    ] as StreamEvent[];
+    const reading = await readFrom(
+      {events, end: 'closed'},
+      makeRetainingEngine(response),
+    );
+    assert.equal(reading.events, response);
   },
 );
 
-repairs('a connection that breaks is resumed where it broke', async () => {
-  const answer = makeAnswer(6);
-  const asked: number[] = [];
+reader('a reset connection is resumed after the last event', async () => {
+  const response = makeResponse(6);
+  const resumedFrom: number[] = [];
   const engine: Engine = fromId => {
-    asked.push(fromId);
-    return makeKeeper(answer)(fromId);
+    resumedFrom.push(fromId);
+    return makeRetainingEngine(response)(fromId);
   };
-  const first: Connection = {events: answer.slice(0, 3), end: 'reset'};
+  const first: Connection = {events: response.slice(0, 3), end: 'reset'};
   const reading = await readFrom(first, engine);
-  assert.equal(reading.events, answer);
-  assert.equal(asked, [3]);
+  assert.equal(reading.events, response);
+  assert.equal(resumedFrom, [3]);
 });
 
-repairs('a stream that just ends is no whole answer', async () => {
-  // A caller would take a cut answer for the whole one: the engine closes
-  // the connection in good order, but without the end, time and again.
-  const answer = makeAnswer(6);
-  const events = answer.slice(0, 3);
+reader('a stream that closes without an end event fails', async () => {
+  // Guards against a truncated response that looks complete.
+  const response = makeResponse(6);
+  const events = response.slice(0, 3);
   const reading = await readFrom({events, end: 'closed'}, () => ({
     events: [],
     end: 'closed',
@@ -90,39 +98,43 @@
   assert.is(reading.error?.run, 'unknown');
 });
 
-repairs('an engine that forgot the request is asked once', async () => {
-  let askedCount = 0;
+reader('a resume that gets not-found is not retried', async () => {
+  let resumeCount = 0;
   const reading = await readFrom({events: [], end: 'reset'}, () => {
-    askedCount += 1;
-    return new TypedError('not-found', 'It is not kept.');
+    resumeCount += 1;
+    return new TypedError('not-found', 'The request is not retained.');
   });
   assert.is(reading.error?.kind, 'stream-broken');
-  assert.is(askedCount, 1);
+  assert.is(resumeCount, 1);
 });
 
-repairs('nothing follows the end', () => {
+reader('no event is released after the end', () => {
   const sequencer = new EventSequencer({
     ...{requestId: 'q1', firstId: 0},
     ...{maxWaitingEvents: 8, maxWaitingChars: 1_000},
   });
-  const answer = makeAnswer(2);
-  const passed = [...answer, makeChunk(3)].flatMap(event =>
+  const response = makeResponse(2);
+  const passed = [...response, makeChunk(3)].flatMap(event =>
     sequencer.accept(event),
   );
-  assert.equal(passed, answer);
+  assert.equal(passed, response);
   assert.equal(sequencer.accept(makeChunk(sequencer.nextId)), []);
 });
 
-repairs('an answer over its limit ends with its kind', async () => {
-  const events = makeAnswer(50);
+reader('a response above the size limit is rejected', async () => {
+  const events = makeResponse(50);
   const overrides = {maxAnswerBytes: 1_000};
-  const reading = await readFrom({events, end: 'open'}, failIfAsked, overrides);
+  const reading = await readFrom(
+    {events, end: 'open'},
+    failOnResume,
+    overrides,
+  );
   assert.is(reading.error?.kind, 'answer-too-large');
   assert.ok(reading.events.length < 50);
 });
 
-repairs('an event without an end is not buffered for ever', async () => {
-  // A node would run out of memory: an engine sends one line for ever.
+reader('an event above the size limit is rejected', async () => {
+  // Guards against running out of memory on a line that never ends.
   const overrides = {maxEventChars: 1_000};
   const endless: Connection = {events: [], end: 'endless'};
   const large: Connection = {
@@ -130,132 +142,135 @@
     end: 'open',
   };
   for (const first of [endless, large]) {
-    const reading = await readFrom(first, failIfAsked, overrides);
+    const reading = await readFrom(first, failOnResume, overrides);
     assert.is(reading.error?.kind, 'answer-too-large');
   }
 });
 
-repairs('a deadline ends the reading of a silent engine', async () => {
-  const events = makeAnswer(5).slice(0, 2);
-  const aborting = new AbortController();
+reader('a deadline stops reading from an unresponsive engine', async () => {
+  const events = makeResponse(5).slice(0, 2);
+  const deadline = new AbortController();
   const reading = readFrom(
     {events, end: 'open'},
-    failIfAsked,
+    failOnResume,
     {},
-    aborting.signal,
+    deadline.signal,
   );
-  setImmediate(() => aborting.abort());
+  setImmediate(() => deadline.abort());
   assert.is((await reading).error?.kind, 'deadline-exceeded');
 });
 
-repairs.run();
+reader.run();
 
-const properties = suite('any disorder of events');
+const properties = suite('response reader under random faults');
 
-/** What becomes of one event on its way. */
-type Fate =
+type EventFault =
   | 'sent'
   | 'lost'
-  | 'doubled'
-  | 'crossed'
+  | 'duplicated'
+  | 'foreign'
   | 'unreadable'
   | 'delayed'
   | 'false-end';
 
-const FATES: Fate[] = [
-  ...['sent', 'sent', 'sent', 'lost', 'doubled'],
-  ...['crossed', 'unreadable', 'delayed', 'false-end'],
-] as Fate[];
+const EVENT_FAULTS: EventFault[] = [
+  ...['sent', 'sent', 'sent', 'lost', 'duplicated'],
+  ...['foreign', 'unreadable', 'delayed', 'false-end'],
+] as EventFault[];
 
 const connectionArbitrary = fc.record({
-  fates: fc.array(fc.constantFrom(...FATES), {maxLength: 20}),
+  faults: fc.array(fc.constantFrom(...EVENT_FAULTS), {maxLength: 20}),
   delay: fc.integer({min: 1, max: 6}),
   endsAfter: fc.integer({min: 0, max: 40}),
   end: fc.constantFrom<Connection['end']>('closed', 'reset', 'lingering'),
 });
 
-type Disorder =
+type ConnectionFaults =
   typeof connectionArbitrary extends fc.Arbitrary<infer T> ? T : never;
 
-function applyDisorder(
-  answer: readonly StreamEvent[],
+function injectFaults(
+  response: readonly StreamEvent[],
   fromId: number,
-  disorder: Disorder,
+  connectionFaults: ConnectionFaults,
 ): Connection {
-  const {fates, delay, endsAfter, end} = disorder;
-  const placed = answer
+  const {faults, delay, endsAfter, end} = connectionFaults;
+  const positioned = response
     .filter(event => event.id >= fromId)
-    .flatMap((event, index) => sendWithFate(event, index, fates[index], delay));
-  const events = placed
-    .sort((first, second) => first.place - second.place)
+    .flatMap((event, index) =>
+      sendWithFault(event, index, faults[index], delay),
+    );
+  const events = positioned
+    .sort((first, second) => first.position - second.position)
     .map(({event}) => event)
     .slice(0, endsAfter);
   return {events, end};
 }
 
-function sendWithFate(
+function sendWithFault(
   event: StreamEvent,
   index: number,
-  fate: Fate | undefined,
+  fault: EventFault | undefined,
   delay: number,
 ) {
-  const sent = {event, place: index};
-  switch (fate) {
+  const sent = {event, position: index};
+  switch (fault) {
     case 'lost':
       return [];
-    case 'doubled':
-      return [sent, {event, place: index + delay + 0.5}];
-    case 'crossed':
-      return [{event: makeChunk(event.id, 'foreign ', 'q2'), place: index}];
+    case 'duplicated':
+      return [sent, {event, position: index + delay + 0.5}];
+    case 'foreign':
+      return [{event: makeChunk(event.id, 'foreign ', 'q2'), position: index}];
     case 'unreadable':
-      return [{event: {...event, data: '{"request_id":'}, place: index}];
+      return [{event: {...event, data: '{"request_id":'}, position: index}];
     case 'false-end':
-      return [{event: {id: event.id, data: END_OF_ANSWER}, place: index}];
+      return [{event: {id: event.id, data: END_OF_ANSWER}, position: index}];
     case 'delayed':
-      return [{event, place: index + delay + 0.5}];
+      return [{event, position: index + delay + 0.5}];
     default:
       return [sent];
   }
 }
 
-properties('give the exact answer, or its start and an honest error', () =>
+properties('give the exact response, or a prefix and an error', () =>
   fc.assert(
     fc.asyncProperty(
       fc.integer({min: 0, max: 30}),
       fc.array(connectionArbitrary, {minLength: 1, maxLength: 8}),
-      async (chunkCount, disorders) => {
-        const answer = makeAnswer(chunkCount);
+      async (chunkCount, faultsByConnection) => {
+        const response = makeResponse(chunkCount);
         let connections = 0;
         const open = (fromId: number) => {
           const index = connections++;
-          const disorder = disorders[index % disorders.length] as Disorder;
-          // Two connections that give the same false end are not told apart.
-          const fates =
+          const connectionFaults = faultsByConnection[
+            index % faultsByConnection.length
+          ] as ConnectionFaults;
+          // A false end that two connections repeat cannot be detected.
+          const faults =
             index === 0
-              ? disorder.fates
-              : disorder.fates.filter(fate => fate !== 'false-end');
-          return applyDisorder(answer, fromId, {...disorder, fates});
+              ? connectionFaults.faults
+              : connectionFaults.faults.filter(fault => fault !== 'false-end');
+          return injectFaults(response, fromId, {...connectionFaults, faults});
         };
         const reading = await readFrom(open(0), open, {maxWaitingEvents: 8});
-        checkHonest(reading.events, answer, reading.error);
+        checkReading(reading.events, response, reading.error);
       },
     ),
     {seed: 20_260_101, numRuns: 1_000},
   ),
 );
 
-function checkHonest(
+function checkReading(
   events: readonly StreamEvent[],
-  answer: readonly StreamEvent[],
+  response: readonly StreamEvent[],
   error: TypedError | null,
 ): void {
-  assert.equal(events, answer.slice(0, events.length));
+  assert.equal(events, response.slice(0, events.length));
   if (error) assert.is(error.kind, 'stream-broken');
-  else assert.is(events.length, answer.length);
+  else assert.is(events.length, response.length);
 }
 
 properties.run();
 
-function failIfAsked(): never {
-  throw new TypedError('internal', 'Nothing had to be asked for again.');
+function failOnResume(): never {
+  throw new TypedError('internal', 'unexpected resume');
 }
--- a/packages/answer-streams/src/answer_reader.ts
+++ b/packages/answer-streams/src/answer_reader.ts
@@ -1,7 +1,6 @@
 /**
- * Reads one answer from an engine, whole and in order, over as many
- * connections as it takes: what is missing is asked for again, and an answer
- * that cannot be had whole ends in an error, never in silence.
+ * Reads one streamed response from an engine. Missing events are requested
+ * again over new connections, and an incomplete response ends in an error.
  */
 import {type Clock, sleep} from '@mimosatack/clock';
 import {TypedError, toTypedError} from '@mimosatack/errors';
@@ -12,36 +11,35 @@
 import {EventSequencer} from './event_sequencer.js';
 import {type StreamEvent} from './stream_event.js';
 
-/** One connection that brings a stream. */
+/** A stream on one connection. */
 export interface OpenStream {
   bytes: AsyncIterable<Uint8Array>;
-  /** Ends the connection; a read that waits then fails. */
+  /** Closes the connection; a pending read then fails. */
   close(): void;
 }
 
-/** Why a stream was asked for again. */
+/** Why a stream was resumed. */
 export type RepairCause = 'gap' | 'foreign-event' | 'cut-short' | 'connection';
 
-/** What a reader is built from. */
 export interface AnswerReaderOptions {
   /** The id by which the engine knows the request. */
   requestId: string;
-  /** The id of the first event that is wanted. */
+  /** The id of the first event to read. */
   firstId: number;
-  /** The engine's answer in hand, or null to begin by resuming. */
+  /** The engine's open stream, or null to start with a resume. */
   first: OpenStream | null;
-  /** The engine's stream again, from an event on; `not-found` is final. */
+  /** Reopens the stream at an event id; `not-found` is not retried. */
   resume(fromId: number, signal: AbortSignal): Promise<OpenStream>;
   clock: Clock;
   random: RandomSource;
   limits: AnswerLimits;
-  /** Ends the reading with its reason. */
+  /** Stops reading; its reason becomes the error. */
   signal: AbortSignal;
-  /** Told of every resume. */
+  /** Called before every resume. */
   onRepair?(cause: RepairCause, nextId: number, error: TypedError | null): void;
 }
 
-/** Why the reading of one connection stopped. */
+/** Why reading from one connection stopped. */
 interface Interruption {
   cause: RepairCause;
   error: TypedError | null;
@@ -50,23 +48,23 @@
 type ReadStep =
   | {status: 'bytes'; bytes: Uint8Array}
   | {status: 'ended'}
-  | {status: 'gap-too-old'};
+  | {status: 'gap-timeout'};
 
-const RESUME_JITTER = 0.5;
+const RESUME_JITTER_SPREAD = 0.5;
 
-/** Yields the events of the answer in groups, the end included. */
+/** Yields the events of the response in batches, including the end event. */
 export function readAnswer(
   options: AnswerReaderOptions,
 ): AsyncGenerator<StreamEvent[], void> {
-  return new AnswerReader(options).read();
+  return new ResponseReader(options).read();
 }
 
-class AnswerReader {
+class ResponseReader {
   private readonly sequencer: EventSequencer;
   private current: OpenStream | null = null;
   private resumes = 0;
   private idleResumes = 0;
-  private answerBytes = 0;
+  private responseBytes = 0;
 
   constructor(private readonly options: AnswerReaderOptions) {
     this.sequencer = new EventSequencer({...options, ...options.limits});
@@ -89,73 +87,73 @@
       const nextId = this.sequencer.nextId;
       const interruption = this.current
         ? yield* this.readConnection(this.current)
-        : await this.openNext();
+        : await this.openResumed();
       if (interruption) {
         await this.prepareResume(interruption, nextId);
       }
     }
   }
 
-  /** Reads until the answer is whole (null) or this connection is of no use. */
+  /** Returns null once the response is complete, else why reading stopped. */
   private async *readConnection(
     stream: OpenStream,
   ): AsyncGenerator<StreamEvent[], Interruption | null> {
     const parser = new EventParser(this.options.limits.maxEventChars);
     const iterator = stream.bytes[Symbol.asyncIterator]();
     for (;;) {
-      const step = await this.readStep(iterator).catch(toTypedError);
+      const step = await this.readNext(iterator).catch(toTypedError);
       if (step instanceof TypedError) return {cause: 'connection', error: step};
-      if (step.status === 'gap-too-old') return this.describeGap();
+      if (step.status === 'gap-timeout') return this.makeGapInterruption();
       if (step.status === 'ended') return {cause: 'cut-short', error: null};
-      const ready = this.sequence(parser.push(step.bytes));
+      const ready = this.orderEvents(parser.push(step.bytes));
       if (ready.length > 0) yield ready;
       if (this.sequencer.isWhole) return null;
-      if (this.sequencer.needsResume) return this.describeGap();
+      if (this.sequencer.needsResume) return this.makeGapInterruption();
     }
   }
 
-  private sequence(events: readonly StreamEvent[]): StreamEvent[] {
+  private orderEvents(events: readonly StreamEvent[]): StreamEvent[] {
     const ready = events.flatMap(event => this.sequencer.accept(event));
-    this.answerBytes += ready.reduce(
+    this.responseBytes += ready.reduce(
       (sum, event) => sum + Buffer.byteLength(event.data),
       0,
     );
     const {maxAnswerBytes} = this.options.limits;
-    if (this.answerBytes <= maxAnswerBytes) return ready;
+    if (this.responseBytes <= maxAnswerBytes) return ready;
     throw new TypedError(
       'answer-too-large',
-      `The answer has more than ${maxAnswerBytes} bytes.`,
+      `The response has more than ${maxAnswerBytes} bytes.`,
       {run: 'unknown'},
     );
   }
 
   /**
-   * Guards against an event that was lost while the stream goes on slowly:
-   * without a limit in time the caller would wait until the buffer is full.
+   * Limits how long a read waits while an event is missing, so that a slow
+   * stream does not delay the resume until the buffer is full.
    */
-  private async readStep(
+  private async readNext(
     iterator: AsyncIterator<Uint8Array>,
   ): Promise<ReadStep> {
     const reading = iterator.next().then(toStep);
     if (!this.sequencer.hasGap) return reading;
-    // The read that is left behind fails when its connection is closed.
+    // An abandoned read rejects when its connection is closed.
     reading.catch(() => undefined);
     const {clock, limits} = this.options;
-    const stopWaiting = new AbortController();
-    const waiting = sleep(clock, limits.gapWaitMs, stopWaiting.signal).then(
-      (): ReadStep => ({status: 'gap-too-old'}),
+    const cancelTimeout = new AbortController();
+    const timeout = sleep(clock, limits.gapWaitMs, cancelTimeout.signal).then(
+      (): ReadStep => ({status: 'gap-timeout'}),
     );
-    const step = await Promise.race([reading, waiting]);
-    stopWaiting.abort();
+    const step = await Promise.race([reading, timeout]);
+    cancelTimeout.abort();
     return step;
   }
 
-  private describeGap(): Interruption {
+  private makeGapInterruption(): Interruption {
     const hasForeign = this.sequencer.droppedForeign > 0;
     return {cause: hasForeign ? 'foreign-event' : 'gap', error: null};
   }
 
-  private async openNext(): Promise<Interruption | null> {
+  private async openResumed(): Promise<Interruption | null> {
     const {options, sequencer} = this;
     try {
       this.current = await options.resume(sequencer.nextId, options.signal);
@@ -190,7 +188,11 @@
 
   private pause(delayMs: number): Promise<void> {
     const {clock, random, signal} = this.options;
-    return sleep(clock, addJitter(random, delayMs, RESUME_JITTER), signal);
+    return sleep(
+      clock,
+      addJitter(random, delayMs, RESUME_JITTER_SPREAD),
+      signal,
+    );
   }
 
   private throwIfAborted(): void {
@@ -202,7 +204,7 @@
     const {nextId} = this.sequencer;
     return new TypedError(
       'stream-broken',
-      `The rest of the answer from event ${nextId} on could not be had.`,
+      `The response could not be read from event ${nextId} on.`,
       {run: 'unknown', cause: cause ?? undefined, info: {nextId}},
     );
   }
--- a/packages/answer-streams/src/continue_elsewhere.test.ts
+++ b/packages/answer-streams/src/continue_elsewhere.test.ts
@@ -10,7 +10,7 @@
   isDeterministic,
 } from './index.js';
 
-const test = suite('continuing elsewhere');
+const test = suite('continuation on another replica');
 
 async function continueWith(delivered: string[], secondRun: string[]) {
   const text = new DeliveredText();
@@ -44,7 +44,7 @@
   delta: {content: string};
 }
 
-test('the rest follows without a word twice, also across chunks', async () => {
+test('the rest follows without repeated text across chunks', async () => {
   const {rest, error} = await continueWith(
     ['one ', 'two '],
     ['one', ' two three ', 'four'],
@@ -57,9 +57,8 @@
   );
 });
 
-test('a second run that begins otherwise is never passed on', async () => {
-  // A caller would read a text that no run gave: the engine dies after two
-  // words, and the other replica samples another text for the same request.
+test('a second run with a different prefix is rejected', async () => {
+  // Guards against a response that mixes text of two different samples.
   const {rest, error} = await continueWith(
     ['one ', 'two '],
     ['one ', 'ten ', 'more '],
@@ -68,19 +67,19 @@
   assert.is(error?.kind, 'stream-broken');
 });
 
-test('a second run that is shorter is told apart from a whole one', async () => {
+test('a second run that is shorter is rejected', async () => {
   const {rest, error} = await continueWith(['one ', 'two '], ['one ']);
   assert.equal(rest, []);
   assert.is(error?.kind, 'stream-broken');
 });
 
-test('an answer that is no plain text is not continued', async () => {
+test('a response with tool calls cannot be matched', async () => {
   const text = new DeliveredText();
   text.note([{id: 0, data: '{"choices":[{"delta":{"tool_calls":[]}}]}'}]);
   assert.not(text.canBeMatched);
 });
 
-test('only sampling without randomness counts as deterministic', () => {
+test('only temperature 0 or a seed counts as deterministic', () => {
   assert.ok(isDeterministic({temperature: 0}));
   assert.ok(isDeterministic({temperature: 1, seed: 7}));
   assert.not(isDeterministic({}));
--- a/packages/answer-streams/src/continue_elsewhere.ts
+++ b/packages/answer-streams/src/continue_elsewhere.ts
@@ -1,6 +1,6 @@
 /**
- * Goes on with an answer on another replica: the request is run again from
- * the start, and what the caller has already is compared and left out.
+ * Continues a response on another replica: the request runs again from the
+ * start, and the text that the caller already has is verified and skipped.
  */
 import {createHash} from 'node:crypto';
 import {TypedError} from '@mimosatack/errors';
@@ -27,112 +27,110 @@
 
 type Chunk = z.infer<typeof chunkSchema>;
 
-/** The text that a caller has so far, as its length and its hash. */
+/** Length and hash of the text that was delivered to the caller. */
 export class DeliveredText {
   private hash = createHash('sha256');
   private lengthChars = 0;
   private lastId = -1;
-  private isPlain = true;
+  private isPlainText = true;
 
-  /** How many UTF-16 units the caller has. */
+  /** Length of the delivered text in UTF-16 code units. */
   get length(): number {
     return this.lengthChars;
   }
 
-  /** The id that the next event for the caller gets. */
+  /** The id of the next event for the caller. */
   get nextId(): number {
     return this.lastId + 1;
   }
 
-  /** Whether all of it was plain text of one choice. */
+  /** Whether all delivered events were plain text of a single choice. */
   get canBeMatched(): boolean {
-    return this.isPlain;
+    return this.isPlainText;
   }
 
-  /** Notes events that were passed on to the caller. */
+  /** Adds events that were delivered to the caller. */
   note(events: readonly StreamEvent[]): void {
     events.forEach(event => {
       this.lastId = event.id;
       if (isEndOfAnswer(event)) return;
       const chunk = parseChunk(event);
       if (chunk) this.append(readText(chunk));
-      else this.isPlain = false;
+      else this.isPlainText = false;
     });
   }
 
   append(text: string): void {
-    // Two bytes a unit, so that a pair split between two chunks stays whole.
+    // UTF-16 keeps a surrogate pair intact if it is split between two chunks.
     this.hash.update(text, 'utf16le');
     this.lengthChars += text.length;
   }
 
-  /** A hash of the text so far. */
   digest(): string {
     return this.hash.copy().digest('base64');
   }
 }
 
 /**
- * The rest of an answer from a second run of its request. `delivered` is what
- * the caller has; the events begin with the id after it.
+ * Yields the rest of a response from a second run of its request. Event ids
+ * continue after the events in `delivered`.
  *
- * Guards against an answer made of two that do not belong together: the
- * replicas may sample differently, and the caller would read a text that no
- * run gave. Nothing is passed on before the whole of the delivered text was
- * found at the start of the second answer; otherwise `stream-broken`.
+ * Guards against mixing two different samples in one response: events are
+ * yielded only after the second response has been found to begin with the
+ * whole delivered text. Otherwise throws `stream-broken`.
  */
 export async function* continueElsewhere(
   delivered: DeliveredText,
   secondRun: AsyncIterable<StreamEvent[]>,
 ): AsyncGenerator<StreamEvent[], void> {
   if (!delivered.canBeMatched) throw diverged('it is not plain text');
-  const replay = new Replay(delivered);
+  const verifier = new PrefixVerifier(delivered);
   for await (const events of secondRun) {
-    const rest = events.flatMap(event => replay.take(event));
+    const rest = events.flatMap(event => verifier.accept(event));
     if (rest.length > 0) yield rest;
   }
 }
 
-/** What was delivered is fixed at the start; the original may grow on. */
-class Replay {
-  private readonly replayed = new DeliveredText();
+/** Compares with a snapshot, because `delivered` grows during the second run. */
+class PrefixVerifier {
+  private readonly repeated = new DeliveredText();
   private readonly deliveredChars: number;
   private readonly deliveredDigest: string;
   private nextId: number;
-  private isMatched = false;
+  private isVerified = false;
 
   constructor(delivered: DeliveredText) {
     this.deliveredChars = delivered.length;
     this.deliveredDigest = delivered.digest();
     this.nextId = delivered.nextId;
-    if (this.deliveredChars === 0) this.match();
+    if (this.deliveredChars === 0) this.verify();
   }
 
-  take(event: StreamEvent): StreamEvent[] {
-    if (this.isMatched) return [{id: this.nextId++, data: event.data}];
-    if (isEndOfAnswer(event)) throw diverged('the second answer is shorter');
+  accept(event: StreamEvent): StreamEvent[] {
+    if (this.isVerified) return [{id: this.nextId++, data: event.data}];
+    if (isEndOfAnswer(event)) throw diverged('the second response is shorter');
     const chunk = parseChunk(event);
-    if (!chunk) throw diverged('the second answer is not plain text');
-    return this.takeOverlap(chunk);
+    if (!chunk) throw diverged('the second response is not plain text');
+    return this.skipPrefix(chunk);
   }
 
-  private takeOverlap(chunk: Chunk): StreamEvent[] {
+  private skipPrefix(chunk: Chunk): StreamEvent[] {
     const text = readText(chunk);
-    const missingChars = this.deliveredChars - this.replayed.length;
-    this.replayed.append(text.slice(0, missingChars));
-    if (text.length < missingChars) return [];
-    this.match();
-    const rest = text.slice(missingChars);
-    if (rest === '' && !isFinish(chunk)) return [];
+    const remainingChars = this.deliveredChars - this.repeated.length;
+    this.repeated.append(text.slice(0, remainingChars));
+    if (text.length < remainingChars) return [];
+    this.verify();
+    const rest = text.slice(remainingChars);
+    if (rest === '' && !hasFinishReason(chunk)) return [];
     const data = JSON.stringify(withText(chunk, rest));
     return [{id: this.nextId++, data}];
   }
 
-  private match(): void {
-    if (this.replayed.digest() !== this.deliveredDigest) {
-      throw diverged('the second answer begins otherwise');
+  private verify(): void {
+    if (this.repeated.digest() !== this.deliveredDigest) {
+      throw diverged('the second response begins with different text');
     }
-    this.isMatched = true;
+    this.isVerified = true;
   }
 }
 
@@ -149,7 +147,7 @@
   return choice?.text ?? choice?.delta?.content ?? '';
 }
 
-function isFinish(chunk: Chunk): boolean {
+function hasFinishReason(chunk: Chunk): boolean {
   return chunk.choices.some(choice => typeof choice.finish_reason === 'string');
 }
 
@@ -162,13 +160,16 @@
   return {...chunk, choices};
 }
 
-/** Two runs of a request gave different answers; no third one helps. */
+/** A second run gave a different response, so another run is pointless. */
 export class DivergedError extends TypedError {}
 
-function diverged(why: string): DivergedError {
+function diverged(reason: string): DivergedError {
   return new DivergedError(
     'stream-broken',
-    `The answer cannot be continued on another backend server: ${why}.`,
-    {run: 'unknown', remedy: 'Send the request again and drop this answer.'},
+    `The response cannot be continued on another backend server: ${reason}.`,
+    {
+      run: 'unknown',
+      remedy: 'Discard this response and send the request again.',
+    },
   );
 }
--- a/packages/answer-streams/src/deterministic.ts
+++ b/packages/answer-streams/src/deterministic.ts
@@ -1,6 +1,6 @@
-/** Whether a request gives the same answer when it is run again. */
+/** Decides whether a second run of a request gives the same response. */
 
-/** The fields of a completion request that decide how it samples. */
+/** The fields of a completion request that affect sampling. */
 export interface SamplingFields {
   model?: unknown;
   temperature?: unknown;
@@ -10,9 +10,8 @@
 }
 
 /**
- * True only where the caller asked for one answer with no randomness, or with
- * a seed. An engine may still differ between two runs; the answer is compared
- * while it is run again.
+ * True for a single choice without tools, with temperature 0 or a seed. Two
+ * runs may still differ, so `continueElsewhere` compares their text.
  */
 export function isDeterministic(body: SamplingFields): boolean {
   const isSingle = body.n === undefined || body.n === null || body.n === 1;
--- a/packages/answer-streams/src/event_parser.ts
+++ b/packages/answer-streams/src/event_parser.ts
@@ -1,11 +1,11 @@
-/** Reads server-sent events out of the bytes of one connection. */
+/** Parses server-sent events from the bytes of one connection. */
 import {TypedError} from '@mimosatack/errors';
 import {type EventSourceMessage, createParser} from 'eventsource-parser';
 import {type StreamEvent} from './stream_event.js';
 
-const ID_FORM = /^\d{1,15}$/;
+const EVENT_ID_PATTERN = /^\d{1,15}$/;
 
-/** The parser of one connection; its buffer is bounded. */
+/** A parser for one connection, with a bounded buffer. */
 export class EventParser {
   private readonly decoder = new TextDecoder();
   private readonly parser;
@@ -15,20 +15,20 @@
   constructor(private readonly maxEventChars: number) {
     this.parser = createParser({
       maxBufferSize: maxEventChars,
-      onEvent: message => this.take(message),
+      onEvent: message => this.acceptMessage(message),
       onError: error => {
         this.isTooLarge ||= error.type === 'max-buffer-size-exceeded';
       },
     });
   }
 
-  /** The events that are complete with these bytes, as they arrived. */
+  /** Returns the events that these bytes complete, in order of arrival. */
   push(bytes: Uint8Array): StreamEvent[] {
     this.parser.feed(this.decoder.decode(bytes, {stream: true}));
     if (this.isTooLarge) {
       throw new TypedError(
         'answer-too-large',
-        `One event of the answer has more than ${this.maxEventChars} characters.`,
+        `An event of the response has more than ${this.maxEventChars} characters.`,
         {run: 'unknown'},
       );
     }
@@ -37,10 +37,10 @@
     return events;
   }
 
-  /** An event without a number cannot be placed and counts as lost. */
-  private take({id, data}: EventSourceMessage): void {
+  /** Drops an event without a numeric id, because its order is unknown. */
+  private acceptMessage({id, data}: EventSourceMessage): void {
     if (data.length > this.maxEventChars) this.isTooLarge = true;
-    if (id === undefined || !ID_FORM.test(id)) return;
+    if (id === undefined || !EVENT_ID_PATTERN.test(id)) return;
     this.events.push({id: Number(id), data});
   }
 }
--- a/packages/answer-streams/src/event_sequencer.ts
+++ b/packages/answer-streams/src/event_sequencer.ts
@@ -1,64 +1,63 @@
-/** Puts the events of one answer in order and lets no wrong one through. */
+/** Orders the events of one response and drops events of other requests. */
 import {type StreamEvent, isEndOfAnswer} from './stream_event.js';
 
-/** What a sequencer is built from. */
 export interface SequencerOptions {
-  /** The request whose answer is read. */
+  /** The id by which the engine knows the request. */
   requestId: string;
-  /** The id of the first event that is wanted. */
+  /** The id of the first event to release. */
   firstId: number;
-  /** How many events may wait for an earlier one. */
+  /** Maximum number of buffered out-of-order events. */
   maxWaitingEvents: number;
-  /** How many characters may wait for an earlier event. */
+  /** Maximum size of the buffered out-of-order events, in characters. */
   maxWaitingChars: number;
 }
 
 /**
- * Events come in any order, twice, or not at all; they leave in order, once
- * each, without a gap. An event that names another request, or that cannot be
- * read, is dropped, so that its place stays a gap.
+ * Accepts events in any order, with duplicates and losses, and releases each
+ * once, in order and without gaps. An event that names another request or
+ * cannot be parsed is dropped and leaves a gap.
  */
 export class EventSequencer {
-  private readonly waiting = new Map<number, StreamEvent>();
-  private waitingChars = 0;
+  private readonly buffered = new Map<number, StreamEvent>();
+  private bufferedChars = 0;
   private nextEventId: number;
-  private waitingEnd: StreamEvent | null = null;
+  private pendingEnd: StreamEvent | null = null;
   private hasEnded = false;
-  private hasFinish = false;
-  /** The id of an end that came too early to be believed at once. */
-  private doubtedEndId: number | null = null;
+  private sawFinishReason = false;
+  /** The id of an end that an earlier connection sent unconfirmed. */
+  private unconfirmedEndId: number | null = null;
   private foreignCount = 0;
 
   constructor(private readonly options: SequencerOptions) {
     this.nextEventId = options.firstId;
   }
 
-  /** The id of the event that leaves next. */
+  /** The id of the next event to release. */
   get nextId(): number {
     return this.nextEventId;
   }
 
-  /** Whether the last event has left. */
+  /** Whether the end event has been released. */
   get isWhole(): boolean {
     return this.hasEnded;
   }
 
-  /** Whether events wait for an earlier one. */
+  /** Whether an event is buffered because an earlier one is missing. */
   get hasGap(): boolean {
-    return this.waiting.size > 0 || this.waitingEnd !== null;
+    return this.buffered.size > 0 || this.pendingEnd !== null;
   }
 
-  /** Whether this connection can bring nothing more that is of use. */
+  /** Whether the current connection cannot complete the response. */
   get needsResume(): boolean {
-    return this.isFull || this.waitingEnd?.id === this.nextEventId;
+    return this.isBufferFull || this.pendingEnd?.id === this.nextEventId;
   }
 
-  /** How many events were dropped because they were not this answer's. */
+  /** Number of dropped events that did not belong to this response. */
   get droppedForeign(): number {
     return this.foreignCount;
   }
 
-  /** Takes one event and returns those that can leave with it. */
+  /** Accepts one event and returns the events that it releases. */
   accept(event: StreamEvent): StreamEvent[] {
     if (this.isWhole) return [];
     return isEndOfAnswer(event)
@@ -66,92 +65,91 @@
       : this.acceptChunk(event);
   }
 
-  /** Forgets what waits; a resumed stream brings it again. */
+  /** Discards buffered events; a resumed stream sends them again. */
   forgetWaiting(): void {
-    this.doubtedEndId = this.waitingEnd?.id ?? this.doubtedEndId;
-    this.waiting.clear();
-    this.waitingChars = 0;
-    this.waitingEnd = null;
+    this.unconfirmedEndId = this.pendingEnd?.id ?? this.unconfirmedEndId;
+    this.buffered.clear();
+    this.bufferedChars = 0;
+    this.pendingEnd = null;
   }
 
   private acceptChunk(event: StreamEvent): StreamEvent[] {
-    if (event.id < this.nextEventId || this.waiting.has(event.id)) return [];
-    const chunk = readChunk(event.data);
-    if (!this.isOwn(chunk)) {
+    if (event.id < this.nextEventId || this.buffered.has(event.id)) return [];
+    const chunk = parseChunk(event.data);
+    if (!this.belongsToRequest(chunk)) {
       this.foreignCount += 1;
       return [];
     }
-    this.dropFalseEnd(event.id);
+    this.discardFalseEnd(event.id);
     if (event.id > this.nextEventId) {
-      if (!this.isFull) this.keep(event);
+      if (!this.isBufferFull) this.buffer(event);
       return [];
     }
-    this.hasFinish ||= isFinish(chunk);
-    return this.release(event);
+    this.sawFinishReason ||= hasFinishReason(chunk);
+    return this.releaseFrom(event);
   }
 
   private acceptEnd(end: StreamEvent): StreamEvent[] {
-    if (this.isRepeatedEnd(end)) return this.finish(end);
-    if (end.id < (this.waitingEnd?.id ?? this.nextEventId)) return [];
-    if ([...this.waiting.keys()].some(id => id >= end.id)) {
+    if (this.isRepeatedEnd(end)) return this.complete(end);
+    if (end.id < (this.pendingEnd?.id ?? this.nextEventId)) return [];
+    if ([...this.buffered.keys()].some(id => id >= end.id)) {
       this.foreignCount += 1;
       return [];
     }
-    this.waitingEnd = end;
-    return this.takeEnd();
+    this.pendingEnd = end;
+    return this.releaseEnd();
   }
 
-  /** The end that waits, once all before it has left and it is believed. */
-  private takeEnd(): StreamEvent[] {
-    const end = this.waitingEnd;
+  /** Releases the pending end once it is next in order and confirmed. */
+  private releaseEnd(): StreamEvent[] {
+    const end = this.pendingEnd;
     if (end?.id !== this.nextEventId) return [];
-    return this.isBelievable(end) ? this.finish(end) : [];
+    return this.isConfirmed(end) ? this.complete(end) : [];
   }
 
   /**
-   * Guards against the end of a stranger's answer, which names no request and
-   * would cut this answer short without a word. It is believed once a chunk
-   * has said that the answer is finished, or when a second connection gives
-   * the same end; until then it counts as a gap.
+   * Guards against the end of another response, which names no request and
+   * would truncate this one. An end is confirmed by a chunk with a finish
+   * reason or by a second connection that sends the same end.
    */
-  private isBelievable(end: StreamEvent): boolean {
-    return this.hasFinish || this.doubtedEndId === end.id;
+  private isConfirmed(end: StreamEvent): boolean {
+    return this.sawFinishReason || this.unconfirmedEndId === end.id;
   }
 
-  private get isFull(): boolean {
+  private get isBufferFull(): boolean {
     const {maxWaitingEvents, maxWaitingChars} = this.options;
     return (
-      this.waiting.size >= maxWaitingEvents ||
-      this.waitingChars > maxWaitingChars
+      this.buffered.size >= maxWaitingEvents ||
+      this.bufferedChars > maxWaitingChars
     );
   }
 
-  private keep(event: StreamEvent): void {
-    this.waiting.set(event.id, event);
-    this.waitingChars += event.data.length;
+  private buffer(event: StreamEvent): void {
+    this.buffered.set(event.id, event);
+    this.bufferedChars += event.data.length;
   }
 
-  private release(first: StreamEvent): StreamEvent[] {
+  private releaseFrom(first: StreamEvent): StreamEvent[] {
     const ready: StreamEvent[] = [];
     let next: StreamEvent | undefined = first;
     while (next) {
       ready.push(next);
       this.nextEventId = next.id + 1;
-      next = this.takeWaiting(this.nextEventId);
+      next = this.takeBuffered(this.nextEventId);
     }
-    return [...ready, ...this.takeEnd()];
+    return [...ready, ...this.releaseEnd()];
   }
 
-  private takeWaiting(id: number): StreamEvent | undefined {
-    const event = this.waiting.get(id);
+  private takeBuffered(id: number): StreamEvent | undefined {
+    const event = this.buffered.get(id);
     if (!event) return undefined;
-    this.hasFinish ||= isFinish(readChunk(event.data));
-    this.waiting.delete(id);
-    this.waitingChars -= event.data.length;
+    this.sawFinishReason ||= hasFinishReason(parseChunk(event.data));
+    this.buffered.delete(id);
+    this.bufferedChars -= event.data.length;
     return event;
   }
 
-  private finish(end: StreamEvent): StreamEvent[] {
+  private complete(end: StreamEvent): StreamEvent[] {
     this.hasEnded = true;
     this.nextEventId = end.id + 1;
     this.forgetWaiting();
@@ -159,9 +157,8 @@
   }
 
   /**
-   * A caller that names the end as its last event has the whole answer; it is
-   * told so by the same end once more. Only before any other event: later an
-   * end with an old id is a stray one.
+   * Whether a caller that resumes after the end event gets that end again. An
+   * end with an old id that arrives after other events is ignored.
    */
   private isRepeatedEnd(end: StreamEvent): boolean {
     return (
@@ -172,29 +169,28 @@
   }
 
   /**
-   * Guards against crossed answers: an engine that mixes up two requests on
-   * one connection sends words of a stranger's answer with a fitting id. Each
-   * chunk names its request, so a chunk of another one is told apart.
+   * Guards against an engine that sends a chunk of another request's response
+   * with a matching event id.
    */
-  private isOwn(chunk: Chunk | null): boolean {
+  private belongsToRequest(chunk: Chunk | null): boolean {
     return chunk?.request_id === this.options.requestId;
   }
 
-  /** A chunk at the place of an end, or after it, shows that it is none. */
-  private dropFalseEnd(chunkId: number): void {
-    if (this.waitingEnd === null || chunkId < this.waitingEnd.id) return;
-    this.waitingEnd = null;
+  /** Discards a pending end if a chunk has the same or a higher id. */
+  private discardFalseEnd(chunkId: number): void {
+    if (this.pendingEnd === null || chunkId < this.pendingEnd.id) return;
+    this.pendingEnd = null;
     this.foreignCount += 1;
   }
 }
 
-/** The fields of a chunk that tell whose it is and whether it is the last. */
+/** The fields that identify a chunk's request and the last chunk. */
 interface Chunk {
   request_id?: unknown;
   choices?: unknown;
 }
 
-function readChunk(data: string): Chunk | null {
+function parseChunk(data: string): Chunk | null {
   try {
     return JSON.parse(data) as Chunk | null;
   } catch {
@@ -202,7 +198,7 @@
   }
 }
 
-function isFinish(chunk: Chunk | null): boolean {
+function hasFinishReason(chunk: Chunk | null): boolean {
   const choices: unknown = chunk?.choices;
   return (
     Array.isArray(choices) &&
--- a/packages/answer-streams/src/measure_main.ts
+++ b/packages/answer-streams/src/measure_main.ts
@@ -1,6 +1,6 @@
 /**
- * Prints what relaying costs without sockets: processor time of one event
- * from the engine's bytes to the caller's, and memory of one open stream.
+ * Measures relaying without sockets: CPU time per event from the engine's bytes
+ * to the caller's, and memory per open stream.
  */
 import {cpuUsage, memoryUsage} from 'node:process';
 import {setFlagsFromString} from 'node:v8';
@@ -20,18 +20,16 @@
 const EVENT_COUNT = 100_000;
 const ROUNDS = 5;
 const STREAM_COUNT = 5_000;
-const EVENTS_BEFORE_WAIT = 20;
+const EVENTS_PER_OPEN_STREAM = 20;
 const BYTES_PER_KB = 1024;
 const REQUEST_ID = '0f8fad5b-d9cb-469f-a165-70867728950e';
 
-/** How the events of a measured answer arrive. */
-type Arrival =
-  'in order' | 'each tenth late' | 'in order, kept for a second run';
+type Arrival = 'in order' | 'every tenth delayed' | 'in order, with text hash';
 
 const ARRIVALS: Arrival[] = [
   'in order',
-  'each tenth late',
-  'in order, kept for a second run',
+  'every tenth delayed',
+  'in order, with text hash',
 ];
 
 function makeEvents(): StreamEvent[] {
@@ -55,10 +53,13 @@
   return [...chunks, {id: EVENT_COUNT, data: END_OF_ANSWER}];
 }
 
-function delayTenths(events: StreamEvent[]): StreamEvent[] {
+function delayEveryTenth(events: StreamEvent[]): StreamEvent[] {
   return events
-    .map((event, index) => ({event, place: index % 10 ? index : index + 1.5}))
-    .sort((first, second) => first.place - second.place)
+    .map((event, index) => ({
+      event,
+      position: index % 10 ? index : index + 1.5,
+    }))
+    .sort((first, second) => first.position - second.position)
     .map(({event}) => event);
 }
 
@@ -69,7 +70,7 @@
 function openReader(stream: OpenStream, signal: AbortSignal) {
   return readAnswer({
     ...{requestId: REQUEST_ID, firstId: 0, first: stream, signal},
-    resume: () => Promise.reject(new Error('not expected')),
+    resume: () => Promise.reject(new Error('unexpected resume')),
     ...{clock: new SystemClock(), random: new SeededRandom(1)},
     limits: {...DEFAULT_ANSWER_LIMITS, maxAnswerBytes: 2 ** 30},
   });
@@ -80,7 +81,7 @@
   arrival: Arrival,
 ): Promise<number> {
   const delivered =
-    arrival === 'in order, kept for a second run' ? new DeliveredText() : null;
+    arrival === 'in order, with text hash' ? new DeliveredText() : null;
   const stream = {bytes: send(parts), close: () => undefined};
   const before = cpuUsage();
   let sizeBytes = 0;
@@ -88,14 +89,15 @@
     delivered?.note(events);
     sizeBytes += Buffer.byteLength(events.map(formatEvent).join(''));
   }
-  if (sizeBytes === 0) throw new Error('Nothing was relayed.');
+  if (sizeBytes === 0) throw new Error('no event was relayed');
   const {user, system} = cpuUsage(before);
   return (user + system) / EVENT_COUNT;
 }
 
 async function measureEvents(arrival: Arrival): Promise<string> {
   const events = makeEvents();
-  const sent = arrival === 'each tenth late' ? delayTenths(events) : events;
+  const sent =
+    arrival === 'every tenth delayed' ? delayEveryTenth(events) : events;
   const parts = sent.map(event => Buffer.from(formatEvent(event)));
   const rounds: number[] = [];
   for (let round = 0; round < ROUNDS; round += 1) {
@@ -105,11 +107,11 @@
   const [least, median, most] = [0, ROUNDS >> 1, ROUNDS - 1].map(index =>
     sorted[index]?.toFixed(2),
   );
-  return `${median} µs an event (${least} to ${most}), ${arrival}`;
+  return `${median} µs per event (${least} to ${most}), ${arrival}`;
 }
 
-/** A stream that brings some events and then waits for its end. */
-function openWaitingStream(parts: readonly Buffer[]): OpenStream {
+/** A stream that sends some events and then stays open. */
+function openStalledStream(parts: readonly Buffer[]): OpenStream {
   const bytes = (async function* () {
     yield* parts;
     await new Promise<never>(() => undefined);
@@ -121,26 +123,26 @@
   setFlagsFromString('--expose-gc');
   const collectGarbage = runInNewContext('gc') as () => void;
   const parts = makeEvents()
-    .slice(0, EVENTS_BEFORE_WAIT)
+    .slice(0, EVENTS_PER_OPEN_STREAM)
     .map(event => Buffer.from(formatEvent(event)));
   const {signal} = new AbortController();
   collectGarbage();
   const before = memoryUsage();
   const readers = Array.from({length: STREAM_COUNT}, () =>
-    openReader(openWaitingStream(parts), signal),
+    openReader(openStalledStream(parts), signal),
   );
   for (const reader of readers) {
-    for (let read = 0; read < EVENTS_BEFORE_WAIT; read += 1) {
+    for (let read = 0; read < EVENTS_PER_OPEN_STREAM; read += 1) {
       await reader.next();
     }
   }
-  const waiting = readers.map(reader => reader.next());
+  const pendingReads = readers.map(reader => reader.next());
   collectGarbage();
   const after = memoryUsage();
-  const grownBytes =
+  const growthBytes =
     after.heapUsed - before.heapUsed + after.external - before.external;
-  const perStreamKb = grownBytes / waiting.length / BYTES_PER_KB;
-  return `${perStreamKb.toFixed(1)} KB an open stream (${STREAM_COUNT} open)`;
+  const perStreamKb = growthBytes / pendingReads.length / BYTES_PER_KB;
+  return `${perStreamKb.toFixed(1)} KB per open stream (${STREAM_COUNT} open)`;
 }
 
 for (const arrival of ARRIVALS) {
--- a/packages/answer-streams/src/request_token.test.ts
+++ b/packages/answer-streams/src/request_token.test.ts
@@ -16,15 +16,14 @@
   return {mint, token: mint.make(CONTENT, 'prairie')};
 }
 
-test('another node with the secret reads what the first one wrote', () => {
+test('a token is valid on another node with the same secret', () => {
   const {token} = createToken();
   const other = new RequestTokenMint('a-secret-of-the-cluster');
   assert.equal(other.read(token, 'prairie', 999), CONTENT);
 });
 
-test("another team's, expired and forged tokens all look the same", () => {
-  // A caller tries tokens that it was never given, to read a stranger's
-  // answer or to learn which requests exist.
+test("forged, expired and other teams' tokens are rejected alike", () => {
+  // Guards against reading another team's response or probing for requests.
   const {mint, token} = createToken();
   const [form, payload, mac] = token.split('.');
   const forgedPayload = Buffer.from(
@@ -32,12 +31,12 @@
       .toString('utf8')
       .replace('q1', 'q2'),
   ).toString('base64url');
-  const strange = new RequestTokenMint('another-secret').make(
+  const foreignToken = new RequestTokenMint('another-secret').make(
     CONTENT,
     'prairie',
   );
   const texts = [
-    strange,
+    foreignToken,
     `${form}.${forgedPayload}.${mac}`,
     `${form}.${payload}.${mac}.x`,
     `${form}.${payload}`,
@@ -50,7 +49,7 @@
   assert.is(mint.read(token, 'prairie', 1_000), null);
 });
 
-test('a token does not show the name of the team', () => {
+test('a token does not contain the name of the team', () => {
   const {token} = createToken();
   const payload = Buffer.from(token.split('.')[1] ?? '', 'base64url');
   assert.not(payload.toString('utf8').includes('prairie'));
--- a/packages/answer-streams/src/request_token.ts
+++ b/packages/answer-streams/src/request_token.ts
@@ -1,24 +1,23 @@
 /**
- * Request tokens: all that a node needs to go on with an answer that another
- * node began, signed, so that nothing has to be kept or agreed for it.
+ * Signed request tokens. A token holds all that a node needs to resume a
+ * response from another node, so that nodes share no state for it.
  */
 import {createHmac, timingSafeEqual} from 'node:crypto';
 import {type BackendServerId, type NodeIncarnation} from '@mimosatack/types';
 import {z} from 'zod';
 
-/** What a token says. */
 export interface RequestToken {
   /** The backend server that runs the request. */
   backendServerId: BackendServerId;
   /** The id by which the engine knows the request. */
   engineRequestId: string;
-  /** After this time by the wall clock the token is of no use. */
+  /** Wall-clock time from which the token is rejected. */
   expiresAtMs: number;
-  /** The process that took the request. */
+  /** The node process that received the request. */
   entryIncarnation: NodeIncarnation;
 }
 
-const TOKEN_FORM = 'r1';
+const TOKEN_VERSION = 'r1';
 const MAC_CHARS = 22;
 const TEAM_HASH_CHARS = 16;
 const MAX_TOKEN_CHARS = 1024;
@@ -31,7 +30,7 @@
   z.string(),
 ]);
 
-/** Makes and reads request tokens under the cluster secret. */
+/** Signs and verifies request tokens with the cluster secret. */
 export class RequestTokenMint {
   constructor(private readonly secret: string) {}
 
@@ -44,48 +43,49 @@
       this.hashTeam(team),
     ]);
     const payload = Buffer.from(content).toString('base64url');
-    return `${TOKEN_FORM}.${payload}.${this.sign(payload)}`;
+    return `${TOKEN_VERSION}.${payload}.${this.sign(payload)}`;
   }
 
   /**
-   * What the token says, or null. Forged, expired and another team's look the
-   * same, so that nobody learns from the answer which requests exist.
+   * Returns null alike for forged, expired and other teams' tokens, so that a
+   * caller cannot find out which requests exist.
    */
   read(text: string, team: string, nowMs: number): RequestToken | null {
-    const [form, payload, mac, ...rest] = text.split('.');
-    const isShaped =
+    const [version, payload, mac, ...rest] = text.split('.');
+    const hasValidShape =
       text.length <= MAX_TOKEN_CHARS &&
-      form === TOKEN_FORM &&
+      version === TOKEN_VERSION &&
       rest.length === 0;
-    if (!isShaped || !payload || !mac) return null;
-    if (!isSame(mac, this.sign(payload))) return null;
+    if (!hasValidShape || !payload || !mac) return null;
+    if (!isEqualInConstantTime(mac, this.sign(payload))) return null;
     const parsed = contentSchema.safeParse(parsePayload(payload));
     if (!parsed.success) return null;
     const [backendServerId, engineRequestId, expiresAtMs, entry, teamHash] =
       parsed.data;
     const isValid =
-      isSame(teamHash, this.hashTeam(team)) && nowMs < expiresAtMs;
+      isEqualInConstantTime(teamHash, this.hashTeam(team)) &&
+      nowMs < expiresAtMs;
     return isValid
       ? {backendServerId, engineRequestId, expiresAtMs, entryIncarnation: entry}
       : null;
   }
 
   private hashTeam(team: string): string {
-    return this.mac(`team ${team}`).slice(0, TEAM_HASH_CHARS);
+    return this.computeMac(`team ${team}`).slice(0, TEAM_HASH_CHARS);
   }
 
   private sign(payload: string): string {
-    return this.mac(`${TOKEN_FORM} ${payload}`).slice(0, MAC_CHARS);
+    return this.computeMac(`${TOKEN_VERSION} ${payload}`).slice(0, MAC_CHARS);
   }
 
-  private mac(text: string): string {
+  private computeMac(text: string): string {
     return createHmac('sha256', this.secret)
       .update(`request-token ${text}`)
       .digest('base64url');
   }
 }
 
-function isSame(given: string, expected: string): boolean {
+function isEqualInConstantTime(given: string, expected: string): boolean {
   const [a, b] = [Buffer.from(given), Buffer.from(expected)];
   return a.length === b.length && timingSafeEqual(a, b);
 }
--- a/packages/answer-streams/src/stream_event.ts
+++ b/packages/answer-streams/src/stream_event.ts
@@ -1,37 +1,35 @@
-/** One event of an answer's stream, and its form on the wire. */
+/** Server-sent events of a streamed response and their wire format. */
 import {type TypedError, formatErrorBody} from '@mimosatack/errors';
 
-/** One server-sent event; the ids of one answer count up from 0. */
+/** One server-sent event; the ids of a response count up from 0. */
 export interface StreamEvent {
   id: number;
   data: string;
 }
 
-/** What the last event of a whole answer carries. */
+/** Data of the event that ends a complete response. */
 export const END_OF_ANSWER = '[DONE]';
 
-/** Whether an event says that the answer is whole. */
 export function isEndOfAnswer(event: StreamEvent): boolean {
   return event.data === END_OF_ANSWER;
 }
 
-/** The event as text, with its id for a caller that resumes. */
+/** Includes the id, so that a caller can resume after the event. */
 export function formatEvent({id, data}: StreamEvent): string {
   return `id: ${id}\ndata: ${toDataLines(data)}\n\n`;
 }
 
 /**
- * An error in the middle of a stream, in the form that the common clients
- * raise as an error of the request. It has no id, so that a caller that
- * resumes names the last event of the answer itself.
+ * Formats an error in a stream so that common clients raise it as a request
+ * error. It has no id, so a caller resumes after the last response event.
  */
 export function formatErrorEvent(error: TypedError): string {
   const {error: body} = formatErrorBody(error);
-  const told = {...body, type: body.kind, code: body.kind};
-  return `data: ${JSON.stringify({error: told})}\n\n`;
+  const fields = {...body, type: body.kind, code: body.kind};
+  return `data: ${JSON.stringify({error: fields})}\n\n`;
 }
 
-/** A line break inside the data would end the field. */
+/** Repeats the field name after each line break, which would end the field. */
 function toDataLines(data: string): string {
   return data.includes('\n') ? data.replaceAll('\n', '\ndata: ') : data;
 }
--- a/packages/answer-streams/src/whole_answer.test.ts
+++ b/packages/answer-streams/src/whole_answer.test.ts
@@ -4,9 +4,9 @@
 import {REQUEST_ID, untilAborted} from './answer_fixture.js';
 import {readWholeAnswer} from './index.js';
 
-const test = suite('whole answers');
+const test = suite('complete responses');
 
-const RIGHT = JSON.stringify({
+const VALID_RESPONSE = JSON.stringify({
   request_id: REQUEST_ID,
   choices: [{message: {content: 'good morning'}}],
 });
@@ -24,41 +24,45 @@
   );
 }
 
-test('the right answer passes unchanged', async () => {
-  assert.is(await read([RIGHT.slice(0, 9), RIGHT.slice(9)]), RIGHT);
+test('a valid response is returned unchanged', async () => {
+  assert.is(
+    await read([VALID_RESPONSE.slice(0, 9), VALID_RESPONSE.slice(9)]),
+    VALID_RESPONSE,
+  );
 });
 
-test('an answer that is cut short is not passed on', async () => {
-  // A caller would get half a JSON text as an answer: the engine dies, or
-  // closes in good order, in the middle of it.
-  assert.is(await read([RIGHT.slice(0, 9)]), 'backend-failed');
+test('a truncated response is rejected', async () => {
+  // Guards against incomplete JSON after a reset or an orderly close.
+  assert.is(await read([VALID_RESPONSE.slice(0, 9)]), 'backend-failed');
   const reset = new Error('connection reset');
-  assert.is(await read([RIGHT.slice(0, 9)], reset), 'backend-failed');
+  assert.is(await read([VALID_RESPONSE.slice(0, 9)], reset), 'backend-failed');
 });
 
-test("another request's answer is not passed on", async () => {
-  // A caller would read a stranger's answer: the engine mixes up two
-  // requests that it answers at the same time.
-  const foreign = RIGHT.replace(REQUEST_ID, 'q2');
+test("another request's response is rejected", async () => {
+  // Guards against an engine that sends one caller the text of another.
+  const foreign = VALID_RESPONSE.replace(REQUEST_ID, 'q2');
   assert.is(await read([foreign]), 'backend-failed');
 });
 
-test('an answer over its limit ends with its kind', async () => {
-  assert.is(await read([RIGHT, ' '.repeat(1_000)]), 'answer-too-large');
+test('a response above the size limit is rejected', async () => {
+  assert.is(
+    await read([VALID_RESPONSE, ' '.repeat(1_000)]),
+    'answer-too-large',
+  );
 });
 
-test('a deadline ends the reading of a silent engine', async () => {
+test('a deadline stops reading from an unresponsive engine', async () => {
   const closing = new AbortController();
-  const aborting = new AbortController();
+  const deadline = new AbortController();
   const bytes = (async function* () {
     yield Buffer.from('{');
     await untilAborted(closing.signal);
   })();
   const reading = readWholeAnswer(
     {bytes, close: () => closing.abort()},
-    {requestId: REQUEST_ID, maxAnswerBytes: 9, signal: aborting.signal},
+    {requestId: REQUEST_ID, maxAnswerBytes: 9, signal: deadline.signal},
   ).catch(toTypedError);
-  setImmediate(() => aborting.abort());
+  setImmediate(() => deadline.abort());
   const outcome = await reading;
   assert.is(outcome instanceof Error && outcome.name, 'deadline-exceeded');
 });
--- a/packages/answer-streams/src/whole_answer.ts
+++ b/packages/answer-streams/src/whole_answer.ts
@@ -1,10 +1,9 @@
-/** Checks an answer that comes in one piece. */
+/** Reads and checks a response that is not streamed. */
 import {TypedError, toTypedError} from '@mimosatack/errors';
 import {z} from 'zod';
 import {asAbortError} from './abort_error.js';
 import {type OpenStream} from './answer_reader.js';
 
-/** What a whole answer is read with. */
 export interface WholeAnswerOptions {
   /** The id by which the engine knows the request. */
   requestId: string;
@@ -12,16 +11,16 @@
   signal: AbortSignal;
 }
 
-const answerSchema = z.looseObject({
+const responseSchema = z.looseObject({
   id: z.string().optional(),
   request_id: z.string().optional(),
   choices: z.array(z.unknown()).min(1),
 });
 
 /**
- * Reads a whole answer and returns its bytes unchanged. Rejects with
- * `backend-failed` when it is cut short, no JSON, or another request's, and
- * with `answer-too-large`.
+ * Reads a complete response and returns its bytes unchanged. Rejects with
+ * `backend-failed` if the response is truncated, malformed or of another
+ * request, and with `answer-too-large` if it exceeds `maxAnswerBytes`.
  */
 export async function readWholeAnswer(
   stream: OpenStream,
@@ -30,15 +29,15 @@
   const close = () => stream.close();
   options.signal.addEventListener('abort', close, {once: true});
   try {
-    const body = await collect(stream, options);
-    checkAnswer(body, options.requestId);
+    const body = await readBytes(stream, options);
+    checkResponse(body, options.requestId);
     return body;
   } finally {
     options.signal.removeEventListener('abort', close);
   }
 }
 
-async function collect(
+async function readBytes(
   stream: OpenStream,
   {maxAnswerBytes, signal}: WholeAnswerOptions,
 ): Promise<Buffer> {
@@ -51,36 +50,34 @@
         stream.close();
         throw new TypedError(
           'answer-too-large',
-          `The answer has more than ${maxAnswerBytes} bytes.`,
+          `The response has more than ${maxAnswerBytes} bytes.`,
           {run: 'ran'},
         );
       }
       parts.push(part);
     }
   } catch (thrown) {
-    throw describeFailure(thrown, signal);
+    throw toReadError(thrown, signal);
   }
   return Buffer.concat(parts);
 }
 
-function describeFailure(thrown: unknown, signal: AbortSignal): TypedError {
+function toReadError(thrown: unknown, signal: AbortSignal): TypedError {
   if (signal.aborted) return asAbortError(signal);
   if (thrown instanceof TypedError) return thrown;
-  return failed('The answer was cut short.', toTypedError(thrown));
+  return makeFailure('The response was truncated.', toTypedError(thrown));
 }
 
-/**
- * Guards against crossed answers: an engine that mixes up two requests gives
- * a caller a stranger's answer, which reads well and is wrong. An answer that
- * does not name this request is not passed on.
- */
-function checkAnswer(body: Buffer, requestId: string): void {
-  const parsed = answerSchema.safeParse(parseJson(body));
-  if (!parsed.success) throw failed('The answer is not a whole JSON answer.');
-  const {request_id: named, id} = parsed.data;
-  const isOwn =
-    named === undefined ? !!id?.includes(requestId) : named === requestId;
-  if (!isOwn) throw failed("The answer is another request's.");
+/** Guards against an engine that sends the response of another request. */
+function checkResponse(body: Buffer, requestId: string): void {
+  const parsed = responseSchema.safeParse(parseJson(body));
+  if (!parsed.success) throw makeFailure('The JSON response is malformed.');
+  const {request_id: requestIdInBody, id} = parsed.data;
+  const isMatch =
+    requestIdInBody === undefined
+      ? !!id?.includes(requestId)
+      : requestIdInBody === requestId;
+  if (!isMatch) throw makeFailure('The response belongs to another request.');
 }
 
 function parseJson(body: Buffer): unknown {
@@ -91,6 +88,9 @@
   }
 }
 
-function failed(summary: string, cause?: Error): TypedError {
-  return new TypedError('backend-failed', summary, {run: 'unknown', cause});
+function makeFailure(summary: string, cause?: Error): TypedError {
+  return new TypedError('backend-failed', summary, {
+    run: 'unknown',
+    cause,
+  });
 }
