--- a/packages/plan-warming/src/baseline_policies.ts
+++ b/packages/plan-warming/src/baseline_policies.ts
@@ -1,12 +1,12 @@
-/** Policies that plan without looking at load times; the measure's baselines. */
+/** Warming policies that ignore load times; baselines for benchmarks. */
 import {
   type WarmingPolicy,
   type WarmingRequest,
   type WarmingTimes,
-  loadPlainly,
+  loadWithoutStaging,
 } from './warming_policy.js';
 
-/** Loads nothing ahead; the first request pays for the load. */
+/** Never preloads: the first request for a model waits for its load. */
 export class LoadOnFirstRequestPolicy implements WarmingPolicy {
   readonly policyName = 'load-on-first-request';
   readonly maxAheadMs = 0;
@@ -16,7 +16,7 @@
   }
 }
 
-/** Begins every load the same time ahead of the start. */
+/** Starts every load a fixed time before the event starts. */
 export class FixedLeadPolicy implements WarmingPolicy {
   readonly policyName = 'fixed-lead';
   readonly maxAheadMs: number;
@@ -27,6 +27,6 @@
 
   chooseTimes(request: WarmingRequest): WarmingTimes | null {
     const loadAtMs = request.startsAtMs - this.maxAheadMs;
-    return loadPlainly(request, Math.max(request.nowMs, loadAtMs));
+    return loadWithoutStaging(request, Math.max(request.nowMs, loadAtMs));
   }
 }
--- a/packages/plan-warming/src/demand_table.ts
+++ b/packages/plan-warming/src/demand_table.ts
@@ -1,22 +1,22 @@
-/** Which models requests outside events ask for; hints in bounded memory. */
+/** Bounded table of the models that requests outside events ask for. */
 import {type DemandState} from './plan_demand.js';
 
 interface DemandEntry {
   lastMissMs: number | null;
   lastUseMs: number | null;
-  /** When each adapter was last asked for. */
+  /** Time of the last miss by adapter, least recent first. */
   adapters: Map<string, number>;
 }
 
 const MAX_MODELS = 1_024;
-const MAX_ADAPTERS = 8;
+const MAX_ADAPTERS_PER_MODEL = 8;
 const NO_DEMAND: DemandState = {
   lastMissMs: null,
   lastUseMs: null,
   adapters: [],
 };
 
-/** The demand for each model, as far as this node was told. */
+/** Demand by model, as reported to this node, with LRU eviction. */
 export class DemandTable {
   private readonly entries = new Map<string, DemandEntry>();
 
@@ -24,7 +24,11 @@
     return [...this.entries.keys()];
   }
 
-  /** A request for `model` or `model:adapter` found no warm replica. */
+  /**
+   * Records a request that found no warm replica.
+   *
+   * @param modelText `model` or `model:adapter`.
+   */
   noteMiss(modelText: string, nowMs: number): void {
     const [model = '', adapter] = modelText.split(':', 2);
     const entry = this.touch(model, nowMs);
@@ -33,12 +37,12 @@
     entry.adapters.delete(adapter);
     entry.adapters.set(adapter, nowMs);
     const [oldest] = entry.adapters.keys();
-    if (entry.adapters.size > MAX_ADAPTERS && oldest !== undefined) {
+    if (entry.adapters.size > MAX_ADAPTERS_PER_MODEL && oldest !== undefined) {
       entry.adapters.delete(oldest);
     }
   }
 
-  /** A request for a model runs or was sent. */
+  /** Records a request for a model that runs or was sent. */
   noteUse(model: string, nowMs: number): void {
     this.touch(model, nowMs);
   }
@@ -49,14 +53,14 @@
     return {...entry, adapters: [...entry.adapters.keys()].toSorted()};
   }
 
-  /** Forgets what was last asked for before `sinceMs`. */
+  /** Removes models that were last requested before `sinceMs`. */
   forgetBefore(sinceMs: number): void {
     [...this.entries]
       .filter(([, entry]) => (entry.lastUseMs ?? 0) < sinceMs)
       .forEach(([model]) => this.entries.delete(model));
   }
 
-  /** Moves a model to the end, which is the order of forgetting. */
+  /** Marks a model as most recently used and evicts above the limit. */
   private touch(model: string, nowMs: number): DemandEntry {
     const entry = this.entries.get(model) ?? {
       lastMissMs: null,
--- a/packages/plan-warming/src/load_outlook.ts
+++ b/packages/plan-warming/src/load_outlook.ts
@@ -1,17 +1,21 @@
-/** What a steward needs to know of the loads of one slot now. */
+/** Load time estimates of one slot, for the steward of its server. */
 import {type Configuration, type Slot} from '@mimosatack/agreed-state';
 import {type LoadTimeEstimates} from './load_time_estimates.js';
 import {expectReplicaLoad} from './replica_placer.js';
 
-/** Expected loads of one slot, and how slow the weight store is. */
+/** Expected load times of one slot and the slowdown of the weight store. */
 export interface SlotOutlook {
+  /** Start of the event of the slot; null if there is none. */
   startsAtMs: number | null;
+  /** Load time from the weight store, including initialization. */
   remoteMs: number;
+  /** Load time from a local cache, by tier. */
   nearMs: Record<'memory' | 'disk', number>;
+  /** How many times slower than usual the weight store is. */
   slowdown: number;
 }
 
-/** Needs no log: the estimates come from the reports of all engines. */
+/** Builds the outlook from engine reports, without reading the log. */
 export function makeLoadOutlook(
   slot: Slot,
   loadTimes: LoadTimeEstimates,
--- a/packages/plan-warming/src/load_time_estimates.test.ts
+++ b/packages/plan-warming/src/load_time_estimates.test.ts
@@ -6,7 +6,7 @@
 
 const test = suite('load time estimates');
 
-/** One second for a usual load. */
+/** Weight store limits at which a load takes one second. */
 const LIMITS = {loadsPerSecond: 4, fullSpeedLoads: 4};
 
 function setUp(): LoadTimeEstimates {
@@ -36,12 +36,12 @@
   estimates.observe(makeReport(model, 'warm'), atMs + 5_000);
 }
 
-test('expects what the store allows until a load is seen', () => {
+test('uses the nominal store rate until a load is observed', () => {
   const {storeMs} = setUp().expect({model: 'm', adapter: null}, 'remote');
   assert.is(storeMs, 1_000);
 });
 
-test('learns the load time of a model from its loads', () => {
+test('estimates the load time of a model from its observed loads', () => {
   const estimates = setUp();
   observeLoad(estimates, 'big', 0);
   const expectRemote = (model: string) =>
@@ -50,13 +50,13 @@
   assert.is(expectRemote('other'), 1_000);
 });
 
-test('one large checkpoint alone does not make the store slow', () => {
+test('does not report a slow store for one large checkpoint', () => {
   const estimates = setUp();
   observeLoad(estimates, 'big', 0);
   assert.is(estimates.findSlowdown(6_000), 1);
 });
 
-test('sees a slow store from loads that ended and forgets it later', () => {
+test('detects a slow store from finished loads until they expire', () => {
   const estimates = setUp();
   observeLoad(estimates, 'm1', 0);
   observeLoad(estimates, 'm2', 10_000);
@@ -64,9 +64,9 @@
   assert.is(estimates.findSlowdown(1_000_000), 1);
 });
 
-test('sees a slow store from loads that last too long already', () => {
-  // The store becomes ten times slower just before an event. Waiting for the
-  // first load to end would leave no time to begin the others earlier.
+test('detects a slow store from running loads that are overdue', () => {
+  // Guards against detecting a slow store only once the first load has
+  // finished, which is too late to start the other loads of an event earlier.
   const estimates = setUp();
   const replicas = ['m1', 'm2'].flatMap(
     model => makeReport(model, 'loading').replicas,
@@ -76,7 +76,7 @@
   assert.is(estimates.findSlowdown(4_000), 4);
 });
 
-test('does not take its own sharing of the store for slowness', () => {
+test('does not mistake concurrent transfers for a slow store', () => {
   const estimates = setUp();
   const models = Array.from({length: 16}, (_unused, index) => `m${index}`);
   const replicas = models.flatMap(m => makeReport(m, 'loading').replicas);
--- a/packages/plan-warming/src/load_time_estimates.ts
+++ b/packages/plan-warming/src/load_time_estimates.ts
@@ -1,6 +1,6 @@
 /**
- * How long loads take, learnt from what engines report. The knowledge is a
- * hint: wrong estimates make a load early or late, never unsafe.
+ * Estimates load times from engine reports. A wrong estimate makes a load
+ * early or late and has no effect on correctness.
  */
 import {type WeightStoreLimits} from '@mimosatack/platform';
 import {
@@ -12,73 +12,72 @@
 } from '@mimosatack/types';
 import {SampleWindow, findQuantile} from './sample_window.js';
 
-/** How long a load is expected to take. */
+/** Expected duration of a load. */
 export interface LoadTimes {
-  /** The transfer from the weight store alone; 0 from a near cache. */
+  /** Transfer from the weight store; 0 for a load from a local cache. */
   storeMs: number;
-  /** Everything else: reading a near cache, and setting up the model. */
+  /** The rest of the load: reading a local cache and initializing the model. */
   initMs: number;
-  /** How far observed loads spread: the 99th percentile over the median. */
+  /** The 99th percentile of observed loads minus their median. */
   spreadMs: number;
 }
 
-/** Expected load times of a base model or adapter by tier. */
+/** Provides expected load times of a base model or adapter by cache tier. */
 export interface LoadTimeSource {
   expect(ref: Omit<ModelRef, 'version'>, tier: CacheTier): LoadTimes;
 }
 
-/** What an operator knows before the first load. */
+/** Load times that are assumed until loads have been observed. */
 export interface LoadTimeDefaults {
   limits: WeightStoreLimits;
-  /** A load from a near cache by tier, and setting up after a transfer. */
+  /** Load time from a local cache, by tier. */
   nearMs: Record<'memory' | 'disk', number>;
+  /** Initialization after a transfer from the weight store. */
   initMs: number;
 }
 
-/** Used until the first loads are seen. */
 export const DEFAULT_LOAD_TIMES: LoadTimeDefaults = {
   limits: {loadsPerSecond: 3, fullSpeedLoads: 4},
   nearMs: {memory: 400, disk: 700},
   initMs: 300,
 };
 
-/** A load that was seen to be under way. */
+/** A load that an engine has reported as running. */
 interface OngoingLoad {
   ref: ModelRef;
   tier: CacheTier;
-  sinceMs: number;
-  seenAtMs: number;
-  /** Transfers from the store that went on when this one was first seen. */
-  transfers: number;
+  startedAtMs: number;
+  lastSeenAtMs: number;
+  /** Store transfers running at the first report, this load included. */
+  concurrentTransfers: number;
   isTransferred: boolean;
 }
 
 const NO_LOADS: ReadonlyMap<string, OngoingLoad> = new Map();
 const SECOND_MS = 1000;
-/** Samples kept for each model, adapter and tier. */
-const MAX_SAMPLES = 16;
-/** Models and adapters that samples are kept for; the oldest go first. */
+/** Samples per model, adapter and tier. */
+const MAX_SAMPLES_PER_SERIES = 16;
+/** Series kept; the least recently updated is evicted first. */
 const MAX_SERIES = 2_048;
-/** Transfers that the present speed of the store is judged by. */
-const MAX_SPEED_SAMPLES = 12;
-/** How long a finished transfer says something about the present speed. */
-const SPEED_MEMORY_MS = 120_000;
-const MIN_SPEED_EVIDENCE = 2;
-/** A load on an engine that was not heard of for this long says nothing. */
-const REPORT_STALE_MS = 5_000;
-/** Below this factor the store counts as running at its usual speed. */
-const SLOW_FACTOR = 1.5;
+const MAX_SLOWDOWN_SAMPLES = 12;
+/** Age up to which a finished transfer counts towards the current slowdown. */
+const SLOWDOWN_SAMPLE_MAX_AGE_MS = 120_000;
+const MIN_SLOWDOWN_SAMPLES = 2;
+/** A running load counts only if its engine reported it within this time. */
+const MAX_REPORT_AGE_MS = 5_000;
+/** Below this factor the store counts as running at nominal speed. */
+const MIN_SLOWDOWN = 1.5;
 const MAX_SLOWDOWN = 50;
 
-/** Learns load times from successive reports of all engines. */
+/** Derives load times from successive reports of all engines. */
 export class LoadTimeEstimates implements LoadTimeSource {
   private limits: WeightStoreLimits;
   private readonly series = new Map<string, SampleWindow>();
-  private readonly speeds = new SampleWindow(MAX_SPEED_SAMPLES);
-  private readonly ongoing = new Map<string, Map<string, OngoingLoad>>();
-  /** The ongoing loads that still fetch from the weight store. */
-  private readonly transfers = new Set<OngoingLoad>();
-  private readonly reports = new Map<string, EngineState>();
+  private readonly slowdownSamples = new SampleWindow(MAX_SLOWDOWN_SAMPLES);
+  private readonly ongoingLoads = new Map<string, Map<string, OngoingLoad>>();
+  /** Ongoing loads that are still transferring from the weight store. */
+  private readonly activeTransfers = new Set<OngoingLoad>();
+  private readonly latestReports = new Map<string, EngineState>();
 
   constructor(private readonly defaults = DEFAULT_LOAD_TIMES) {
     this.limits = defaults.limits;
@@ -88,41 +87,46 @@
     this.limits = limits;
   }
 
-  /** Takes a report in; reports of one engine must come in order. */
+  /** Processes a report; reports of one engine must arrive in order. */
   observe(engine: EngineState, atMs: number): void {
     const id = engine.backendServerId;
-    const before = this.reports.get(id);
-    this.reports.set(id, engine);
-    const known = this.ongoing.get(id) ?? NO_LOADS;
+    const previous = this.latestReports.get(id);
+    this.latestReports.set(id, engine);
+    const previousLoads = this.ongoingLoads.get(id) ?? NO_LOADS;
     const loading = engine.replicas.filter(each => each.status === 'loading');
-    const current = new Map(
+    const currentLoads = new Map(
       loading.map(replica => [
         replica.slotId,
-        known.get(replica.slotId) ?? this.beginLoad(replica, before, atMs),
+        previousLoads.get(replica.slotId) ??
+          this.beginLoad(replica, previous, atMs),
       ]),
     );
-    this.ongoing.set(id, current);
-    const followed = [...new Map([...known, ...current]).values()];
-    followed
-      .filter(load => !load.isTransferred && findTier(load.ref, engine))
-      .forEach(load => this.endTransfer(load, atMs - load.sinceMs, atMs));
-    if (before) this.noteWarm(engine, before, known, atMs);
-    followed.forEach(load => this.transfers.delete(load));
-    [...current.values()]
+    this.ongoingLoads.set(id, currentLoads);
+    const trackedLoads = [
+      ...new Map([...previousLoads, ...currentLoads]).values(),
+    ];
+    trackedLoads
+      .filter(load => !load.isTransferred && findCacheTier(load.ref, engine))
+      .forEach(load =>
+        this.finishTransfer(load, atMs - load.startedAtMs, atMs),
+      );
+    if (previous) this.recordFinished(engine, previous, previousLoads, atMs);
+    trackedLoads.forEach(load => this.activeTransfers.delete(load));
+    [...currentLoads.values()]
       .filter(load => !load.isTransferred)
       .forEach(load => {
-        load.seenAtMs = atMs;
-        this.transfers.add(load);
+        load.lastSeenAtMs = atMs;
+        this.activeTransfers.add(load);
       });
   }
 
-  /** Forgets an engine that is gone. */
+  /** Drops the state of an engine that no longer exists. */
   forget(backendServerId: string): void {
-    this.ongoing
+    this.ongoingLoads
       .get(backendServerId)
-      ?.forEach(load => this.transfers.delete(load));
-    this.ongoing.delete(backendServerId);
-    this.reports.delete(backendServerId);
+      ?.forEach(load => this.activeTransfers.delete(load));
+    this.ongoingLoads.delete(backendServerId);
+    this.latestReports.delete(backendServerId);
   }
 
   expect(ref: Omit<ModelRef, 'version'>, tier: CacheTier): LoadTimes {
@@ -131,67 +135,68 @@
     const medianMs = window?.quantile(0.5) ?? 0;
     const spreadMs = expectedMs === undefined ? 0 : expectedMs - medianMs;
     if (tier !== 'remote') {
-      const initMs = expectedMs ?? this.expectNearMs(tier);
+      const initMs = expectedMs ?? this.expectCachedLoadMs(tier);
       return {storeMs: 0, initMs, spreadMs};
     }
-    const storeMs = expectedMs ?? this.usualTransferMs();
+    const storeMs = expectedMs ?? this.nominalTransferMs();
     return {storeMs, initMs: this.defaults.initMs, spreadMs};
   }
 
   /**
-   * How many times slower than usual the weight store is, judged by transfers
-   * of all engines that ended lately, and by those that last longer already
-   * than they should. The median keeps one odd checkpoint from deciding.
+   * Estimates how many times slower than nominal the weight store is, from
+   * recently finished transfers and running ones that are already overdue.
+   * Takes the median so that a single large checkpoint does not count as a
+   * slow store.
    */
   findSlowdown(nowMs: number): number {
-    const running = [...this.transfers]
-      .filter(load => nowMs - load.seenAtMs <= REPORT_STALE_MS)
-      .map(load => this.findSlowness(load, nowMs - load.sinceMs))
-      .filter(slowness => slowness >= SLOW_FACTOR);
-    const evidence = [
-      ...this.speeds.listSince(nowMs - SPEED_MEMORY_MS),
+    const running = [...this.activeTransfers]
+      .filter(load => nowMs - load.lastSeenAtMs <= MAX_REPORT_AGE_MS)
+      .map(load => this.computeTransferSlowdown(load, nowMs - load.startedAtMs))
+      .filter(factor => factor >= MIN_SLOWDOWN);
+    const samples = [
+      ...this.slowdownSamples.listSince(nowMs - SLOWDOWN_SAMPLE_MAX_AGE_MS),
       ...running,
     ];
-    if (evidence.length < MIN_SPEED_EVIDENCE) return 1;
-    const slowdown = findQuantile(evidence, 0.5) ?? 1;
-    return slowdown < SLOW_FACTOR ? 1 : Math.min(MAX_SLOWDOWN, slowdown);
+    if (samples.length < MIN_SLOWDOWN_SAMPLES) return 1;
+    const slowdown = findQuantile(samples, 0.5) ?? 1;
+    return slowdown < MIN_SLOWDOWN ? 1 : Math.min(MAX_SLOWDOWN, slowdown);
   }
 
-  /** What other models took from the tier, when this one was not seen. */
-  private expectNearMs(tier: 'memory' | 'disk'): number {
+  /** Fallback for a model without samples, from the loads of all models. */
+  private expectCachedLoadMs(tier: 'memory' | 'disk'): number {
     return (
-      this.series.get(pooledKey(tier))?.quantile(0.99) ??
+      this.series.get(allModelsKey(tier))?.quantile(0.99) ??
       this.defaults.nearMs[tier]
     );
   }
 
   private beginLoad(
     replica: LoadedReplica,
-    before: EngineState | undefined,
+    previous: EngineState | undefined,
     atMs: number,
   ): OngoingLoad {
-    const tier = (before && findTier(replica, before)) ?? 'remote';
-    const transfers = this.transfers.size + 1;
+    const tier = (previous && findCacheTier(replica, previous)) ?? 'remote';
+    const concurrentTransfers = this.activeTransfers.size + 1;
     const isTransferred = tier !== 'remote';
     return {
       ref: replica,
       tier,
-      sinceMs: atMs,
-      seenAtMs: atMs,
-      transfers,
+      startedAtMs: atMs,
+      lastSeenAtMs: atMs,
+      concurrentTransfers,
       isTransferred,
     };
   }
 
-  /** Takes in the loads that ended between two reports. */
-  private noteWarm(
+  /** Records the loads that finished between two reports. */
+  private recordFinished(
     engine: EngineState,
-    before: EngineState,
-    known: ReadonlyMap<string, OngoingLoad>,
+    previous: EngineState,
+    previousLoads: ReadonlyMap<string, OngoingLoad>,
     atMs: number,
   ): void {
     const warmBefore = new Set(
-      before.replicas
+      previous.replicas
         .filter(replica => replica.status === 'warm')
         .map(replica => replica.slotId),
     );
@@ -201,35 +206,47 @@
       )
       .forEach(replica => {
         const load =
-          known.get(replica.slotId) ?? this.beginLoad(replica, before, atMs);
+          previousLoads.get(replica.slotId) ??
+          this.beginLoad(replica, previous, atMs);
         if (load.tier !== 'remote') {
           this.addSample(replica, load.tier, replica.loadMs, atMs);
         } else if (!load.isTransferred) {
           const transferMs = replica.loadMs - this.defaults.initMs;
-          this.endTransfer(load, Math.max(0, transferMs), atMs);
+          this.finishTransfer(load, Math.max(0, transferMs), atMs);
         }
       });
   }
 
-  private endTransfer(
+  private finishTransfer(
     load: OngoingLoad,
     transferMs: number,
     atMs: number,
   ): void {
-    const slowness = this.findSlowness(load, transferMs);
+    const slowdown = this.computeTransferSlowdown(load, transferMs);
     load.isTransferred = true;
-    this.speeds.add(slowness, atMs);
-    this.addSample(load.ref, 'remote', slowness * this.usualTransferMs(), atMs);
+    this.slowdownSamples.add(slowdown, atMs);
+    this.addSample(
+      load.ref,
+      'remote',
+      slowdown * this.nominalTransferMs(),
+      atMs,
+    );
   }
 
-  /** How long a transfer took against what its share of the store allows. */
-  private findSlowness(load: OngoingLoad, transferMs: number): number {
-    const transfers = Math.max(load.transfers, this.transfers.size);
-    const share = Math.max(1, transfers / this.limits.fullSpeedLoads);
-    return transferMs / (this.usualTransferMs() * share);
+  /** Ratio of the actual to the expected duration of a transfer. */
+  private computeTransferSlowdown(
+    load: OngoingLoad,
+    transferMs: number,
+  ): number {
+    const concurrentTransfers = Math.max(
+      load.concurrentTransfers,
+      this.activeTransfers.size,
+    );
+    const share = Math.max(1, concurrentTransfers / this.limits.fullSpeedLoads);
+    return transferMs / (this.nominalTransferMs() * share);
   }
 
-  private usualTransferMs(): number {
+  private nominalTransferMs(): number {
     const {fullSpeedLoads, loadsPerSecond} = this.limits;
     return (fullSpeedLoads / loadsPerSecond) * SECOND_MS;
   }
@@ -240,12 +257,13 @@
     valueMs: number,
     atMs: number,
   ): void {
-    if (tier !== 'remote') this.addTo(pooledKey(tier), valueMs, atMs);
-    this.addTo(seriesKey(ref, tier), valueMs, atMs);
+    if (tier !== 'remote') this.addToSeries(allModelsKey(tier), valueMs, atMs);
+    this.addToSeries(seriesKey(ref, tier), valueMs, atMs);
   }
 
-  private addTo(key: string, valueMs: number, atMs: number): void {
-    const window = this.series.get(key) ?? new SampleWindow(MAX_SAMPLES);
+  private addToSeries(key: string, valueMs: number, atMs: number): void {
+    const window =
+      this.series.get(key) ?? new SampleWindow(MAX_SAMPLES_PER_SERIES);
     window.add(valueMs, atMs);
     this.series.delete(key);
     this.series.set(key, window);
@@ -256,16 +274,16 @@
   }
 }
 
-/** Null for a checkpoint that is not near. */
-function findTier(ref: ModelRef, engine: EngineState): CacheTier | null {
+/** Returns null for a checkpoint that is in no local cache. */
+function findCacheTier(ref: ModelRef, engine: EngineState): CacheTier | null {
   const key = formatModelRef(ref);
   return (
     engine.cached.find(cached => formatModelRef(cached) === key)?.tier ?? null
   );
 }
 
-/** Near loads of all models together; their sizes matter little. */
-function pooledKey(tier: CacheTier): string {
+/** Key of the series for loads of all models from one cache tier. */
+function allModelsKey(tier: CacheTier): string {
   return `${tier} *`;
 }
 
--- a/packages/plan-warming/src/measure_main.ts
+++ b/packages/plan-warming/src/measure_main.ts
@@ -1,6 +1,6 @@
 /**
- * Prints what planning costs a node at the target size: 260 models, 6,800
- * adapters, 670 runners and some hundred events.
+ * Measures the time of planning on one node at the target size: 260 models,
+ * 6,800 adapters, 670 runners and 300 events.
  */
 import {type EngineState} from '@mimosatack/types';
 import {LoadTimeEstimates} from './load_time_estimates.js';
@@ -21,12 +21,12 @@
 const FAILURE_DOMAINS = 8;
 const EVENTS = 300;
 const NEEDS_PER_EVENT = 8;
-const REPLICAS = 2;
+const REPLICAS_PER_NEED = 2;
 const RUNNER_MIB = 800;
 const CACHED_PER_RUNNER = 20;
 const EVENT_SPACING_MS = minutes(10);
 
-/** What one kind of work cost. */
+/** Measured duration of one kind of work. */
 interface Cost {
   work: string;
   runs: number;
@@ -35,8 +35,8 @@
 }
 
 /**
- * Only what `prepare` gives back is measured, on the wall clock; what that
- * gives back follows unmeasured.
+ * Measures the function that `prepare` returns, and not `prepare` itself or
+ * the clean-up function that the measured one may return.
  */
 function measure(
   work: string,
@@ -46,10 +46,10 @@
   const times = new SampleWindow(runs);
   for (let index = 0; index < runs; index += 1) {
     const run = prepare(index);
-    const beganMs = performance.now();
-    const after = run();
-    times.add(performance.now() - beganMs, index);
-    after?.();
+    const startedMs = performance.now();
+    const cleanUp = run();
+    times.add(performance.now() - startedMs, index);
+    cleanUp?.();
   }
   const format = (fraction: number) =>
     (times.quantile(fraction) ?? 0).toFixed(3);
@@ -80,7 +80,7 @@
     needs: Array.from({length: NEEDS_PER_EVENT}, (_unused, need) => ({
       model: `m${(index * NEEDS_PER_EVENT + need) % MODELS}`,
       adapters: [`a${index % ADAPTERS_PER_MODEL}`],
-      replicas: REPLICAS,
+      replicas: REPLICAS_PER_NEED,
     })),
   };
 }
@@ -100,13 +100,13 @@
 
 const log = buildLog();
 const engines = makeReports();
-const ids = Array.from({length: EVENTS}, (_unused, index) => `e${index}`);
-ids.forEach((id, index) => log.putEvent(id, makeEvent(index)));
+const eventIds = Array.from({length: EVENTS}, (_unused, index) => `e${index}`);
+eventIds.forEach((id, index) => log.putEvent(id, makeEvent(index)));
 const loadTimes = new LoadTimeEstimates();
 const views = log.listViews({engines});
 
 const preparePlan = (index: number) => {
-  const id = ids[index] ?? '';
+  const id = eventIds[index] ?? '';
   const input = {...log.makeInput(id, 0), servers: views, loadTimes};
   return () => {
     const plan = planEvent(input);
--- a/packages/plan-warming/src/need_state.ts
+++ b/packages/plan-warming/src/need_state.ts
@@ -1,4 +1,7 @@
-/** What is decided for one need of an event, and what is still wanted. */
+/**
+ * Compares the slots of one event need with what the need asks for: which
+ * slots to end, to extend and to place.
+ */
 import {
   type ResolvedEvent,
   type ResolvedNeed,
@@ -7,7 +10,6 @@
 import {type ServerView} from './server_view.js';
 import {type WarmingPolicy} from './warming_policy.js';
 
-/** What the state of a need is read from. */
 export interface NeedInput {
   event: ResolvedEvent;
   held: readonly Slot[];
@@ -16,76 +18,80 @@
   nowMs: number;
 }
 
-/** One need with its slots. */
+/** One need, its slots and the changes that it requires. */
 export interface NeedState {
   need: ResolvedNeed;
-  /** Slots to end although the event needs their model. */
-  ended: {slots: Slot[]; reason: 'event-changed' | 'moved'}[];
-  /** Slots to keep until the new end of the event. */
-  extended: Slot[];
-  /** All slots of the model, also ending ones. */
+  /** Slots to end while the event still needs their model. */
+  toEnd: {slots: Slot[]; reason: 'event-changed' | 'moved'}[];
+  /** Slots to extend to the new end of the event. */
+  toExtend: Slot[];
+  /** All slots of the model, including those that are ending. */
   siblings: Slot[];
-  /** One entry for each replica to place: the slot it stands in for. */
-  wanted: (string | null)[];
+  /** One entry per replica to place: the slot it replaces, or null. */
+  toPlace: (string | null)[];
 }
 
 type FindView = (slot: Slot) => ServerView | undefined;
 
-/** Reads the state of one need. */
-export function readNeed(need: ResolvedNeed, input: NeedInput): NeedState {
+export function assessNeed(need: ResolvedNeed, input: NeedInput): NeedState {
   const siblings = input.held.filter(slot => slot.model === need.model);
   const decided = siblings.filter(slot => slot.status === 'decided');
-  const fitting = decided.filter(slot => fitsEvent(slot, need, input));
-  const outdated = decided.filter(slot => !fitting.includes(slot));
+  const matching = decided.filter(slot => matchesEvent(slot, need, input));
+  const outdated = decided.filter(slot => !matching.includes(slot));
   const views = new Map(
     input.servers.map(view => [view.server.backendServerId, view]),
   );
-  const viewOf = (slot: Slot) => views.get(slot.backendServerId);
-  const leaving = fitting.filter(slot => viewOf(slot)?.isLeaving);
-  const canGo = (slot: Slot) =>
-    need.maxSurge === 0 || hasWarmStandIn(slot, siblings, viewOf);
-  const overtaken = outdated.filter(
-    slot => input.nowMs < input.event.startsAtMs || canGo(slot),
+  const findView = (slot: Slot) => views.get(slot.backendServerId);
+  const leaving = matching.filter(slot => findView(slot)?.isLeaving);
+  const canEnd = (slot: Slot) =>
+    need.maxSurge === 0 || hasWarmReplacement(slot, siblings, findView);
+  const superseded = outdated.filter(
+    slot => input.nowMs < input.event.startsAtMs || canEnd(slot),
   );
-  const needless = [
-    ...listSurplus(need, fitting, siblings, viewOf),
-    ...listAnswered(fitting, viewOf),
+  const redundant = [
+    ...listSurplus(need, matching, siblings, findView),
+    ...listRedundantReplacements(matching, findView),
     ...leaving.filter(
-      slot => isUnloaded(slot, input) || hasWarmStandIn(slot, siblings, viewOf),
+      slot =>
+        isBeforeFirstLoad(slot, input) ||
+        hasWarmReplacement(slot, siblings, findView),
     ),
   ];
   return {
     need,
-    ended: [
-      {slots: overtaken, reason: 'event-changed'},
-      {slots: [...new Set(needless)], reason: 'moved'},
+    toEnd: [
+      {slots: superseded, reason: 'event-changed'},
+      {slots: [...new Set(redundant)], reason: 'moved'},
     ],
-    extended: fitting
+    toExtend: matching
       .filter(slot => slot.untilMs < input.event.endsAtMs)
-      .filter(slot => !needless.includes(slot)),
+      .filter(slot => !redundant.includes(slot)),
     siblings,
-    wanted: [
-      ...listMissing(need, siblings),
-      ...listUncovered(
+    toPlace: [
+      ...listMissingReplicas(need, siblings),
+      ...listSlotsToReplace(
         need,
         siblings,
         [
-          ...fitting.filter(slot => viewOf(slot)?.isLost),
+          ...matching.filter(slot => findView(slot)?.isLost),
           ...leaving,
-          ...outdated.filter(slot => !overtaken.includes(slot)),
-        ].filter(slot => !needless.includes(slot)),
+          ...outdated.filter(slot => !superseded.includes(slot)),
+        ].filter(slot => !redundant.includes(slot)),
       ),
     ],
   };
 }
 
 /**
- * Whether a slot is still what the event asks for, in time for it. The times
- * are looked at only if the event was changed after the slot was decided: a
- * slot that had to wait for memory is late by its plan, and planning it again
- * and again would not make it earlier.
+ * Whether a slot still matches the event's replica and times. Times are
+ * compared only if the event changed after the slot was decided: a slot that
+ * waits for memory is late as planned, and planning it again would not help.
  */
-function fitsEvent(slot: Slot, need: ResolvedNeed, input: NeedInput): boolean {
+function matchesEvent(
+  slot: Slot,
+  need: ResolvedNeed,
+  input: NeedInput,
+): boolean {
   const {event, policy, nowMs} = input;
   const isSameReplica =
     need.version === slot.version &&
@@ -97,64 +103,74 @@
   return !isTooEarly && !isTooLate;
 }
 
-/** Slots beyond the number that is needed; those least fit to stay. */
+/** Slots beyond the required number; lost and leaving servers go first. */
 function listSurplus(
   need: ResolvedNeed,
-  fitting: readonly Slot[],
+  matching: readonly Slot[],
   siblings: readonly Slot[],
-  viewOf: FindView,
+  findView: FindView,
 ): Slot[] {
   const rank = (slot: Slot) => {
-    const view = viewOf(slot);
+    const view = findView(slot);
     return (view?.isLost ? 2 : 0) + (view?.isLeaving ? 1 : 0);
   };
-  return fitting
-    .filter(slot => slot.replaces === null || isOrphan(slot, siblings))
+  return matching
+    .filter(
+      slot => slot.replaces === null || replacesReleasedSlot(slot, siblings),
+    )
     .toSorted((a, b) => rank(a) - rank(b))
     .slice(need.replicas);
 }
 
-/** Stand-ins whose slot answers again and stays where it is. */
-function listAnswered(fitting: readonly Slot[], viewOf: FindView): Slot[] {
-  return fitting.filter(spare => {
-    const first = fitting.find(slot => slot.slotId === spare.replaces);
-    const view = first && viewOf(first);
+/** Replacements of slots whose backend server is available again. */
+function listRedundantReplacements(
+  matching: readonly Slot[],
+  findView: FindView,
+): Slot[] {
+  return matching.filter(replacement => {
+    const original = matching.find(
+      slot => slot.slotId === replacement.replaces,
+    );
+    const view = original && findView(original);
     return view !== undefined && !view.isLost && !view.isLeaving;
   });
 }
 
-/** Whether a slot stands in for one that is gone, and so counts itself. */
-function isOrphan(slot: Slot, siblings: readonly Slot[]): boolean {
+/** Whether the slot that this one replaces was released. */
+function replacesReleasedSlot(slot: Slot, siblings: readonly Slot[]): boolean {
   return (
     slot.replaces !== null &&
     !siblings.some(other => other.slotId === slot.replaces)
   );
 }
 
-function isUnloaded(slot: Slot, {nowMs}: NeedInput): boolean {
+function isBeforeFirstLoad(slot: Slot, {nowMs}: NeedInput): boolean {
   return nowMs < (slot.stage?.fromMs ?? slot.loadAtMs);
 }
 
-function hasWarmStandIn(
+function hasWarmReplacement(
   slot: Slot,
   siblings: readonly Slot[],
-  viewOf: FindView,
+  findView: FindView,
 ): boolean {
   return siblings.some(
-    spare =>
-      spare.replaces === slot.slotId &&
-      spare.status === 'decided' &&
-      viewOf(spare)?.isWarm(spare.slotId) === true,
+    replacement =>
+      replacement.replaces === slot.slotId &&
+      replacement.status === 'decided' &&
+      findView(replacement)?.isWarm(replacement.slotId) === true,
   );
 }
 
 /**
- * Slots that are not released count although they end: until their engine has
- * been seen without them, a new one would be one replica too many.
+ * One entry per missing replica. Ending slots count until they are released:
+ * their engine may still hold them, and a new slot would be one too many.
  */
-function listMissing(need: ResolvedNeed, siblings: readonly Slot[]): null[] {
+function listMissingReplicas(
+  need: ResolvedNeed,
+  siblings: readonly Slot[],
+): null[] {
   const counted = siblings.filter(
-    slot => slot.replaces === null || isOrphan(slot, siblings),
+    slot => slot.replaces === null || replacesReleasedSlot(slot, siblings),
   );
   const length = Math.min(
     need.replicas - counted.length,
@@ -164,22 +180,21 @@
 }
 
 /**
- * Slots that need a stand-in and have none, as far as the surge allows. While
- * a need that was made smaller still holds more than it may, the rules of the
- * log refuse every further slot.
+ * Slots without a replacement, up to the allowed surge. Returns none while a
+ * reduced need still has too many slots, since the log would reject any more.
  */
-function listUncovered(
+function listSlotsToReplace(
   need: ResolvedNeed,
   siblings: readonly Slot[],
   slots: readonly Slot[],
 ): string[] {
-  const covered = new Set(siblings.map(slot => slot.replaces));
-  const missing = listMissing(need, siblings).length;
-  const firsts = siblings.filter(slot => slot.replaces === null).length;
-  if (firsts > need.replicas) return [];
+  const replacedIds = new Set(siblings.map(slot => slot.replaces));
+  const missing = listMissingReplicas(need, siblings).length;
+  const originals = siblings.filter(slot => slot.replaces === null).length;
+  if (originals > need.replicas) return [];
   const surgeLeft = need.replicas + need.maxSurge - siblings.length - missing;
   return [...new Set(slots)]
-    .filter(slot => !covered.has(slot.slotId))
+    .filter(slot => !replacedIds.has(slot.slotId))
     .slice(0, Math.max(0, surgeLeft))
     .map(slot => slot.slotId);
 }
--- a/packages/plan-warming/src/plan_demand.test.ts
+++ b/packages/plan-warming/src/plan_demand.test.ts
@@ -5,7 +5,7 @@
 import {isDemandDue, planDemand} from './plan_demand.js';
 import {FixtureLog, MODEL_MIB, makeServers} from './test_fixtures.js';
 
-const test = suite('plan of demand');
+const test = suite('demand planning');
 
 const KEEP_WARM_MS = 60_000;
 
@@ -53,9 +53,8 @@
   }
 }
 
-test('a burst at many routers gives one decided load', () => {
-  // A cold model is asked for at every router at once, and each tells the
-  // planner. Were each miss one load, the store would be flooded.
+test('plans one load for a burst of misses on many routers', () => {
+  // Guards against overloading the weight store with one load per miss.
   const {log, demand, plan} = setUp();
   Array.from({length: 50}, () => demand.noteMiss('m1', 1_000));
   plan('m1', 1_000);
@@ -66,7 +65,7 @@
   assert.is(more.length, 0);
 });
 
-test('keeps what is used and lets the rest run out', () => {
+test('extends a slot in use and lets an unused one expire', () => {
   const {log, demand, plan} = setUp();
   demand.noteMiss('m1', 0);
   plan('m1', 0);
@@ -77,7 +76,7 @@
   assert.is(log.state.placement.list().length, 1);
 });
 
-test('ends an idle model when another one is asked for', () => {
+test('ends the slot of an idle model when another model needs memory', () => {
   const {log, demand, plan} = setUp(MODEL_MIB);
   demand.noteMiss('m1', 0);
   plan('m1', 0);
@@ -90,13 +89,13 @@
   assert.is(plan('m2', 3).decide.length, 1);
 });
 
-test('loads the adapter that is asked for with its base', () => {
+test('loads a requested adapter with its base model', () => {
   const {demand, plan} = setUp();
   demand.noteMiss('m1:a', 0);
   assert.equal(plan('m1', 0).decide[0]?.adapters, ['a']);
 });
 
-test('has nothing to do for a model that nobody asks for', () => {
+test('is not due for a model without requests', () => {
   const {log, demand} = setUp();
   const content = log.state.configuration.find('model', 'm1')?.content;
   if (!content) throw new Error('There is no model.');
@@ -106,7 +105,7 @@
   assert.ok(isDemandDue({...look, demand: demand.find('m1')}));
 });
 
-test('keeps the demand of a bounded number of models', () => {
+test('bounds the number of models in the demand table', () => {
   const demand = new DemandTable();
   Array.from({length: 5_000}, (_unused, i) => demand.noteMiss(`m${i}`, i));
   assert.is(demand.models.length, 1_024);
--- a/packages/plan-warming/src/plan_demand.ts
+++ b/packages/plan-warming/src/plan_demand.ts
@@ -10,26 +10,26 @@
 import {type ReplicaSpec, ReplicaPlacer} from './replica_placer.js';
 import {type ServerView} from './server_view.js';
 import {type StoreTimetable} from './store_timetable.js';
-import {loadPlainly} from './warming_policy.js';
+import {loadWithoutStaging} from './warming_policy.js';
 
-/** Requests for one model outside events, as far as this node knows. */
+/** Requests for one model outside events that are known to this node. */
 export interface DemandState {
-  /** When a request last found no replica. */
+  /** Time of the last request that found no replica. */
   lastMissMs: number | null;
-  /** When a request was last seen at all. */
+  /** Time of the last request, with or without a replica. */
   lastUseMs: number | null;
-  /** Adapters that requests asked for lately. */
+  /** Adapters that recent requests asked for. */
   adapters: readonly string[];
 }
 
-/** All that one planning run for a model looks at. */
+/** Input of one planning run for a model. */
 export interface DemandPlanInput {
   model: string;
   content: ModelContent;
   demand: DemandState;
-  /** The demand slots of the model that are not released. */
+  /** Demand slots of the model that are not released. */
   held: readonly Slot[];
-  /** Demand slots of other models, those unused for longest first. */
+  /** Demand slots of other models, least recently used first. */
   idleSlots: readonly Slot[];
   servers: readonly ServerView[];
   loadTimes: LoadTimeSource;
@@ -38,47 +38,55 @@
   makeSlotId: () => string;
 }
 
-/** What a planning run for a model wants written. */
+/** Changes to write to the log. */
 export interface DemandPlan {
   decide: SlotPlan[];
   end: SlotEnding[];
   extend: SlotExtension[];
-  /** Whether requests wait for a replica that there is no room for. */
+  /** Whether there is no memory for a replica that requests wait for. */
   isUnplaced: boolean;
 }
 
-/** Part of the time to keep warm after which slots in use are extended. */
+/** Extends a slot only if it gains this fraction of the keep-warm time. */
 const EXTEND_FRACTION = 0.5;
 
-/** What a look at the demand for a model needs, without any server. */
-export type DemandLook = Pick<
+/** The part of the input that tells whether a planning run is due. */
+export type DemandSnapshot = Pick<
   DemandPlanInput,
   'content' | 'demand' | 'held' | 'nowMs'
 >;
 
-/** Whether a planning run for a model could want anything written. */
-export function isDemandDue(look: DemandLook): boolean {
-  return isMissing(look) || listExpiring(look).length > 0;
+/** Whether a planning run for a model could produce changes. */
+export function isDemandDue(snapshot: DemandSnapshot): boolean {
+  return needsReplica(snapshot) || listExpiring(snapshot).length > 0;
 }
 
-/** Plans the replicas of one model for requests outside events. */
+/**
+ * Plans the replicas of one model for requests outside events. If a missing
+ * replica cannot be placed, ends the least recently used slot of another model.
+ */
 export function planDemand(input: DemandPlanInput): DemandPlan {
   const {held, content} = input;
   const extend = listExtensions(input);
-  const nothing: DemandPlan = {decide: [], end: [], extend, isUnplaced: false};
-  if (!isMissing(input)) return nothing;
+  const extendOnly: DemandPlan = {
+    decide: [],
+    end: [],
+    extend,
+    isUnplaced: false,
+  };
+  if (!needsReplica(input)) return extendOnly;
   if (held.length >= content.onDemand.maxReplicas) {
-    return {...nothing, end: listOutgrown(input)};
+    return {...extendOnly, end: endSlotWithoutAdapters(input)};
   }
-  const plan = place(input);
-  if (plan) return {...nothing, decide: [plan]};
+  const plan = placeReplica(input);
+  if (plan) return {...extendOnly, decide: [plan]};
   const evicted = input.idleSlots
     .filter(slot => slot.status === 'decided')
     .slice(0, input.idleSlots.some(isEnding) ? 0 : 1);
-  return {...nothing, end: endAll(evicted, 'idle'), isUnplaced: true};
+  return {...extendOnly, end: endAll(evicted, 'idle'), isUnplaced: true};
 }
 
-function place(input: DemandPlanInput): SlotPlan | null {
+function placeReplica(input: DemandPlanInput): SlotPlan | null {
   const {model, content, demand, nowMs, held} = input;
   const adapters = demand.adapters.filter(name => content.adapters[name]);
   const spec: ReplicaSpec = {
@@ -94,7 +102,7 @@
     {
       ...input,
       chooseTimes: (_model, request) => {
-        const times = loadPlainly(request, nowMs);
+        const times = loadWithoutStaging(request, nowMs);
         return times?.loadAtMs === nowMs ? times : null;
       },
     },
@@ -103,33 +111,34 @@
   return placer.place(spec, held);
 }
 
-/** Whether requests found no replica lately and none is on its way. */
-function isMissing(look: DemandLook): boolean {
-  const {content, demand, held, nowMs} = look;
+/** Whether requests recently found no replica and no slot covers them. */
+function needsReplica(snapshot: DemandSnapshot): boolean {
+  const {content, demand, held, nowMs} = snapshot;
   const sinceMs = nowMs - content.onDemand.keepWarmMs;
-  const isMissed = demand.lastMissMs !== null && demand.lastMissMs >= sinceMs;
+  const hasRecentMiss =
+    demand.lastMissMs !== null && demand.lastMissMs >= sinceMs;
   return (
-    isMissed &&
+    hasRecentMiss &&
     !held.some(
       slot =>
         slot.status === 'decided' &&
         slot.untilMs > nowMs &&
-        hasAdapters(slot, look),
+        hasAdapters(slot, snapshot),
     )
   );
 }
 
-/** Slots in use that are to be kept for longer. */
-function listExpiring(look: DemandLook): Slot[] {
-  const {content, held, nowMs} = look;
+/** Slots in use that are due for an extension. */
+function listExpiring(snapshot: DemandSnapshot): Slot[] {
+  const {content, held, nowMs} = snapshot;
   const {keepWarmMs} = content.onDemand;
-  const moreMs = (slot: Slot) => findKeepUntilMs(look) - slot.untilMs;
+  const extensionMs = (slot: Slot) => findKeepUntilMs(snapshot) - slot.untilMs;
   return held
     .filter(slot => slot.status === 'decided' && nowMs < slot.untilMs)
-    .filter(slot => moreMs(slot) >= keepWarmMs * EXTEND_FRACTION);
+    .filter(slot => extensionMs(slot) >= keepWarmMs * EXTEND_FRACTION);
 }
 
-function findKeepUntilMs({content, demand}: DemandLook): number {
+function findKeepUntilMs({content, demand}: DemandSnapshot): number {
   return (demand.lastUseMs ?? 0) + content.onDemand.keepWarmMs;
 }
 
@@ -148,19 +157,22 @@
   return slotIds.length === 0 ? [] : [{slotIds, untilMs}];
 }
 
-/** Slots without an adapter that is asked for, if no more are allowed. */
-function listOutgrown(input: DemandPlanInput): SlotEnding[] {
-  const outgrown = input.held.filter(
+/**
+ * Ends one warm slot that lacks a requested adapter, to make way for a slot
+ * with it when the model already has its maximum number of replicas.
+ */
+function endSlotWithoutAdapters(input: DemandPlanInput): SlotEnding[] {
+  const incomplete = input.held.filter(
     slot =>
       slot.status === 'decided' &&
       !hasAdapters(slot, input) &&
       input.servers.some(view => view.isWarm(slot.slotId)),
   );
-  return endAll(outgrown.slice(0, 1), 'moved');
+  return endAll(incomplete.slice(0, 1), 'moved');
 }
 
-/** Adapters that the model does not have are asked for in vain. */
-function hasAdapters(slot: Slot, {content, demand}: DemandLook): boolean {
+/** Whether a slot has the requested adapters; ignores unknown adapters. */
+function hasAdapters(slot: Slot, {content, demand}: DemandSnapshot): boolean {
   return demand.adapters
     .filter(adapter => content.adapters[adapter])
     .every(adapter => slot.adapters.includes(adapter));
--- a/packages/plan-warming/src/plan_event.test.ts
+++ b/packages/plan-warming/src/plan_event.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import {
   FixtureLog,
-  type Hints,
+  type ServerConditions,
   MODEL_MIB,
   makeEngine,
   makeServers,
@@ -11,7 +11,7 @@
   minutes,
 } from './test_fixtures.js';
 
-const test = suite('plan of an event');
+const test = suite('event planning');
 
 const MODELS = ['m1', 'm2', 'm3', 'm4', 'm5', 'm6'];
 const START_MS = minutes(60);
@@ -20,13 +20,13 @@
   return new FixtureLog(servers, MODELS);
 }
 
-function settle(
+function planAndApply(
   log: FixtureLog,
   eventId: string,
   nowMs: number,
-  hints?: Hints,
+  conditions?: ServerConditions,
 ) {
-  const plan = log.plan(eventId, nowMs, hints);
+  const plan = log.plan(eventId, nowMs, conditions);
   const outcomes = log.apply(eventId, plan);
   assert.ok(outcomes.every(outcome => outcome.status === 'valid'));
   return plan;
@@ -69,7 +69,7 @@
   {minLength: 1, maxLength: 5},
 );
 
-test('never plans what the rules of the log refuse', () => {
+test('plans only changes that the log accepts', () => {
   fc.assert(
     fc.property(
       clusterArbitrary,
@@ -82,15 +82,15 @@
         }));
         const log = setUp(servers);
         let nowMs = 0;
-        steps.forEach(({eventIndex, change, event, afterMs, ...hints}) => {
+        steps.forEach(({eventIndex, change, event, afterMs, ...conditions}) => {
           const eventId = `e${eventIndex}`;
           nowMs += afterMs;
           if (change === 'release') log.releaseEnding();
           if (change === 'put') log.putEvent(eventId, event);
           if (!log.state.configuration.findEvent(eventId)) return;
-          settle(log, eventId, nowMs, hints);
-          const again = log.plan(eventId, nowMs, hints);
-          assert.ok(isEmpty(again), JSON.stringify(again));
+          planAndApply(log, eventId, nowMs, conditions);
+          const replanned = log.plan(eventId, nowMs, conditions);
+          assert.ok(isEmpty(replanned), JSON.stringify(replanned));
         });
       },
     ),
@@ -98,11 +98,11 @@
   );
 });
 
-test('gives every model one replica before any gets a second', () => {
+test('places one replica of every model before any second replica', () => {
   const log = setUp(makeServers(2, 1, {memoryMib: 2 * MODEL_MIB}));
   const needs = MODELS.slice(0, 3).map(model => ({model, replicas: 2}));
   log.putEvent('e', {startsAtMs: START_MS, needs});
-  const plan = settle(log, 'e', 0);
+  const plan = planAndApply(log, 'e', 0);
   const models = new Set(plan.decide.map(slot => slot.model));
   assert.is(models.size, 3);
   assert.is(plan.decide.length, 4);
@@ -118,7 +118,7 @@
     startsAtMs: START_MS,
     needs: [{model: 'm1', replicas: 2}],
   });
-  const plan = settle(log, 'e', 0);
+  const plan = planAndApply(log, 'e', 0);
   const domains = plan.decide.map(
     slot =>
       log.state.stewardship.findBackendServer(slot.backendServerId)
@@ -127,146 +127,141 @@
   assert.is(new Set(domains).size, 2);
 });
 
-test('covers a lost runner within the surge and takes it back', () => {
-  // A runner dies ten minutes before the start; families would find one model
-  // cold. The engine is only unreachable, so its slot still counts: the
-  // stand-in must come out of the surge and go once the runner answers.
+test('replaces a lost slot within the surge until its runner recovers', () => {
+  // Guards against a cold model after a runner is lost, and against a surplus
+  // replica: the slot of the unreachable engine still counts.
   const log = setUp();
   log.putEvent('e', {startsAtMs: START_MS, needs: [{model: 'm1'}]});
-  const [first] = settle(log, 'e', 0).decide;
-  const lost = [first?.backendServerId ?? ''];
-  const cover = settle(log, 'e', minutes(50), {lost});
-  assert.is(cover.decide[0]?.replaces, first?.slotId);
-  assert.is.not(cover.decide[0]?.backendServerId, first?.backendServerId);
+  const [original] = planAndApply(log, 'e', 0).decide;
+  const lost = [original?.backendServerId ?? ''];
+  const outage = planAndApply(log, 'e', minutes(50), {lost});
+  assert.is(outage.decide[0]?.replaces, original?.slotId);
+  assert.is.not(outage.decide[0]?.backendServerId, original?.backendServerId);
   assert.ok(isEmpty(log.plan('e', minutes(50), {lost})));
-  const back = settle(log, 'e', minutes(51));
-  assert.equal(back.end[0]?.slotIds, [cover.decide[0]?.slotId]);
+  const recovery = planAndApply(log, 'e', minutes(51));
+  assert.equal(recovery.end[0]?.slotIds, [outage.decide[0]?.slotId]);
 });
 
-test('counts the stand-in as the replica once the lost host is gone', () => {
-  // A runner is lost and its host is later taken off the list. The stand-in
-  // is all that is left; deciding one more would load a replica too many.
+test('counts a replacement once the lost host is removed', () => {
+  // Guards against planning a surplus replica beside the replacement.
   const log = setUp();
   log.putEvent('e', {startsAtMs: START_MS, needs: [{model: 'm1'}]});
-  const [first] = settle(log, 'e', 0).decide;
-  const backendServerId = first?.backendServerId ?? '';
-  settle(log, 'e', minutes(50), {lost: [backendServerId]});
+  const [original] = planAndApply(log, 'e', 0).decide;
+  const backendServerId = original?.backendServerId ?? '';
+  planAndApply(log, 'e', minutes(50), {lost: [backendServerId]});
   log.write({type: 'remove-backend-server', backendServerId});
   assert.ok(isEmpty(log.plan('e', minutes(51))));
 });
 
-test('moves a slot off a leaving runner only once its stand-in is warm', () => {
-  // A host is reclaimed during an event. Unloading its replica first would
-  // make the model cold for as long as the load elsewhere takes.
+test('keeps a slot on a leaving runner until its replacement is warm', () => {
+  // Guards against a cold model when a host is reclaimed during an event.
   const log = setUp();
   log.putEvent('e', {startsAtMs: START_MS, needs: [{model: 'm1'}]});
-  const [first] = settle(log, 'e', 0).decide;
-  const leaving = [first?.backendServerId ?? ''];
+  const [original] = planAndApply(log, 'e', 0).decide;
+  const leaving = [original?.backendServerId ?? ''];
   const nowMs = START_MS + 1;
-  const [spare] = settle(log, 'e', nowMs, {leaving}).decide;
-  assert.is(spare?.replaces, first?.slotId);
+  const [replacement] = planAndApply(log, 'e', nowMs, {leaving}).decide;
+  assert.is(replacement?.replaces, original?.slotId);
   assert.ok(isEmpty(log.plan('e', nowMs, {leaving})));
-  const engine = makeEngine(spare?.backendServerId ?? '', {
-    replicas: spare ? [makeWarm(spare)] : [],
+  const engine = makeEngine(replacement?.backendServerId ?? '', {
+    replicas: replacement ? [makeWarm(replacement)] : [],
   });
-  const moved = settle(log, 'e', nowMs, {leaving, engines: [engine]});
-  assert.equal(moved.end, [{slotIds: [first?.slotId], reason: 'moved'}]);
+  const moved = planAndApply(log, 'e', nowMs, {leaving, engines: [engine]});
+  assert.equal(moved.end, [{slotIds: [original?.slotId], reason: 'moved'}]);
 });
 
-test('keeps the old version serving until the new one is warm', () => {
-  // An operator publishes a new version during a running event. Ending the
-  // old replica at once would leave callers without any.
+test('keeps the old version until the new one is warm', () => {
+  // Guards against a cold model when a new version is published during an
+  // event.
   const log = setUp();
   const needs = [{model: 'm1'}];
   log.putEvent('e', {startsAtMs: START_MS, needs});
-  const [old] = settle(log, 'e', 0).decide;
+  const [old] = planAndApply(log, 'e', 0).decide;
   const nowMs = START_MS + minutes(1);
   log.putModel('m1', {version: 'v2'});
-  const [next] = settle(log, 'e', nowMs).decide;
+  const [next] = planAndApply(log, 'e', nowMs).decide;
   assert.is(next?.version, 'v2');
   assert.is(next?.replaces, old?.slotId);
   assert.is(log.listHeld('e').filter(s => s.status === 'decided').length, 2);
 });
 
-test('plans anew when the event moves, and keeps running replicas', () => {
-  // An event is put off by two hours while its slots are decided: what was
-  // decided would hold memory for two hours too early. Later its end moves
-  // while it runs: ending and reloading the replicas would cut the callers.
+test('plans a postponed event again and extends running replicas', () => {
+  // Guards against holding memory from the old start of a postponed event, and
+  // against reloading replicas when only the end of a running event changes.
   const log = setUp();
   const needs = [{model: 'm1'}];
   log.putEvent('e', {startsAtMs: START_MS, needs});
-  settle(log, 'e', 0);
+  planAndApply(log, 'e', 0);
   const laterMs = START_MS + minutes(120);
   log.putEvent('e', {startsAtMs: laterMs, needs});
-  assert.is(settle(log, 'e', 1).end[0]?.reason, 'event-changed');
+  assert.is(planAndApply(log, 'e', 1).end[0]?.reason, 'event-changed');
   log.releaseEnding();
-  const [slot] = settle(log, 'e', 2).decide;
+  const [slot] = planAndApply(log, 'e', 2).decide;
   assert.ok((slot?.loadAtMs ?? 0) > laterMs - minutes(1));
   log.putEvent('e', {startsAtMs: laterMs, durationMinutes: 20, needs});
-  const longer = settle(log, 'e', laterMs + minutes(1));
-  assert.equal(longer.extend[0]?.slotIds, [slot?.slotId]);
-  assert.is(longer.end.length, 0);
+  const extension = planAndApply(log, 'e', laterMs + minutes(1));
+  assert.equal(extension.extend[0]?.slotIds, [slot?.slotId]);
+  assert.is(extension.end.length, 0);
 });
 
-test('lets an event of higher priority go first', () => {
-  // Two events want the only runner at once. The one that was published first
-  // took all memory; the urgent one would find its model cold.
+test('preempts slots of an event of lower priority', () => {
+  // Guards against a cold model of an urgent event when an event that was
+  // published earlier has reserved all memory.
   const log = setUp(makeServers(1, 1, {memoryMib: MODEL_MIB}));
   log.putEvent('low', {startsAtMs: START_MS, needs: [{model: 'm1'}]});
-  settle(log, 'low', 0);
+  planAndApply(log, 'low', 0);
   log.putEvent('high', {
     startsAtMs: START_MS,
     priority: 9,
     needs: [{model: 'm2'}],
   });
-  const push = settle(log, 'high', 1);
-  assert.equal(push.unplaced, [{model: 'm2', replicas: 1}]);
-  assert.is(push.end[0]?.reason, 'moved');
+  const preemption = planAndApply(log, 'high', 1);
+  assert.equal(preemption.unplaced, [{model: 'm2', replicas: 1}]);
+  assert.is(preemption.end[0]?.reason, 'moved');
   assert.ok(isEmpty(log.plan('high', 1)));
   log.releaseEnding();
-  assert.is(settle(log, 'high', 2).decide.length, 1);
-  assert.is(settle(log, 'low', 3).decide.length, 0);
+  assert.is(planAndApply(log, 'high', 2).decide.length, 1);
+  assert.is(planAndApply(log, 'low', 3).decide.length, 0);
 });
 
-test('lets the next event wait for the memory of the one before', () => {
+test('loads for an event when the previous event frees its memory', () => {
   const log = setUp(makeServers(1, 1, {memoryMib: MODEL_MIB}));
   log.putEvent('a', {startsAtMs: START_MS, needs: [{model: 'm1'}]});
-  settle(log, 'a', 0);
+  planAndApply(log, 'a', 0);
   const endMs = START_MS + minutes(10);
   log.putEvent('b', {startsAtMs: endMs, needs: [{model: 'm2'}]});
-  const [slot] = settle(log, 'b', 1).decide;
+  const [slot] = planAndApply(log, 'b', 1).decide;
   assert.is(slot?.loadAtMs, endMs);
   assert.ok((slot?.stage?.untilMs ?? Infinity) <= START_MS);
 });
 
-test('plans the same model for two events at once as two slots', () => {
+test('plans separate slots for a model of two concurrent events', () => {
   const log = setUp(makeServers(1));
   log.putEvent('a', {startsAtMs: START_MS, needs: [{model: 'm1'}]});
   log.putEvent('b', {
     startsAtMs: START_MS,
     needs: [{model: 'm1', version: 'v0'}],
   });
-  settle(log, 'a', 0);
-  settle(log, 'b', 0);
+  planAndApply(log, 'a', 0);
+  planAndApply(log, 'b', 0);
   const versions = log.state.placement.list().map(slot => slot.version);
   assert.equal(versions.toSorted(), ['v0', 'v1']);
 });
 
-test('stages only where an engine refuses old fencing numbers', () => {
-  // An engine that ignores fencing numbers may carry a late unload out after
-  // the load that stays, and cut off what runs on it.
+test('stages only on engines that reject old fencing numbers', () => {
+  // Guards against a delayed staging unload that ends the final load.
   const log = setUp(makeServers(1, 1, {fencing: 'ignores'}));
   log.putEvent('e', {startsAtMs: START_MS, needs: [{model: 'm1'}]});
-  const [slot] = settle(log, 'e', 0).decide;
+  const [slot] = planAndApply(log, 'e', 0).decide;
   assert.is(slot?.stage, null);
   assert.ok((slot?.loadAtMs ?? 0) < START_MS);
 });
 
-test('ends everything once the event is over', () => {
+test('ends all slots once the event is over', () => {
   const log = setUp();
   log.putEvent('e', {startsAtMs: START_MS, needs: [{model: 'm1'}]});
-  settle(log, 'e', 0);
-  const plan = settle(log, 'e', START_MS + minutes(10));
+  planAndApply(log, 'e', 0);
+  const plan = planAndApply(log, 'e', START_MS + minutes(10));
   assert.is(plan.end[0]?.reason, 'event-over');
   assert.ok(isEmpty(log.plan('e', START_MS + minutes(10))));
 });
--- a/packages/plan-warming/src/plan_event.ts
+++ b/packages/plan-warming/src/plan_event.ts
@@ -1,4 +1,4 @@
-/** Plans the replicas of one event: what to decide and what to end. */
+/** Plans the replicas of one event: slots to decide, end and extend. */
 import {
   type EndReason,
   type ResolvedEvent,
@@ -7,23 +7,23 @@
 } from '@mimosatack/agreed-state';
 import {type SlotPlan} from '@mimosatack/records';
 import {type LoadTimeSource} from './load_time_estimates.js';
-import {type NeedState, readNeed} from './need_state.js';
-import {listPreempted} from './preempt_slots.js';
+import {type NeedState, assessNeed} from './need_state.js';
+import {chooseSlotsToPreempt} from './preempt_slots.js';
 import {ReplicaPlacer, expectReplicaLoad} from './replica_placer.js';
 import {type ServerView, takeRoom} from './server_view.js';
 import {type StoreTimetable} from './store_timetable.js';
 import {
   type WarmingPolicy,
   type WarmingRequest,
-  loadPlainly,
+  loadWithoutStaging,
 } from './warming_policy.js';
 
-/** All that one planning run looks at. */
+/** Input of one planning run for an event. */
 export interface EventPlanInput {
   event: ResolvedEvent;
-  /** The slots decided for the event that are not released. */
+  /** Slots of the event that are not released. */
   held: readonly Slot[];
-  /** Slots that must give way to the event: see `listPreemptible`. */
+  /** Slots that the event may preempt; see `listPreemptible`. */
   preemptible: readonly Slot[];
   servers: readonly ServerView[];
   policy: WarmingPolicy;
@@ -32,30 +32,28 @@
   lanes: number;
   timetable: StoreTimetable;
   nowMs: number;
-  /** Models that requests ask for now. */
+  /** Models with recent requests. */
   demanded: ReadonlySet<string>;
   makeSlotId: () => string;
 }
 
-/** Slots to end, with the reason. */
 export interface SlotEnding {
   slotIds: string[];
   reason: EndReason;
 }
 
-/** Slots to keep for longer. */
 export interface SlotExtension {
   slotIds: string[];
   untilMs: number;
 }
 
-/** Replicas of a model that could not be placed. */
+/** Number of replicas of a model that could not be placed. */
 export interface UnplacedNeed {
   model: string;
   replicas: number;
 }
 
-/** What a planning run wants written. */
+/** Changes to write to the log, and the replicas that could not be placed. */
 export interface EventPlan {
   decide: SlotPlan[];
   end: SlotEnding[];
@@ -63,10 +61,10 @@
   unplaced: UnplacedNeed[];
 }
 
-/** Slots that one record may name. */
+/** Maximum number of slots in one log record. */
 const MAX_SLOTS_PER_RECORD = 512;
 
-/** Plans one event against what is decided for it already. */
+/** Plans the changes from the current slots of an event to its needs. */
 export function planEvent(input: EventPlanInput): EventPlan {
   const {event, nowMs, held} = input;
   if (nowMs >= event.endsAtMs) {
@@ -77,28 +75,28 @@
       unplaced: [],
     };
   }
-  const needs = listNeeds(event).map(need => readNeed(need, input));
+  const needs = listNeedsByModel(event).map(need => assessNeed(need, input));
   const extended = extendAll(
-    needs.flatMap(need => need.extended),
+    needs.flatMap(need => need.toExtend),
     input,
   );
   const placed = placeAll(needs, {...input, servers: extended.servers});
   const models = new Set(needs.map(({need}) => need.model));
   const unneeded = held.filter(slot => !models.has(slot.model));
-  const unplaced = needs.flatMap(({need, wanted}) => {
+  const unplaced = needs.flatMap(({need, toPlace}) => {
     const replicas =
-      wanted.length - placed.filter(plan => plan.model === need.model).length;
+      toPlace.length - placed.filter(plan => plan.model === need.model).length;
     return replicas > 0 ? [{model: need.model, replicas}] : [];
   });
-  const leaving = [
+  const ending = [
     ...unneeded,
-    ...needs.flatMap(({ended}) => ended.flatMap(({slots}) => slots)),
+    ...needs.flatMap(({toEnd}) => toEnd.flatMap(({slots}) => slots)),
   ].filter(slot => slot.status === 'decided');
-  const preempted = listPreempted(listUnplacedNeeds(needs, unplaced), {
+  const preempted = chooseSlotsToPreempt(listUnplacedNeeds(needs, unplaced), {
     ...input,
     preemptible: [
       ...input.preemptible,
-      ...leaving.map(slot => ({...slot, status: 'ending' as const})),
+      ...ending.map(slot => ({...slot, status: 'ending' as const})),
     ],
     held: [...held, ...placed],
     servers: takeRoom(extended.servers, placed),
@@ -107,8 +105,8 @@
     decide: placed.slice(0, MAX_SLOTS_PER_RECORD),
     end: [
       ...endAll(unneeded, 'event-changed'),
-      ...needs.flatMap(({ended}) =>
-        ended.flatMap(({slots, reason}) => endAll(slots, reason)),
+      ...needs.flatMap(({toEnd}) =>
+        toEnd.flatMap(({slots, reason}) => endAll(slots, reason)),
       ),
       ...endAll(preempted, 'moved'),
     ],
@@ -118,10 +116,10 @@
 }
 
 /**
- * One need for each model: the rules of the log count replicas by model, so a
- * second need for the same one could never be placed beside the first.
+ * Keeps the first need of each model: the log limits replicas by model, so it
+ * would reject the slots of a second need for the same model.
  */
-function listNeeds(event: ResolvedEvent): ResolvedNeed[] {
+function listNeedsByModel(event: ResolvedEvent): ResolvedNeed[] {
   const byModel = new Map(
     event.needs.toReversed().map(need => [need.model, need]),
   );
@@ -129,20 +127,20 @@
 }
 
 /**
- * Places the first replica of every need, then the second, and so on: when
- * memory is short, no model goes without while another has two.
+ * Places the first replica of every need, then the second, and so on, so that
+ * with too little memory every model gets one replica before any gets two.
  */
 function placeAll(
   needs: readonly NeedState[],
   input: EventPlanInput,
 ): SlotPlan[] {
-  const rounds = Math.max(0, ...needs.map(need => need.wanted.length));
+  const rounds = Math.max(0, ...needs.map(need => need.toPlace.length));
   if (rounds === 0) return [];
   const placer = makePlacer(needs, input);
   const placed: SlotPlan[] = [];
   for (let round = 0; round < rounds; round += 1) {
-    needs.forEach(({need, wanted, siblings}) => {
-      const replaces = wanted[round];
+    needs.forEach(({need, toPlace, siblings}) => {
+      const replaces = toPlace[round];
       if (replaces === undefined) return;
       const plan = placer.place({...need, replaces}, [
         ...siblings,
@@ -167,7 +165,9 @@
   );
   const chooseTimes = (model: string, request: WarmingRequest) =>
     input.policy.chooseTimes(request) ??
-    (input.demanded.has(model) ? loadPlainly(request, request.nowMs) : null);
+    (input.demanded.has(model)
+      ? loadWithoutStaging(request, request.nowMs)
+      : null);
   return new ReplicaPlacer(
     {...input, chooseTimes},
     {
@@ -178,7 +178,7 @@
   );
 }
 
-/** One entry for each replica without room. */
+/** Lists the need of each unplaced replica, once per replica. */
 function listUnplacedNeeds(
   needs: readonly NeedState[],
   unplaced: readonly UnplacedNeed[],
@@ -199,8 +199,8 @@
 }
 
 /**
- * Extends the slots for which there is memory until the new end of the event,
- * and takes that memory before anything new is placed.
+ * Extends the slots whose memory is free until the new end of the event, and
+ * reserves that memory before new replicas are placed.
  */
 function extendAll(
   slots: readonly Slot[],
@@ -208,8 +208,8 @@
 ): {extensions: SlotExtension[]; servers: readonly ServerView[]} {
   const extended = slots.reduce<{slotIds: string[]; views: ServerView[]}>(
     ({slotIds, views}, slot) => {
-      const more = {...slot, stage: null, loadAtMs: slot.untilMs};
-      const plan = {...more, untilMs: event.endsAtMs};
+      const extension = {...slot, stage: null, loadAtMs: slot.untilMs};
+      const plan = {...extension, untilMs: event.endsAtMs};
       const view = views.find(
         ({server}) => server.backendServerId === slot.backendServerId,
       );
--- a/packages/plan-warming/src/planning_agenda.test.ts
+++ b/packages/plan-warming/src/planning_agenda.test.ts
@@ -22,7 +22,7 @@
   return {log, event, fingerprint, agenda: new PlanningAgenda(OPTIONS)};
 }
 
-test('plans an event again only when something changed', () => {
+test('plans an event again only when its inputs change', () => {
   const {log, event, fingerprint, agenda} = setUp();
   assert.ok(agenda.isDue('e', fingerprint(0), 0));
   log.apply('e', log.plan('e', 0));
@@ -35,7 +35,7 @@
   assert.ok(agenda.isDue('e', fingerprint(event.endsAtMs), event.endsAtMs));
 });
 
-test('tries again with growing waits while there is no room', () => {
+test('retries with increasing delays while replicas are unplaced', () => {
   const {agenda} = setUp();
   const tries = Array.from({length: 20}, (_unused, second) => second * 1_000);
   const tried = tries.filter(nowMs => {
@@ -46,9 +46,9 @@
   assert.equal(tried, [0, 1_000, 3_000, 7_000, 11_000, 15_000, 19_000]);
 });
 
-test('lets the next node plan what the first one leaves', () => {
-  // The node that should plan an event is up but cut off from the log. Were
-  // the others to trust it for ever, the event would start cold.
+test('lets the next node plan an event that the first one skips', () => {
+  // Guards against a cold event when the responsible node is up but cannot
+  // write to the log.
   const {agenda} = setUp();
   agenda.isDue('e', 'changed', 100);
   assert.ok(agenda.isTurn('e', 0, 100));
--- a/packages/plan-warming/src/planning_agenda.ts
+++ b/packages/plan-warming/src/planning_agenda.ts
@@ -1,22 +1,21 @@
 /**
- * Which events have to be planned. An event whose inputs have not changed
- * since a run that wanted nothing is passed over, which is what planning
- * costs most of the time.
+ * Tracks which events are due for planning. Skips an event whose inputs are
+ * unchanged since a planning run without changes, to save the cost of the run.
  */
 import {type ResolvedEvent, type Slot} from '@mimosatack/agreed-state';
 
-/** What a planning run of an event depends on, besides the free memory. */
+/** Inputs of an event's planning run, except for free memory. */
 export interface EventInputs {
   event: ResolvedEvent;
   held: readonly Slot[];
-  /** Models that requests ask for. */
+  /** Models with recent requests. */
   demanded: ReadonlySet<string>;
   nowMs: number;
-  /** A mark on each slot whose backend server is lost or leaving, or ''. */
+  /** A text for a slot whose backend server is lost or leaving, else ''. */
   markSlot(slot: Slot): string;
 }
 
-/** A short text that changes when a planning run may give something new. */
+/** A short text that changes when a planning run may have a new result. */
 export function fingerprintEvent(inputs: EventInputs): string {
   const {event, held, demanded, nowMs} = inputs;
   const phase =
@@ -30,93 +29,93 @@
       `${slot.slotId}${slot.status === 'ending' ? '-' : '+'}` +
       `${slot.untilMs}${inputs.markSlot(slot)}`,
   );
-  const asked = event.needs
+  const requested = event.needs
     .filter(need => demanded.has(need.model))
     .map(need => need.model);
-  return [event.revision, phase, ...slots, ...asked].join(' ');
+  return [event.revision, phase, ...slots, ...requested].join(' ');
 }
 
 interface AgendaEntry {
-  /** The fingerprint that nothing is to be done for; null when unknown. */
-  settled: string | null;
-  /** The fingerprint of the last run. */
-  tried: string | null;
-  /** Since when there has been something to do. */
+  /** Fingerprint of the last run without changes; null before such a run. */
+  settledFingerprint: string | null;
+  /** Fingerprint of the last run with changes or unplaced replicas. */
+  lastFingerprint: string | null;
+  /** `Infinity` while the event is not due. */
   dueSinceMs: number;
-  notBeforeMs: number;
+  retryAtMs: number;
   retryMs: number;
 }
 
-/** Times of an agenda. */
 export interface AgendaOptions {
-  /** Wait after a run whose wishes were not met; it doubles each time. */
+  /** Delay of the first retry; it doubles with each further retry. */
   firstRetryMs: number;
   maxRetryMs: number;
-  /** How much longer each lower-ranked node waits before it plans. */
+  /** Additional wait per rank before a node plans an event. */
   patienceMs: number;
 }
 
-/** Remembers for each event what was planned last. */
+/** Keeps the planning state of each event. */
 export class PlanningAgenda {
   private readonly entries = new Map<string, AgendaEntry>();
 
   constructor(private readonly options: AgendaOptions) {}
 
-  /** Whether anything waits to be planned, now or again later. */
+  /** Whether any event is due or waits for a retry. */
   get hasOpen(): boolean {
     return [...this.entries.values()].some(
       entry => entry.dueSinceMs !== Infinity,
     );
   }
 
-  /** Whether an event is to be planned by someone now. */
+  /** Whether an event is due for planning, by whichever node. */
   isDue(key: string, fingerprint: string, nowMs: number): boolean {
-    const entry = this.open(key);
-    if (entry.settled === fingerprint) {
+    const entry = this.findOrAddEntry(key);
+    if (entry.settledFingerprint === fingerprint) {
       entry.dueSinceMs = Infinity;
       return false;
     }
     entry.dueSinceMs = Math.min(entry.dueSinceMs, nowMs);
-    return entry.tried !== fingerprint || nowMs >= entry.notBeforeMs;
+    return entry.lastFingerprint !== fingerprint || nowMs >= entry.retryAtMs;
   }
 
   /**
-   * Whether a due event is to be planned by the node of this rank; 0 is the
-   * first. Guards against a responsible node that is up but cannot write to
-   * the log: the event would stay cold though others could plan it. So the
-   * next in rank plans once the event has been waiting. Two plans at once do
-   * no harm, since the log accepts one of them.
+   * Whether the node of this rank should plan a due event. Lower-ranked nodes
+   * take over after a wait, in case the responsible node (rank 0) is up but
+   * cannot write to the log. The log accepts only one of two concurrent plans.
    */
   isTurn(key: string, rank: number, nowMs: number): boolean {
-    const waitedMs = nowMs - this.open(key).dueSinceMs;
+    const waitedMs = nowMs - this.findOrAddEntry(key).dueSinceMs;
     return waitedMs >= rank * this.options.patienceMs;
   }
 
-  /** A run wanted nothing. */
+  /** Records a planning run without changes. */
   noteSettled(key: string, fingerprint: string): void {
-    this.entries.set(key, {...this.makeEntry(), settled: fingerprint});
+    this.entries.set(key, {
+      ...this.makeEntry(),
+      settledFingerprint: fingerprint,
+    });
   }
 
-  /** A run wanted something, or could not place all. */
+  /** Records a planning run with changes or unplaced replicas. */
   noteOpen(key: string, fingerprint: string, nowMs: number): void {
-    const entry = this.open(key);
+    const entry = this.findOrAddEntry(key);
     const {firstRetryMs, maxRetryMs} = this.options;
     entry.retryMs =
-      entry.tried === fingerprint
+      entry.lastFingerprint === fingerprint
         ? Math.min(maxRetryMs, entry.retryMs * 2)
         : firstRetryMs;
-    entry.tried = fingerprint;
-    entry.notBeforeMs = nowMs + entry.retryMs;
+    entry.lastFingerprint = fingerprint;
+    entry.retryAtMs = nowMs + entry.retryMs;
   }
 
-  /** Forgets events that are not in the list any more. */
+  /** Drops the entries of all other events. */
   keepOnly(keys: ReadonlySet<string>): void {
     [...this.entries.keys()]
       .filter(key => !keys.has(key))
       .forEach(key => this.entries.delete(key));
   }
 
-  private open(key: string): AgendaEntry {
+  private findOrAddEntry(key: string): AgendaEntry {
     const entry = this.entries.get(key) ?? this.makeEntry();
     this.entries.set(key, entry);
     return entry;
@@ -124,10 +123,10 @@
 
   private makeEntry(): AgendaEntry {
     return {
-      settled: null,
-      tried: null,
+      settledFingerprint: null,
+      lastFingerprint: null,
       dueSinceMs: Infinity,
-      notBeforeMs: 0,
+      retryAtMs: 0,
       retryMs: this.options.firstRetryMs,
     };
   }
--- a/packages/plan-warming/src/preempt_slots.ts
+++ b/packages/plan-warming/src/preempt_slots.ts
@@ -1,4 +1,4 @@
-/** Which slots give way to an event that has no room. */
+/** Chooses slots to preempt for an event that lacks memory. */
 import {
   type ResolvedEvent,
   type ResolvedNeed,
@@ -8,26 +8,25 @@
 import {type SlotPlan} from '@mimosatack/records';
 import {type ServerView} from './server_view.js';
 
-/** What preemption looks at. */
 export interface PreemptionInput {
   event: ResolvedEvent;
-  /** What is decided for the event, also just now. */
+  /** Slots of the event, including those of the current planning run. */
   held: readonly SlotPlan[];
   preemptible: readonly Slot[];
   servers: readonly ServerView[];
   nowMs: number;
 }
 
-/** What `listPreemptible` asks about the owner of a slot. */
+/** Looks up the events that own slots. */
 export interface PreemptionContext {
   nowMs: number;
   findEvent(eventId: string): ResolvedEvent | undefined;
 }
 
 /**
- * The slots that an event may push aside: those on demand, and those of events
- * of lower priority that have not begun. What serves a running event stays.
- * Slots that end already are among them, to be counted as gone.
+ * The slots that an event may preempt: slots on demand, and slots of events of
+ * lower priority that have not started. Includes slots that are already
+ * ending, because their memory counts as free.
  */
 export function listPreemptible(
   event: ResolvedEvent,
@@ -46,52 +45,51 @@
 }
 
 /**
- * For each replica without room, the fewest slots on one backend server whose
- * end makes room; slots that end already are counted as gone. While slots that
- * gave way before are still being unloaded nothing more is chosen: what they
- * leave may be room enough.
+ * For each unplaced replica, chooses the smallest number of slots on one
+ * backend server whose end frees enough memory. Chooses none while slots that
+ * were preempted earlier are still unloading, since their memory may suffice.
  */
-export function listPreempted(
+export function chooseSlotsToPreempt(
   needs: readonly ResolvedNeed[],
   input: PreemptionInput,
 ): Slot[] {
   const ending = input.preemptible.filter(slot => slot.status === 'ending');
-  if (ending.some(slot => isGivingWay(slot, input))) return [];
-  const gone = new Set(ending);
-  const claimed: SlotPlan[] = [];
+  if (ending.some(slot => isPreemptionPending(slot, input))) return [];
+  const removed = new Set(ending);
+  const reserved: SlotPlan[] = [];
   needs.forEach(need => {
-    const choices = listServers(need, claimed, input)
-      .map(view => chooseOn(view, need, gone, claimed, input))
+    const choices = listCandidateServers(need, reserved, input)
+      .map(view => chooseOnServer(view, need, removed, reserved, input))
       .filter(choice => choice !== null)
       .toSorted((a, b) => a.slots.length - b.slots.length);
     const [best] = choices;
     if (!best) return;
-    best.slots.forEach(slot => gone.add(slot));
-    claimed.push(best.plan);
+    best.slots.forEach(slot => removed.add(slot));
+    reserved.push(best.plan);
   });
-  return [...gone].filter(slot => slot.status === 'decided');
+  return [...removed].filter(slot => slot.status === 'decided');
 }
 
-/** An engine that does not answer may keep a slot ending for long. */
-function isGivingWay(slot: Slot, {servers}: PreemptionInput): boolean {
+/** Ignores lost servers, whose slots may stay in the ending state for long. */
+function isPreemptionPending(slot: Slot, {servers}: PreemptionInput): boolean {
   const view = servers.find(
     ({server}) => server.backendServerId === slot.backendServerId,
   );
   return slot.endReason === 'moved' && view?.isLost === false;
 }
 
-interface Choice {
+interface PreemptionChoice {
   slots: Slot[];
   plan: SlotPlan;
 }
 
-function listServers(
+function listCandidateServers(
   need: ResolvedNeed,
-  claimed: readonly SlotPlan[],
+  reserved: readonly SlotPlan[],
   input: PreemptionInput,
 ): ServerView[] {
-  const taken = new Set(
-    [...input.held, ...claimed]
+  const occupiedServerIds = new Set(
+    [...input.held, ...reserved]
       .filter(slot => slot.model === need.model)
       .map(slot => slot.backendServerId),
   );
@@ -100,34 +98,38 @@
       !isLeaving &&
       !isLost &&
       server.pool === need.pool &&
-      !taken.has(server.backendServerId),
+      !occupiedServerIds.has(server.backendServerId),
   );
 }
 
-/** Null when even the end of all of them would not make room. */
-function chooseOn(
+/** Returns null if preempting all candidates would not free enough memory. */
+function chooseOnServer(
   view: ServerView,
   need: ResolvedNeed,
-  gone: ReadonlySet<Slot>,
-  claimed: readonly SlotPlan[],
+  alreadyRemoved: ReadonlySet<Slot>,
+  reserved: readonly SlotPlan[],
   input: PreemptionInput,
-): Choice | null {
+): PreemptionChoice | null {
   const id = view.server.backendServerId;
-  const plan = makeClaim(need, id, input);
-  const others = claimed.filter(other => other.backendServerId === id);
+  const plan = makeReservation(need, id, input);
+  const others = reserved.filter(other => other.backendServerId === id);
   const candidates = input.preemptible
-    .filter(slot => slot.backendServerId === id && !gone.has(slot))
+    .filter(slot => slot.backendServerId === id && !alreadyRemoved.has(slot))
     .filter(slot => slot.untilMs > plan.loadAtMs)
     .toSorted((a, b) => b.loadAtMs - a.loadAtMs);
   const choose = (count: number) => candidates.slice(0, count);
   const counts = Array.from({length: candidates.length + 1}, (_n, i) => i);
-  const count = counts.find(taken =>
-    fitsWithout(view, [...choose(taken), ...gone], [...others, plan]),
+  const count = counts.find(candidateCount =>
+    fitsWithout(
+      view,
+      [...choose(candidateCount), ...alreadyRemoved],
+      [...others, plan],
+    ),
   );
   return count === undefined ? null : {slots: choose(count), plan};
 }
 
-function makeClaim(
+function makeReservation(
   need: ResolvedNeed,
   backendServerId: string,
   {event, nowMs}: PreemptionInput,
--- a/packages/plan-warming/src/replica_placer.ts
+++ b/packages/plan-warming/src/replica_placer.ts
@@ -1,4 +1,4 @@
-/** Chooses a backend server and the times for one replica after another. */
+/** Chooses a backend server and load times for each replica in turn. */
 import {type SlotPlan} from '@mimosatack/records';
 import {type CacheTier} from '@mimosatack/types';
 import {type LoadTimeSource} from './load_time_estimates.js';
@@ -11,26 +11,25 @@
   type WarmingTimes,
 } from './warming_policy.js';
 
-/** One replica to place. */
 export interface ReplicaSpec {
   model: string;
   version: string;
   adapters: readonly string[];
   pool: string;
   memoryMib: number;
-  /** The lost or leaving slot that it stands in for, if any. */
+  /** The slot on a lost or leaving server that the replica replaces, if any. */
   replaces: string | null;
 }
 
-/** When the replica is wanted. */
+/** The period in which the replicas are needed. */
 export interface PlacementWindow {
   startsAtMs: number;
   endsAtMs: number;
+  /** Time that the store needs for all replicas of the event. */
   eventStoreMs: number;
 }
 
-/** What a placer works with. */
-export interface PlacerParts {
+export interface PlacerInput {
   servers: readonly ServerView[];
   loadTimes: LoadTimeSource;
   timetable: StoreTimetable;
@@ -39,17 +38,17 @@
   chooseTimes(model: string, request: WarmingRequest): WarmingTimes | null;
 }
 
-/** Places replicas; each one placed takes room from the next. */
+/** Places replicas; each one reserves memory and weight store time. */
 export class ReplicaPlacer {
   private readonly rooms = new Map<string, ServerRoom>();
-  private readonly domains: ReadonlyMap<string, string>;
+  private readonly failureDomains: ReadonlyMap<string, string>;
 
   constructor(
-    private readonly parts: PlacerParts,
+    private readonly input: PlacerInput,
     private readonly window: PlacementWindow,
   ) {
-    this.domains = new Map(
-      parts.servers.map(({server}) => [
+    this.failureDomains = new Map(
+      input.servers.map(({server}) => [
         server.backendServerId,
         server.failureDomain,
       ]),
@@ -57,52 +56,53 @@
   }
 
   /**
-   * On a server that is ready by the start if there is one, else where it can
-   * be ready first; null when there is no room at all.
+   * Places a replica on the best-ranked server whose load starts before the
+   * window, or else on the one whose load starts first. Returns null if no
+   * server has enough memory.
    *
    * @param siblings the other replicas of the model for the same purpose.
    */
   place(spec: ReplicaSpec, siblings: readonly SlotPlan[]): SlotPlan | null {
     let best: SlotPlan | null = null;
     for (const view of this.rankServers(spec, siblings)) {
-      const plan = this.planOn(view, spec);
+      const plan = this.planOnServer(view, spec);
       if (plan && (!best || plan.loadAtMs < best.loadAtMs)) best = plan;
       if (best && best.loadAtMs < this.window.startsAtMs) break;
     }
-    if (best) this.take(best);
+    if (best) this.reserve(best);
     return best;
   }
 
-  private take(plan: SlotPlan): void {
-    const view = this.parts.servers.find(
+  private reserve(plan: SlotPlan): void {
+    const view = this.input.servers.find(
       other => other.server.backendServerId === plan.backendServerId,
     );
     if (!view) return;
     this.rooms.set(plan.backendServerId, this.findRoom(view).with(plan));
-    this.parts.timetable.add(findStoreUse(plan));
+    this.input.timetable.add(findStoreUse(plan));
   }
 
   private findRoom(view: ServerView): ServerRoom {
     return this.rooms.get(view.server.backendServerId) ?? view.room;
   }
 
-  private planOn(view: ServerView, spec: ReplicaSpec): SlotPlan | null {
+  private planOnServer(view: ServerView, spec: ReplicaSpec): SlotPlan | null {
     const tier = findReplicaTier(view, spec);
     const room = this.findRoom(view);
-    const times = this.parts.chooseTimes(spec.model, {
+    const times = this.input.chooseTimes(spec.model, {
       ...this.window,
-      nowMs: this.parts.nowMs,
+      nowMs: this.input.nowMs,
       memoryMib: spec.memoryMib,
       tier,
       canStage: view.server.fencing === 'refuses-old',
       remote: this.expectLoad(spec, 'remote'),
       near: this.expectLoad(spec, tier === 'remote' ? 'memory' : tier),
-      timetable: this.parts.timetable,
+      timetable: this.input.timetable,
       room,
     });
     if (!times) return null;
     const plan: SlotPlan = {
-      slotId: this.parts.makeSlotId(),
+      slotId: this.input.makeSlotId(),
       model: spec.model,
       version: spec.version,
       adapters: [...spec.adapters],
@@ -116,31 +116,33 @@
   }
 
   private expectLoad(spec: ReplicaSpec, tier: CacheTier): ReplicaLoadTimes {
-    return expectReplicaLoad(spec, tier, this.parts.loadTimes);
+    return expectReplicaLoad(spec, tier, this.input.loadTimes);
   }
 
   /**
-   * Servers of the pool that do not hold the model already: first those in
-   * the failure domain with the fewest siblings, then those with the
-   * checkpoint near, then those with the least memory spoken for.
+   * Servers of the pool without a replica of the model, ordered by the number
+   * of siblings in their failure domain, the cache tier of the checkpoint and
+   * the peak of reserved memory.
    */
   private rankServers(
     spec: ReplicaSpec,
     siblings: readonly SlotPlan[],
   ): ServerView[] {
-    const taken = new Set(siblings.map(plan => plan.backendServerId));
+    const occupiedServerIds = new Set(
+      siblings.map(plan => plan.backendServerId),
+    );
     const siblingDomains = siblings.map(plan =>
-      this.domains.get(plan.backendServerId),
+      this.failureDomains.get(plan.backendServerId),
     );
     const {startsAtMs, endsAtMs} = this.window;
-    return this.parts.servers
+    return this.input.servers
       .filter(
         ({server, isLeaving, isLost}) =>
           !isLeaving &&
           !isLost &&
           server.pool === spec.pool &&
           server.memoryMib >= spec.memoryMib &&
-          !taken.has(server.backendServerId),
+          !occupiedServerIds.has(server.backendServerId),
       )
       .map(view => ({
         view,
@@ -163,8 +165,8 @@
 }
 
 /**
- * How long a whole replica takes: the base and then its adapters, which share
- * the store with each other and are set up side by side.
+ * Estimates the load of a replica: the base model first, then its adapters,
+ * which share the weight store and are initialized in parallel.
  */
 export function expectReplicaLoad(
   spec: {model: string; adapters: readonly string[]},
--- a/packages/plan-warming/src/sample_window.ts
+++ b/packages/plan-warming/src/sample_window.ts
@@ -1,12 +1,9 @@
-/** The most recent of a series of measurements, in bounded memory. */
-
-/** One measurement. */
 interface Sample {
   value: number;
   atMs: number;
 }
 
-/** Keeps the last samples and gives quantiles of them. */
+/** Keeps the most recent samples and computes their quantiles. */
 export class SampleWindow {
   private samples: Sample[] = [];
 
@@ -25,14 +22,14 @@
     if (this.samples.length > this.maxSamples) this.samples.shift();
   }
 
-  /** The samples that were taken at `sinceMs` or later. */
+  /** Values of the samples taken at `sinceMs` or later. */
   listSince(sinceMs: number): number[] {
     return this.samples
       .filter(sample => sample.atMs >= sinceMs)
       .map(sample => sample.value);
   }
 
-  /** Undefined when there is no sample. */
+  /** Returns undefined if there are no samples. */
   quantile(fraction: number): number | undefined {
     return findQuantile(this.listSince(-Infinity), fraction);
   }
--- a/packages/plan-warming/src/server_room.ts
+++ b/packages/plan-warming/src/server_room.ts
@@ -1,4 +1,4 @@
-/** The accelerator memory of one backend server, with what is planned. */
+/** The accelerator memory of one backend server and its reservations. */
 import {
   type MemoryHold,
   findPeakMib,
@@ -6,24 +6,24 @@
 } from '@mimosatack/agreed-state';
 import {type SlotPlan} from '@mimosatack/records';
 
-/** Answers where a replica fits; never changes, but gives changed copies. */
+/** Immutable reservations over time; tells whether a replica fits. */
 export class ServerRoom {
   constructor(
     readonly memoryMib: number,
     private readonly holds: readonly MemoryHold[],
   ) {}
 
-  /** The same room with one more planned replica. */
+  /** A copy with one more planned replica. */
   with(plan: SlotPlan): ServerRoom {
     return this.withHolds(listSlotHolds(plan));
   }
 
-  /** The same room with more holds; a negative one gives memory back. */
+  /** A copy with more holds; a hold of negative size frees memory. */
   withHolds(holds: readonly MemoryHold[]): ServerRoom {
     return new ServerRoom(this.memoryMib, [...this.holds, ...holds]);
   }
 
-  /** Whether a planned replica fits at all times. */
+  /** Whether a planned replica fits throughout its slot, staging included. */
   fits(plan: SlotPlan): boolean {
     return listSlotHolds(plan).every(hold =>
       this.hasRoom(hold.memoryMib, hold.fromMs, hold.untilMs),
@@ -39,9 +39,9 @@
   }
 
   /**
-   * The first time from `fromMs` on at which memory is free for `durationMs`;
-   * null when that time never comes. Memory becomes free only where a hold
-   * ends, so these times are the only ones to look at.
+   * The earliest time, not before `fromMs`, from which the memory is free for
+   * `durationMs`; null if there is none. Only `fromMs` and the ends of holds
+   * need checking, since memory is freed at no other time.
    */
   findEarliestMs(
     memoryMib: number,
--- a/packages/plan-warming/src/server_view.ts
+++ b/packages/plan-warming/src/server_view.ts
@@ -1,34 +1,35 @@
-/** What the planner knows of backend servers; partly hints. */
+/**
+ * The planner's view of backend servers, from the log and from engine reports
+ * that may be out of date.
+ */
 import {type BackendServer, type MemoryHold} from '@mimosatack/agreed-state';
 import {type SlotPlan} from '@mimosatack/records';
 import {type CacheTier, type EngineState} from '@mimosatack/types';
 import {ServerRoom} from './server_room.js';
 
-/** What the planner knows of one backend server. */
+/** The planner's view of one backend server. */
 export interface ServerView {
   server: BackendServer;
   room: ServerRoom;
-  /** Whether it is told to leave; its slots are moved in time. */
+  /** Whether the server is being drained; its slots move elsewhere. */
   isLeaving: boolean;
-  /** Whether its engine has not answered for long; its slots count on. */
+  /** Whether the engine has stopped responding; its slots still count. */
   isLost: boolean;
-  /** Where a checkpoint lies on its host. */
+  /** The fastest tier from which the server can load a checkpoint. */
   findTier(model: string, adapter: string | null, version: string): CacheTier;
-  /** Whether a slot and its adapters are loaded. */
+  /** Whether a slot is loaded with all its adapters. */
   isWarm(slotId: string): boolean;
 }
 
-/** What a view is made of. */
 export interface ServerViewParts {
   server: BackendServer;
   holds: readonly MemoryHold[];
-  /** The newest report of its engine; null when there is none. */
+  /** The latest report of the server's engine, if any. */
   engine: EngineState | null;
   isLeaving: boolean;
   isLost: boolean;
 }
 
-/** Makes the view of one backend server. */
 export function makeServerView(parts: ServerViewParts): ServerView {
   const {server, holds, engine, isLeaving, isLost} = parts;
   return {
@@ -47,7 +48,7 @@
   };
 }
 
-/** The same views with what was planned taken from their room. */
+/** Copies of the views with the memory of the plans reserved. */
 export function takeRoom(
   views: readonly ServerView[],
   plans: readonly SlotPlan[],
@@ -74,7 +75,7 @@
 
 const TIER_RANK: Record<CacheTier, number> = {memory: 0, disk: 1, remote: 2};
 
-/** The farthest tier of the base and adapters of a replica. */
+/** The slowest tier among a replica's base model and adapters. */
 export function findReplicaTier(
   view: ServerView,
   replica: {model: string; version: string; adapters: readonly string[]},
@@ -85,7 +86,7 @@
     .reduce((far, tier) => (TIER_RANK[tier] > TIER_RANK[far] ? tier : far));
 }
 
-/** The order of tiers from near to far, for sorting. */
+/** Sort key of a tier, fastest first. */
 export function rankTier(tier: CacheTier): number {
   return TIER_RANK[tier];
 }
--- a/packages/plan-warming/src/store_timetable.ts
+++ b/packages/plan-warming/src/store_timetable.ts
@@ -1,40 +1,39 @@
 /**
- * Shares the weight store's rate without any talking between nodes: every
- * planned load states when it uses the store, and a new one is laid into the
- * room that is left.
+ * Shares the weight store's transfer rate without communication between nodes:
+ * every planned load states when it uses the store, and new loads are scheduled
+ * in the remaining capacity.
  */
 import {type SlotPlan} from '@mimosatack/records';
 
-/** A stretch of time in which one load uses the weight store. */
+/** A period in which one load uses the weight store. */
 export interface StoreUse {
   fromMs: number;
   untilMs: number;
 }
 
-/** When a planned replica uses the store: with its first load. */
+/** A planned replica uses the store only for its first load. */
 export function findStoreUse(plan: SlotPlan): StoreUse {
   const fromMs = plan.stage?.fromMs ?? plan.loadAtMs;
   return {fromMs, untilMs: fromMs + plan.storeMs};
 }
 
-/** Uses are kept by stretches of this length, to find those nearby fast. */
+/** Width of the time buckets that index the uses. */
 const BUCKET_MS = 60_000;
 
-/** The planned use of the weight store over time. */
 export class StoreTimetable {
   private readonly buckets = new Map<number, StoreUse[]>();
 
-  /** @param lanes how many planned loads may use the store at once. */
+  /** @param maxConcurrentUses how many planned loads may overlap. */
   constructor(
-    private readonly lanes: number,
+    private readonly maxConcurrentUses: number,
     uses: readonly StoreUse[] = [],
   ) {
     uses.forEach(use => this.add(use));
   }
 
   /**
-   * The start of the latest free stretch that ends by `readyByMs` and does not
-   * begin before `earliestMs`; null when there is none.
+   * The start of the latest free period that ends by `readyByMs` and does not
+   * start before `earliestMs`; null if there is none.
    */
   findLatestMs(
     readyByMs: number,
@@ -50,7 +49,7 @@
     return null;
   }
 
-  /** The start of the first free stretch that begins at `fromMs` or later. */
+  /** The start of the first free period at or after `fromMs`. */
   findEarliestMs(fromMs: number, durationMs: number): number {
     let startMs = fromMs;
     let conflicts = this.listConflicts(startMs, startMs + durationMs);
@@ -61,7 +60,7 @@
     return startMs;
   }
 
-  /** Takes a stretch; one of no length takes nothing. */
+  /** Adds a use; ignores one without duration. */
   add(use: StoreUse): void {
     if (use.untilMs <= use.fromMs) return;
     listBuckets(use.fromMs, use.untilMs).forEach(bucket => {
@@ -71,7 +70,7 @@
     });
   }
 
-  /** The uses in a stretch if they take all lanes at any moment of it. */
+  /** The uses that overlap a period, if they reach the limit at any point. */
   private listConflicts(fromMs: number, untilMs: number): StoreUse[] {
     const overlapping = [
       ...new Set(
@@ -82,12 +81,12 @@
     ].filter(use => use.fromMs < untilMs && use.untilMs > fromMs);
     const isFull = overlapping
       .map(use => Math.max(use.fromMs, fromMs))
-      .some(atMs => countAt(overlapping, atMs) >= this.lanes);
+      .some(atMs => countUsesAt(overlapping, atMs) >= this.maxConcurrentUses);
     return isFull ? overlapping : [];
   }
 }
 
-function countAt(uses: readonly StoreUse[], atMs: number): number {
+function countUsesAt(uses: readonly StoreUse[], atMs: number): number {
   return uses.filter(use => use.fromMs <= atMs && use.untilMs > atMs).length;
 }
 
--- a/packages/plan-warming/src/test_fixtures.ts
+++ b/packages/plan-warming/src/test_fixtures.ts
@@ -1,4 +1,4 @@
-/** Builds small agreed states and planner inputs for tests. */
+/** Test fixtures that build small agreed states and planner inputs. */
 import {
   AgreedState,
   type Outcome,
@@ -16,9 +16,8 @@
 
 export const MODEL_MIB = 100;
 const MINUTE_MS = 60_000;
-const LANES = 3;
+const MAX_CONCURRENT_LOADS = 3;
 
-/** A backend server of the fixture. */
 export interface ServerSpec {
   id: string;
   memoryMib?: number;
@@ -26,7 +25,6 @@
   fencing?: 'refuses-old' | 'ignores';
 }
 
-/** An event of the fixture. */
 export interface EventSpec {
   startsAtMs: number;
   durationMinutes?: number;
@@ -40,14 +38,14 @@
   }[];
 }
 
-/** What nodes know beside the log. */
-export interface Hints {
+/** Conditions of servers that nodes know from sources other than the log. */
+export interface ServerConditions {
   lost?: string[];
   leaving?: string[];
   engines?: EngineState[];
 }
 
-/** A log in memory that is folded at once. */
+/** An in-memory log that is folded into the state on every write. */
 export class FixtureLog {
   readonly state = new AgreedState();
   private recordCount = 0;
@@ -115,12 +113,20 @@
     return this.state.configuration.findEvent(eventId) as ResolvedEvent;
   }
 
-  /** Plans an event against the state as it is. */
-  plan(eventId: string, nowMs: number, hints: Hints = {}): EventPlan {
-    return planEvent(this.makeInput(eventId, nowMs, hints));
+  /** Plans an event against the current state. */
+  plan(
+    eventId: string,
+    nowMs: number,
+    conditions: ServerConditions = {},
+  ): EventPlan {
+    return planEvent(this.makeInput(eventId, nowMs, conditions));
   }
 
-  makeInput(eventId: string, nowMs: number, hints: Hints = {}): EventPlanInput {
+  makeInput(
+    eventId: string,
+    nowMs: number,
+    conditions: ServerConditions = {},
+  ): EventPlanInput {
     const {configuration, placement} = this.state;
     const event = configuration.findEvent(eventId) as ResolvedEvent;
     return {
@@ -130,10 +136,10 @@
         nowMs,
         findEvent: id => configuration.findEvent(id),
       }),
-      servers: this.listViews(hints),
+      servers: this.listViews(conditions),
       policy: new TimetablePolicy({coldStartWeight: 0.5, idleWeight: 0.5}),
       loadTimes: new LoadTimeEstimates(),
-      lanes: LANES,
+      lanes: MAX_CONCURRENT_LOADS,
       timetable: this.makeTimetable(),
       nowMs,
       demanded: new Set(),
@@ -141,7 +147,7 @@
     };
   }
 
-  /** Writes a plan; gives the verdicts of the rules. */
+  /** Writes a plan and returns the outcome of each record. */
   apply(eventId: string, plan: EventPlan): Outcome[] {
     const purpose = {for: 'event' as const, eventId};
     const event = this.state.configuration.findEvent(eventId);
@@ -161,7 +167,7 @@
     return bodies.map(body => this.write(body));
   }
 
-  /** Releases what ends, as stewards do once their engines are without it. */
+  /** Releases ending slots, as stewards do once engines have unloaded them. */
   releaseEnding(): void {
     const {placement, stewardship} = this.state;
     placement
@@ -182,7 +188,11 @@
     return this.state.placement.listFor({for: 'event', eventId});
   }
 
-  listViews({lost = [], leaving = [], engines = []}: Hints): ServerView[] {
+  listViews({
+    lost = [],
+    leaving = [],
+    engines = [],
+  }: ServerConditions): ServerView[] {
     const {stewardship, placement} = this.state;
     return stewardship.listBackendServers().map(server => {
       const id = server.backendServerId;
@@ -198,7 +208,7 @@
 
   makeTimetable(): StoreTimetable {
     const uses = this.state.placement.list().map(findStoreUse);
-    return new StoreTimetable(LANES, uses);
+    return new StoreTimetable(MAX_CONCURRENT_LOADS, uses);
   }
 
   makeSlotId(): string {
@@ -228,7 +238,7 @@
   }
 }
 
-/** Servers `r1` to `rN`, spread over failure domains. */
+/** Servers `r1`, `r2` and so on, spread over failure domains. */
 export function makeServers(
   count: number,
   domains = 1,
@@ -241,7 +251,7 @@
   }));
 }
 
-/** An engine's report. */
+/** A report of an engine without replicas. */
 export function makeEngine(
   backendServerId: string,
   parts: Partial<EngineState> = {},
@@ -266,7 +276,7 @@
   };
 }
 
-/** A warm replica of a slot as its engine reports it. */
+/** An engine's report of the warm replica of a slot. */
 export function makeWarm(slot: {
   slotId: string;
   model: string;
@@ -285,7 +295,7 @@
   };
 }
 
-/** Minutes as milliseconds. */
+/** Converts minutes to milliseconds. */
 export function minutes(count: number): number {
   return count * MINUTE_MS;
 }
--- a/packages/plan-warming/src/timetable_policy.test.ts
+++ b/packages/plan-warming/src/timetable_policy.test.ts
@@ -32,16 +32,16 @@
   return new TimetablePolicy(weights).chooseTimes(makeRequest(parts));
 }
 
-test('stages minutes ahead and loads just before the start', () => {
+test('stages ten minutes ahead and loads just before the start', () => {
   const times = choose();
   assert.is(times?.stage?.fromMs, START_MS - minutes(10));
   assert.is(times?.loadAtMs, START_MS - 1_000 - 700);
 });
 
-test('takes a longer margin where cold starts weigh more', () => {
-  const zorza = choose({}, {coldStartWeight: 0.7, idleWeight: 0.3});
-  const prairie = choose({}, {coldStartWeight: 0.3, idleWeight: 0.7});
-  assert.ok((zorza?.loadAtMs ?? 0) < (prairie?.loadAtMs ?? 0));
+test('uses a longer margin if cold starts weigh more', () => {
+  const coldStartAverse = choose({}, {coldStartWeight: 0.7, idleWeight: 0.3});
+  const idleAverse = choose({}, {coldStartWeight: 0.3, idleWeight: 0.7});
+  assert.ok((coldStartAverse?.loadAtMs ?? 0) < (idleAverse?.loadAtMs ?? 0));
 });
 
 test('adds the spread of observed loads to the margin', () => {
@@ -49,7 +49,7 @@
   assert.is(choose({near})?.loadAtMs, START_MS - 1_400 - 700);
 });
 
-test('lays loads that cannot be staged out backwards', () => {
+test('schedules unstaged loads backwards from the start', () => {
   const timetable = new StoreTimetable(1);
   const starts = [1, 2, 3].map(() => {
     const times = choose({canStage: false, timetable});
@@ -60,7 +60,7 @@
   assert.equal(starts, [2_300, 3_300, 4_300]);
 });
 
-test('stages at once when the event is near, one load after another', () => {
+test('stages immediately, one load after another, before a near event', () => {
   const timetable = new StoreTimetable(1);
   const nowMs = START_MS - 20_000;
   const first = choose({nowMs, timetable});
@@ -70,14 +70,14 @@
   assert.is(second?.stage?.fromMs, nowMs + 1_000);
 });
 
-test('loads at once when there is no time for staging', () => {
+test('loads immediately when there is no time to stage', () => {
   const nowMs = START_MS - 3_000;
   const times = choose({nowMs});
   assert.is(times?.stage, null);
   assert.is(times?.loadAtMs, nowMs);
 });
 
-test('stages before another event takes the memory', () => {
+test('stages before another event reserves the memory', () => {
   const fromMs = START_MS - minutes(20);
   const hold = {fromMs, untilMs: START_MS, memoryMib: 100};
   const times = choose({room: new ServerRoom(100, [hold])});
--- a/packages/plan-warming/src/timetable_policy.ts
+++ b/packages/plan-warming/src/timetable_policy.ts
@@ -1,45 +1,44 @@
 /**
- * Lays loads out along the weight store's rate so that every replica is warm
- * just before the start. The transfer from the store is done well ahead, by
- * loading the model once and unloading it, which keeps accelerator memory for
- * seconds only; the load that stays begins late, from the near cache.
+ * Schedules loads within the weight store's transfer rate so that replicas
+ * become warm just before the event starts. Staging loads and unloads a model
+ * well ahead, so that the final load can start late, from the local cache.
  */
 import {
   type WarmingPolicy,
   type WarmingRequest,
   type WarmingTimes,
   type WarmingWeights,
-  loadPlainly,
+  loadWithoutStaging,
 } from './warming_policy.js';
 
-/** The safety margin before the start at equal weights. */
+/** Safety margin before the event start at equal weights. */
 const BASE_MARGIN_MS = 1_000;
-/** How long before the start staging begins at equal weights. */
+/** Lead time of staging before the event start at equal weights. */
 const BASE_STAGE_LEAD_MS = 600_000;
-/** How many times slower the store may be without staging being late. */
-const STAGE_SLOWDOWN = 20;
-/** The least part that a weight counts with, so that no ratio runs away. */
+/** Factor by which the store may slow down before staging becomes late. */
+const TOLERATED_STORE_SLOWDOWN = 20;
+/** Lower bound of each weight, to keep their ratio finite. */
 const MIN_WEIGHT = 0.25;
-/** Bounds of the staging lead's part that follows the weights. */
+/** Bounds of the ratio by which the weights scale the staging lead. */
 const MIN_LEAD_RATIO = 0.5;
 const MAX_LEAD_RATIO = 2;
-/** Memory is held for staging this many times longer than it should take. */
+/** Memory is reserved for this multiple of the expected staging time. */
 const STAGE_HOLD_FACTOR = 2;
-/** How long a steward takes to see that a staging load is done. */
-const STAGE_END_MS = 1_000;
-/** Looks for a stretch with both memory and a free lane. */
+/** Time that a steward may take to detect that a staging load is complete. */
+const STAGE_END_DELAY_MS = 1_000;
+/** Limits the search for a period with both memory and store capacity. */
 const MAX_STAGE_TRIES = 32;
-/** Loads of an event begin within this time before its start as a rule. */
+/** The usual maximum lead of a final load before the event start. */
 const MAX_AHEAD_MS = 120_000;
 
-/** Warm in time at the least idle time, as the operator weighs the two. */
+/** Trades cold starts against idle time by the operator's weights. */
 export class TimetablePolicy implements WarmingPolicy {
   readonly policyName = 'timetable';
   readonly maxAheadMs = MAX_AHEAD_MS;
-  private readonly ratio: number;
+  private readonly weightRatio: number;
 
   constructor(weights: WarmingWeights) {
-    this.ratio =
+    this.weightRatio =
       Math.max(MIN_WEIGHT, weights.coldStartWeight) /
       Math.max(MIN_WEIGHT, weights.idleWeight);
   }
@@ -47,27 +46,27 @@
   chooseTimes(request: WarmingRequest): WarmingTimes | null {
     if (request.tier !== 'remote') {
       const {initMs} = request.near;
-      return loadPlainly(request, this.findNearLoadMs(request, initMs));
+      return loadWithoutStaging(request, this.findNearLoadMs(request, initMs));
     }
     const staged = request.canStage ? this.stageThenLoad(request) : null;
     if (staged) return staged;
-    return this.isShortOfTime(request)
-      ? loadPlainly(request, request.nowMs)
+    return this.isTooLateToStage(request)
+      ? loadWithoutStaging(request, request.nowMs)
       : this.loadRemote(request);
   }
 
   /**
-   * Whether the start is so near that there is nothing to gain by waiting: a
-   * stand-in for a lost replica, or an event that was published late.
+   * Whether too little time is left to stage before the start, as for the
+   * replacement of a lost replica or an event that was published late.
    */
-  private isShortOfTime(request: WarmingRequest): boolean {
+  private isTooLateToStage(request: WarmingRequest): boolean {
     const {startsAtMs, nowMs, canStage} = request;
     return canStage && nowMs + findStageHoldMs(request) > startsAtMs;
   }
 
-  /** Observed spread and weights decide how long before the start it ends. */
+  /** The time by which a load should end, earlier for a greater spread. */
   private findReadyByMs(request: WarmingRequest, spreadMs: number): number {
-    return request.startsAtMs - (BASE_MARGIN_MS + spreadMs) * this.ratio;
+    return request.startsAtMs - (BASE_MARGIN_MS + spreadMs) * this.weightRatio;
   }
 
   private findNearLoadMs(request: WarmingRequest, initMs: number): number {
@@ -82,34 +81,34 @@
     const fromMs =
       timetable.findLatestMs(storeByMs, storeMs, nowMs) ??
       timetable.findEarliestMs(nowMs, storeMs);
-    return loadPlainly(request, fromMs);
+    return loadWithoutStaging(request, fromMs);
   }
 
-  /** Null when there is no time or memory left to fetch it ahead. */
+  /** Returns null if there is too little time or memory to stage. */
   private stageThenLoad(request: WarmingRequest): WarmingTimes | null {
     const {startsAtMs, nowMs} = request;
     const loadAtMs = this.findNearLoadMs(request, request.near.initMs);
-    const late = loadPlainly(request, loadAtMs);
-    if (!late) return null;
+    const load = loadWithoutStaging(request, loadAtMs);
+    if (!load) return null;
     const leadFromMs = startsAtMs - this.findStageLeadMs(request);
     const stage =
-      this.findStage(request, Math.max(nowMs, leadFromMs), late.loadAtMs) ??
-      this.findStage(request, nowMs, late.loadAtMs);
-    return stage ? {...late, stage} : null;
+      this.findStage(request, Math.max(nowMs, leadFromMs), load.loadAtMs) ??
+      this.findStage(request, nowMs, load.loadAtMs);
+    return stage ? {...load, stage} : null;
   }
 
   private findStageLeadMs(request: WarmingRequest): number {
     const leadRatio = Math.min(
       MAX_LEAD_RATIO,
-      Math.max(MIN_LEAD_RATIO, this.ratio),
+      Math.max(MIN_LEAD_RATIO, this.weightRatio),
     );
     return Math.max(
       BASE_STAGE_LEAD_MS * leadRatio,
-      STAGE_SLOWDOWN * request.eventStoreMs,
+      TOLERATED_STORE_SLOWDOWN * request.eventStoreMs,
     );
   }
 
-  /** The first stretch with both memory and a free lane. */
+  /** The first period with both memory and store capacity. */
   private findStage(
     request: WarmingRequest,
     fromMs: number,
@@ -120,10 +119,10 @@
     const holdMs = findStageHoldMs(request);
     let startMs: number | null = fromMs;
     for (let tries = 0; tries < MAX_STAGE_TRIES; tries += 1) {
-      const laneMs: number = timetable.findEarliestMs(startMs, storeMs);
-      startMs = room.findEarliestMs(memoryMib, laneMs, holdMs);
+      const storeFreeMs: number = timetable.findEarliestMs(startMs, storeMs);
+      startMs = room.findEarliestMs(memoryMib, storeFreeMs, holdMs);
       if (startMs === null || startMs + holdMs > untilMs) return null;
-      if (startMs === laneMs) {
+      if (startMs === storeFreeMs) {
         return {fromMs: startMs, untilMs: startMs + holdMs};
       }
     }
@@ -131,7 +130,9 @@
   }
 }
 
-/** How long memory is kept for staging. */
+/** How long memory is reserved for staging. */
 function findStageHoldMs({remote}: WarmingRequest): number {
-  return STAGE_HOLD_FACTOR * (remote.storeMs + remote.initMs) + STAGE_END_MS;
+  return (
+    STAGE_HOLD_FACTOR * (remote.storeMs + remote.initMs) + STAGE_END_DELAY_MS
+  );
 }
--- a/packages/plan-warming/src/warming_policy.ts
+++ b/packages/plan-warming/src/warming_policy.ts
@@ -1,51 +1,56 @@
-/** When a replica is loaded for an event: policies behind one interface. */
+/** The interface of the policies that decide when replicas are loaded. */
 import {type CacheTier} from '@mimosatack/types';
 import {type ServerRoom} from './server_room.js';
 import {type StoreTimetable} from './store_timetable.js';
 
-/** How long all parts of one replica take, the base first, then adapters. */
+/** Expected duration of loading a replica's base model, then its adapters. */
 export interface ReplicaLoadTimes {
-  /** Transfers from the weight store, one after the other. */
+  /** Transfers from the weight store, one after another. */
   storeMs: number;
-  /** Everything else. */
+  /** The rest of the load: reading a local cache and initializing. */
   initMs: number;
+  /** The 99th percentile of observed loads minus their median. */
   spreadMs: number;
 }
 
-/** One replica that an event needs, on one backend server. */
+/** A replica to load on one backend server. */
 export interface WarmingRequest {
   startsAtMs: number;
   endsAtMs: number;
   nowMs: number;
   memoryMib: number;
-  /** Where the checkpoints lie; `remote` if any part is not near. */
+  /** The slowest tier among the replica's checkpoints. */
   tier: CacheTier;
-  /** Whether an order that is late can be cut off by a newer one. */
+  /** Whether the engine rejects a delayed unload by its old fencing number. */
   canStage: boolean;
+  /** Load times from the weight store. */
   remote: ReplicaLoadTimes;
+  /** Load times from a local cache. */
   near: ReplicaLoadTimes;
-  /** How long the store takes for all replicas of the event. */
+  /** Time that the store needs for all replicas of the event. */
   eventStoreMs: number;
   timetable: StoreTimetable;
   room: ServerRoom;
 }
 
-/** When the loads of one replica begin. */
+/** Load times of one replica. */
 export interface WarmingTimes {
+  /** Period of the staging load; null if the replica is not staged. */
   stage: {fromMs: number; untilMs: number} | null;
+  /** Start of the final load. */
   loadAtMs: number;
+  /** Duration of the transfer from the weight store. */
   storeMs: number;
 }
 
-/** Decides when a replica is loaded. */
 export interface WarmingPolicy {
   readonly policyName: WarmingPolicyName;
   /**
-   * How long before an event its loads begin at the most, as a rule. A slot
-   * that is earlier once its event was changed is planned anew.
+   * The usual maximum lead of a load before the event start. If an event
+   * change makes a slot's lead longer, the slot is planned again.
    */
   readonly maxAheadMs: number;
-  /** Null when nothing is to be loaded ahead, or when there is no room. */
+  /** Returns null to not preload the replica, or if memory is short. */
   chooseTimes(request: WarmingRequest): WarmingTimes | null;
 }
 
@@ -56,17 +61,17 @@
 ] as const;
 export type WarmingPolicyName = (typeof WARMING_POLICY_NAMES)[number];
 
-/** What the operator weighs against each other, each from 0 to 1. */
+/** The operator's weights of cold starts and idle replicas, from 0 to 1. */
 export interface WarmingWeights {
   coldStartWeight: number;
   idleWeight: number;
 }
 
 /**
- * A load without staging, as soon after `loadAtMs` as there is memory. An
- * event that follows another on the same memory is loaded when that one ends.
+ * Schedules a load without staging at `loadAtMs` or as soon as memory is free,
+ * such as at the end of the previous event on the server.
  */
-export function loadPlainly(
+export function loadWithoutStaging(
   request: WarmingRequest,
   loadAtMs: number,
 ): WarmingTimes | null {
