--- a/packages/clock/src/clock.test.ts
+++ b/packages/clock/src/clock.test.ts
@@ -13,14 +13,14 @@
 
 const manual = suite('manual clock');
 
-manual('both times move on by hand only', () => {
+manual('advances both times only on request', () => {
   const {clock} = createFixture();
   clock.advance(25);
   assert.is(clock.wallMs(), 1_025);
   assert.is(clock.monotonicMs(), 25);
 });
 
-manual('timers fire in order of time, then of setting', () => {
+manual('fires timers by due time, then in the order they were set', () => {
   const {clock, calls, call} = createFixture();
   clock.setTimer(20, call('late'));
   clock.setTimer(10, call('first'));
@@ -35,7 +35,7 @@
   ]);
 });
 
-manual('a timer set by a timer fires in the same advance when due', () => {
+manual('fires a timer set by another in the same advance if it is due', () => {
   const {clock, calls, call} = createFixture();
   clock.setTimer(10, () => {
     clock.setTimer(5, call('inner'));
@@ -46,7 +46,7 @@
   assert.is(clock.nextTimerMs(), 60);
 });
 
-manual('a cancelled timer does not fire', () => {
+manual('does not fire a cancelled timer', () => {
   const {clock, calls, call} = createFixture();
   const timer = clock.setTimer(10, call('cancelled'));
   timer.cancel();
@@ -60,14 +60,14 @@
 
 const sleeping = suite('sleep');
 
-sleeping('ends when the time is over', async () => {
+sleeping('resolves after the delay', async () => {
   const {clock} = createFixture();
   const done = sleep(clock, 10);
   clock.advance(10);
   await done;
 });
 
-sleeping('ends early and clears its timer when aborted', async () => {
+sleeping('resolves early and cancels its timer when aborted', async () => {
   const {clock} = createFixture();
   const controller = new AbortController();
   const done = sleep(clock, 10, controller.signal);
@@ -76,7 +76,7 @@
   assert.is(clock.nextTimerMs(), undefined);
 });
 
-sleeping('sets no timer when aborted before', async () => {
+sleeping('sets no timer if the signal is already aborted', async () => {
   const {clock} = createFixture();
   await sleep(clock, 10, AbortSignal.abort());
   assert.is(clock.nextTimerMs(), undefined);
@@ -86,12 +86,12 @@
 
 const system = suite('system clock');
 
-system('fires timers, also those with a negative delay', async () => {
+system('fires a timer with a negative delay', async () => {
   await sleep(new SystemClock(), -1);
 });
 
-/** A Node timer above 2^31 - 1 ms would fire at once instead of in weeks. */
-system('a delay that Node cannot hold does not fire at once', async () => {
+// Guards against Node firing a timer above 2^31 - 1 ms immediately.
+system('does not fire a delay above the maximum of Node at once', async () => {
   const clock = new SystemClock();
   let fired = false;
   const timer = clock.setTimer(2 ** 40, () => (fired = true));
--- a/packages/clock/src/clock.ts
+++ b/packages/clock/src/clock.ts
@@ -1,28 +1,28 @@
-/** Time sources, in milliseconds. */
+/** Time sources and timers, in milliseconds. */
 
-/** A timer that has been set and can still be cancelled. */
+/** The handle of a timer. */
 export interface Timer {
-  /** Stops the timer; calling it twice, or after it fired, does nothing. */
+  /** Cancels the timer; has no effect once it was cancelled or has fired. */
   cancel(): void;
 }
 
 /**
- * The only source of time in the system, so that tests can drive it by hand.
- * All values are milliseconds.
+ * The only source of time in the system, so that tests can control it. All
+ * values are in milliseconds.
  */
 export interface Clock {
-  /** Wall-clock time since the Unix epoch; it may jump. */
+  /** Wall-clock time since the Unix epoch; may jump in either direction. */
   wallMs(): number;
-  /** Time since an arbitrary start; it never goes backwards. */
+  /** Time since an arbitrary origin; never decreases. */
   monotonicMs(): number;
-  /** Calls `callback` once, after `delayMs` (a negative delay counts as 0). */
+  /** Calls `callback` once after `delayMs`; a negative delay counts as 0. */
   setTimer(delayMs: number, callback: () => void): Timer;
 }
 
 /**
  * Waits for `delayMs` on the given clock.
  *
- * @param signal ends the wait early; the promise still resolves.
+ * @param signal ends the wait early when aborted; the promise still resolves.
  */
 export function sleep(
   clock: Clock,
--- a/packages/clock/src/manual_clock.ts
+++ b/packages/clock/src/manual_clock.ts
@@ -6,13 +6,13 @@
   callback: () => void;
 }
 
-/** A clock that only moves when a test or a benchmark moves it. */
+/** A clock that tests and benchmarks advance explicitly. */
 export class ManualClock implements Clock {
   private elapsedMs = 0;
   private nextOrder = 0;
   private pending: PendingTimer[] = [];
 
-  /** @param startWallMs the wall-clock time at which the clock begins. */
+  /** @param startWallMs the initial wall-clock time. */
   constructor(private startWallMs = 0) {}
 
   wallMs(): number {
@@ -37,12 +37,12 @@
     };
   }
 
-  /** As while a host is suspended: only the time of day goes on. */
+  /** Simulates a suspended host: only the wall clock advances. */
   suspend(deltaMs: number): void {
     this.startWallMs += deltaMs;
   }
 
-  /** Moves time on by `deltaMs`, firing the timers that fall due, in order. */
+  /** Advances both times by `deltaMs` and fires due timers in order. */
   advance(deltaMs: number): void {
     const targetMs = this.elapsedMs + deltaMs;
     let next = this.takeNextDue(targetMs);
@@ -54,7 +54,7 @@
     this.elapsedMs = targetMs;
   }
 
-  /** The monotonic time of the next timer, or undefined if none is set. */
+  /** The monotonic time of the next timer; undefined if none is pending. */
   nextTimerMs(): number | undefined {
     return this.pending.length === 0
       ? undefined
@@ -65,7 +65,7 @@
     const next = this.pending
       .filter(timer => timer.dueMs <= targetMs)
       .reduce<PendingTimer | undefined>(
-        (best, timer) => (best && isBefore(best, timer) ? best : timer),
+        (best, timer) => (best && firesBefore(best, timer) ? best : timer),
         undefined,
       );
     if (next) this.pending = this.pending.filter(timer => timer !== next);
@@ -73,6 +73,6 @@
   }
 }
 
-function isBefore(a: PendingTimer, b: PendingTimer): boolean {
+function firesBefore(a: PendingTimer, b: PendingTimer): boolean {
   return a.dueMs < b.dueMs || (a.dueMs === b.dueMs && a.order < b.order);
 }
--- a/packages/clock/src/suspension_aware_clock.ts
+++ b/packages/clock/src/suspension_aware_clock.ts
@@ -1,24 +1,24 @@
-/** A clock whose steady time goes on while the host is suspended. */
+/** A clock whose monotonic time advances while the host is suspended. */
 import {type Clock, type Timer} from './clock.js';
 
 /**
- * The times of day and of the steady clock are read one right after the other;
- * what they move apart by less between two looks is drift.
+ * A smaller change of the offset between the wall and the monotonic clock is
+ * attributed to drift and to the delay between reading the two.
  */
 const MAX_DRIFT_MS = 50;
 
 /**
- * For ages that must never seem smaller than they are. A suspended host's steady
- * clock stands still while the time of day goes on, so what the time of day gains
- * counts as time. A time of day that is set forward looks the same and makes
- * ages too large; one that is set back changes nothing.
+ * Prevents ages from being underestimated after a suspension, during which
+ * only the wall clock advances, by adding the wall clock's gain to the
+ * monotonic time. A wall clock that is set forward makes ages too large; one
+ * that is set back has no effect.
  */
 export class SuspensionAwareClock implements Clock {
   private suspendedMs = 0;
-  private distanceMs: number;
+  private wallOffsetMs: number;
 
   constructor(private readonly clock: Clock) {
-    this.distanceMs = this.measure();
+    this.wallOffsetMs = this.measureWallOffset();
   }
 
   wallMs(): number {
@@ -26,9 +26,9 @@
   }
 
   monotonicMs(): number {
-    const distanceMs = this.measure();
-    const gainedMs = distanceMs - this.distanceMs;
-    if (Math.abs(gainedMs) > MAX_DRIFT_MS) this.distanceMs = distanceMs;
+    const wallOffsetMs = this.measureWallOffset();
+    const gainedMs = wallOffsetMs - this.wallOffsetMs;
+    if (Math.abs(gainedMs) > MAX_DRIFT_MS) this.wallOffsetMs = wallOffsetMs;
     if (gainedMs > MAX_DRIFT_MS) this.suspendedMs += gainedMs;
     return this.clock.monotonicMs() + this.suspendedMs;
   }
@@ -37,7 +37,7 @@
     return this.clock.setTimer(delayMs, callback);
   }
 
-  private measure(): number {
+  private measureWallOffset(): number {
     return this.clock.wallMs() - this.clock.monotonicMs();
   }
 }
--- a/packages/clock/src/system_clock.ts
+++ b/packages/clock/src/system_clock.ts
@@ -1,9 +1,9 @@
 import {type Clock, type Timer} from './clock.js';
 
-/** The longest delay a Node timer takes; longer ones fire at once. */
+/** The maximum delay of a Node timer; a longer one fires immediately. */
 const MAX_TIMER_MS = 2_147_483_647;
 
-/** The clock of the machine. */
+/** The system's wall clock, monotonic clock and timers. */
 export class SystemClock implements Clock {
   wallMs(): number {
     return Date.now();
