--- a/packages/agreed-state/src/agreed_state.ts
+++ b/packages/agreed-state/src/agreed_state.ts
@@ -90,7 +90,7 @@
     if (offset < this.nextOffset || !this.isSupported) return [];
     if (offset > this.nextOffset) {
       throw new RangeError(
-        `Append offset ${offset} is out of order; expected ${this.nextOffset}.`,
+        `Append ${offset} is not next; expected ${this.nextOffset}.`,
       );
     }
     const applied = decodeBatch(data).map(entry =>
@@ -115,13 +115,10 @@
 
   private applyOnce(record: AgreedRecord): Outcome {
     if (this.recentRecordIds.has(record.recordId)) {
-      return makeVoid(
-        'duplicate',
-        'A record with this id was already applied.',
-      );
+      return makeVoid('duplicate', 'The record was folded before.');
     }
     if (record.basisSequence < this.sequence - BASIS_HORIZON) {
-      return makeVoid('stale-basis', 'The basis of the record is too old.');
+      return makeVoid('stale-basis', 'The record was written too long ago.');
     }
     this.recentRecordIds.add(record.recordId, this.sequence);
     return this.apply(record);
@@ -171,10 +168,7 @@
 
   private noteCheckpoint(body: BodyOf<'note-checkpoint'>): Outcome {
     if (body.coversSequence <= this.checkpointSequence) {
-      return makeVoid(
-        'duplicate',
-        'A checkpoint that covers this sequence number is already recorded.',
-      );
+      return makeVoid('duplicate', 'A newer checkpoint was noted.');
     }
     this.checkpointSequence = body.coversSequence;
     return VALID;
@@ -193,10 +187,7 @@
    */
   private activateRules(version: number): Outcome {
     if (version <= this.nextRulesVersion) {
-      return makeVoid(
-        'version-conflict',
-        'This rules version or a newer one is already active.',
-      );
+      return makeVoid('version-conflict', 'These rules are in force already.');
     }
     this.nextRulesVersion = version;
     return VALID;
@@ -229,7 +220,7 @@
   static fromBytes(data: Uint8Array): AgreedState {
     const snapshot = unpack(data) as StateSnapshot;
     if (snapshot?.form !== SNAPSHOT_FORMAT) {
-      throw new RangeError('The checkpoint has an unknown format.');
+      throw new RangeError('The checkpoint has an unknown form.');
     }
     const state = new AgreedState();
     state.rulesVersion = snapshot.rulesVersion;
--- a/packages/agreed-state/src/configuration/configuration.ts
+++ b/packages/agreed-state/src/configuration/configuration.ts
@@ -207,7 +207,7 @@
       `${key} is at version ${current}, not ${body.expectedVersion}` +
         (recordSequence === undefined
           ? '.'
-          : `; record ${recordSequence} published it.`),
+          : `; record ${recordSequence} put it there.`),
     );
   }
 
@@ -294,7 +294,7 @@
     if (!content) {
       return {
         faults: [
-          `templateVersion: version ${version} of ${name} is not available; ` +
+          `templateVersion: version ${version} of ${name} is not kept; ` +
             `use ${latest.version}`,
         ],
       };
--- a/packages/agreed-state/src/placement/placement.ts
+++ b/packages/agreed-state/src/placement/placement.ts
@@ -152,10 +152,7 @@
   extend(body: BodyOf<'extend-slots'>): Outcome {
     const slots = body.slotIds.map(slotId => this.slots.get(slotId));
     if (slots.some(slot => !slot || slot.status === 'ending')) {
-      return makeVoid(
-        'unknown-reference',
-        'A slot does not exist or is ending.',
-      );
+      return makeVoid('unknown-reference', 'A slot is gone or ending.');
     }
     const extended = (slots as Slot[]).filter(
       slot => slot.untilMs < body.untilMs,
@@ -190,10 +187,7 @@
         slot.status !== 'ending',
     );
     if (hasInvalidSlot) {
-      return makeVoid(
-        'unknown-reference',
-        'A slot is not in status `ending` on this backend server.',
-      );
+      return makeVoid('unknown-reference', 'A slot is not ending here.');
     }
     const inDoubtId = body.slotIds.find(slotId =>
       this.stewardship.isInDoubt(body.backendServerId, slotId),
@@ -201,7 +195,7 @@
     if (inDoubtId !== undefined) {
       return makeVoid(
         'in-doubt',
-        `A former steward may still load slot ${inDoubtId}.`,
+        `An earlier steward may still load slot ${inDoubtId}.`,
       );
     }
     (slots as Slot[]).forEach(slot => this.remove(slot));
@@ -248,7 +242,7 @@
     const isRepeated =
       ids.size < body.slots.length ||
       body.slots.some(plan => this.slots.has(plan.slotId));
-    if (isRepeated) return makeVoid('invalid-content', 'A slot id is reused.');
+    if (isRepeated) return makeVoid('invalid-content', 'A slot id repeats.');
     const faults = body.slots
       .map(plan => this.findSlotFault(plan, body.purpose))
       .filter(fault => fault !== null);
@@ -262,16 +256,16 @@
     purpose: Slot['purpose'],
   ): string | null {
     if (plan.untilMs <= plan.loadAtMs) {
-      return `Slot ${plan.slotId} does not end after its load time.`;
+      return `Slot ${plan.slotId} ends before it is loaded.`;
     }
     if (plan.stage && plan.stage.untilMs > plan.loadAtMs) {
-      return `Slot ${plan.slotId} has a stage that ends after its load time.`;
+      return `Slot ${plan.slotId} is staged after it is loaded.`;
     }
     const server = this.stewardship.findBackendServer(plan.backendServerId);
     if (!server) return `There is no backend server ${plan.backendServerId}.`;
     const allowance = this.findAllowance(purpose, plan);
     if (!allowance) {
-      return `${formatPurpose(purpose)} has no need that matches ${plan.model}.`;
+      return `${formatPurpose(purpose)} needs no ${plan.model}.`;
     }
     if (server.pool !== allowance.pool) {
       return `${plan.model} runs in pool ${allowance.pool}, not ${server.pool}.`;
@@ -322,8 +316,8 @@
           sameModel.length > allowance.replicas + allowance.maxSurge ||
           originals.length > allowance.replicas;
         return isTooMany
-          ? `${plan.model} is limited to ${allowance.replicas} replicas ` +
-              `and ${allowance.maxSurge} replacements.`
+          ? `${plan.model} may have ${allowance.replicas} replicas ` +
+              `and ${allowance.maxSurge} for lost ones.`
           : null;
       })
       .find(message => message !== null);
@@ -345,8 +339,8 @@
     return overcommitted
       ? makeVoid(
           'memory-exceeded',
-          `${overcommitted.backendServerId} has too little memory for ` +
-            `${overcommitted.model} in that time range.`,
+          `${overcommitted.backendServerId} has no room for ` +
+            `${overcommitted.model} at that time.`,
         )
       : null;
   }
--- a/packages/agreed-state/src/stewardship/stewardship.ts
+++ b/packages/agreed-state/src/stewardship/stewardship.ts
@@ -110,10 +110,7 @@
       return VALID;
     }
     if (JSON.stringify(entry.server) === JSON.stringify(server)) {
-      return makeVoid(
-        'duplicate',
-        'The backend server is already registered with these values.',
-      );
+      return makeVoid('duplicate', 'The backend server is registered so.');
     }
     entry.server = server;
     return VALID;
@@ -164,10 +161,7 @@
     }
     return apply(entry)
       ? VALID
-      : makeVoid(
-          'version-conflict',
-          'The backend server is already in that state.',
-        );
+      : makeVoid('version-conflict', 'It is in that state already.');
   }
 
   /** @param slotIds slots for which the former holder may have sent orders. */
@@ -204,10 +198,7 @@
   yield(body: BodyOf<'yield-steward'>, author: NodeIncarnation): Outcome {
     const claim = this.findClaim(body.backendServerId);
     if (claim?.epoch !== body.epoch || claim.holder !== author) {
-      return makeVoid(
-        'stale-epoch',
-        'The author does not hold the claim with this epoch.',
-      );
+      return makeVoid('stale-epoch', 'The author does not hold this epoch.');
     }
     claim.isYielded = true;
     return VALID;
@@ -217,16 +208,10 @@
     const entry = this.entries.get(body.backendServerId);
     const doubt = entry?.doubts.find(other => other.epoch === body.epoch);
     if (!entry || !doubt) {
-      return makeVoid(
-        'unknown-reference',
-        'No doubt is recorded for this epoch.',
-      );
+      return makeVoid('unknown-reference', 'There is no such doubt.');
     }
     if (body.evidence === 'acknowledged' && author !== doubt.formerHolder) {
-      return makeVoid(
-        'stale-epoch',
-        'Only the former holder may acknowledge the doubt.',
-      );
+      return makeVoid('stale-epoch', 'Only the former holder may say so.');
     }
     entry.doubts = entry.doubts.filter(other => other !== doubt);
     return VALID;
--- a/packages/answer-streams/src/abort_error.ts
+++ b/packages/answer-streams/src/abort_error.ts
@@ -7,7 +7,7 @@
   if (reason instanceof TypedError) return reason;
   return new TypedError(
     'deadline-exceeded',
-    'The response was not complete by the deadline.',
+    'The answer was not whole by the deadline.',
     {run: 'unknown'},
   );
 }
--- a/packages/answer-streams/src/answer_reader.ts
+++ b/packages/answer-streams/src/answer_reader.ts
@@ -122,7 +122,7 @@
     if (this.responseBytes <= maxAnswerBytes) return ready;
     throw new TypedError(
       'answer-too-large',
-      `The response has more than ${maxAnswerBytes} bytes.`,
+      `The answer has more than ${maxAnswerBytes} bytes.`,
       {run: 'unknown'},
     );
   }
@@ -204,7 +204,7 @@
     const {nextId} = this.sequencer;
     return new TypedError(
       'stream-broken',
-      `The response could not be read from event ${nextId} on.`,
+      `The rest of the answer from event ${nextId} on could not be had.`,
       {run: 'unknown', cause: cause ?? undefined, info: {nextId}},
     );
   }
--- a/packages/answer-streams/src/continue_elsewhere.ts
+++ b/packages/answer-streams/src/continue_elsewhere.ts
@@ -108,9 +108,9 @@
 
   accept(event: StreamEvent): StreamEvent[] {
     if (this.isVerified) return [{id: this.nextId++, data: event.data}];
-    if (isEndOfAnswer(event)) throw diverged('the second response is shorter');
+    if (isEndOfAnswer(event)) throw diverged('the second answer is shorter');
     const chunk = parseChunk(event);
-    if (!chunk) throw diverged('the second response is not plain text');
+    if (!chunk) throw diverged('the second answer is not plain text');
     return this.skipPrefix(chunk);
   }
 
@@ -128,7 +128,7 @@
 
   private verify(): void {
     if (this.repeated.digest() !== this.deliveredDigest) {
-      throw diverged('the second response begins with different text');
+      throw diverged('the second answer begins otherwise');
     }
     this.isVerified = true;
   }
@@ -166,10 +166,10 @@
 function diverged(reason: string): DivergedError {
   return new DivergedError(
     'stream-broken',
-    `The response cannot be continued on another backend server: ${reason}.`,
+    `The answer cannot be continued on another backend server: ${reason}.`,
     {
       run: 'unknown',
-      remedy: 'Discard this response and send the request again.',
+      remedy: 'Send the request again and drop this answer.',
     },
   );
 }
--- a/packages/answer-streams/src/event_parser.ts
+++ b/packages/answer-streams/src/event_parser.ts
@@ -28,7 +28,7 @@
     if (this.isTooLarge) {
       throw new TypedError(
         'answer-too-large',
-        `An event of the response has more than ${this.maxEventChars} characters.`,
+        `One event of the answer has more than ${this.maxEventChars} characters.`,
         {run: 'unknown'},
       );
     }
--- a/packages/answer-streams/src/whole_answer.ts
+++ b/packages/answer-streams/src/whole_answer.ts
@@ -50,7 +50,7 @@
         stream.close();
         throw new TypedError(
           'answer-too-large',
-          `The response has more than ${maxAnswerBytes} bytes.`,
+          `The answer has more than ${maxAnswerBytes} bytes.`,
           {run: 'ran'},
         );
       }
@@ -65,19 +65,20 @@
 function toReadError(thrown: unknown, signal: AbortSignal): TypedError {
   if (signal.aborted) return asAbortError(signal);
   if (thrown instanceof TypedError) return thrown;
-  return makeFailure('The response was truncated.', toTypedError(thrown));
+  return makeFailure('The answer was cut short.', toTypedError(thrown));
 }
 
 /** Guards against an engine that sends the response of another request. */
 function checkResponse(body: Buffer, requestId: string): void {
   const parsed = responseSchema.safeParse(parseJson(body));
-  if (!parsed.success) throw makeFailure('The JSON response is malformed.');
+  if (!parsed.success)
+    throw makeFailure('The answer is not a whole JSON answer.');
   const {request_id: requestIdInBody, id} = parsed.data;
   const isMatch =
     requestIdInBody === undefined
       ? !!id?.includes(requestId)
       : requestIdInBody === requestId;
-  if (!isMatch) throw makeFailure('The response belongs to another request.');
+  if (!isMatch) throw makeFailure("The answer is another request's.");
 }
 
 function parseJson(body: Buffer): unknown {
--- a/packages/serve-callers/src/caller_server.ts
+++ b/packages/serve-callers/src/caller_server.ts
@@ -28,7 +28,7 @@
   server.setNotFoundHandler((incoming, reply) => {
     sendError(
       reply,
-      new TypedError('not-found', `No route matches ${incoming.url}.`, {
+      new TypedError('not-found', `There is no ${incoming.url}.`, {
         run: 'not-run',
       }),
     );
--- a/packages/serve-callers/src/claim_runner.ts
+++ b/packages/serve-callers/src/claim_runner.ts
@@ -130,7 +130,7 @@
           return this.runGranted(result.grant, keyed.request, start);
         case 'orphaned':
           throw makeOutcomeUnknown(
-            'The node that claimed the key failed and reported no outcome.',
+            'The node that claimed the key was lost before it told the outcome.',
           );
         case 'released':
           throw makeReleasedError();
@@ -197,7 +197,7 @@
 function makeReleasedError(): TypedError {
   return new TypedError(
     'backend-unreachable',
-    'An earlier request with this key could not be sent to a backend server.',
+    'Another request with the key came first and could not be handed over.',
     {run: 'not-run', retryAfterMs: RETRY_AFTER_MS},
   );
 }
@@ -206,12 +206,12 @@
 function makeClockError(): TypedError {
   return new TypedError(
     'bad-key',
-    "The timestamp in the key is ahead of this node's clock.",
+    "The date in the key is ahead of this node's clock.",
     {
       run: 'unknown',
       remedy:
-        'This attempt sent nothing. Correct the clock that dated the key, or ' +
-        'use a key that starts with a keyPrefix from /v1/entries.',
+        'This attempt sent nothing. Correct the clock that the key was made ' +
+        'by, or use a key under the keyPrefix of /v1/entries.',
     },
   );
 }
--- a/packages/serve-callers/src/completion_request.ts
+++ b/packages/serve-callers/src/completion_request.ts
@@ -43,7 +43,7 @@
   }
   const {model, stream, prompt, messages} = parsed.data;
   if (messages === undefined && prompt == null) {
-    throw makeError('bad-request', 'body: messages or prompt is required.');
+    throw makeError('bad-request', 'body: give either messages or a prompt.');
   }
   const selection = selectModel(model, configuration);
   return {
@@ -63,10 +63,10 @@
 ): ModelSelection {
   const [model = '', adapter = null, ...rest] = text.split(ADAPTER_SEPARATOR);
   const content = configuration.find('model', model)?.content;
-  if (!content) throw makeError('not-found', `Model ${model} does not exist.`);
+  if (!content) throw makeError('not-found', `There is no model ${model}.`);
   const isKnown = adapter === null || Object.hasOwn(content.adapters, adapter);
   if (isKnown && rest.length === 0) return {model, adapter};
-  throw makeError('not-found', `Model ${text} does not exist.`);
+  throw makeError('not-found', `There is no model ${text}.`);
 }
 
 /** The inverse of `selectModel`. */
@@ -78,7 +78,7 @@
   try {
     return JSON.parse(body.toString('utf8'));
   } catch {
-    throw makeError('bad-request', 'The body is not valid JSON.');
+    throw makeError('bad-request', 'The body is not JSON.');
   }
 }
 
--- a/packages/serve-callers/src/completion_routes.ts
+++ b/packages/serve-callers/src/completion_routes.ts
@@ -38,13 +38,9 @@
         method: ['GET', 'PUT', 'DELETE', 'PATCH'],
         url: path,
         handler: () => {
-          throw new TypedError(
-            'method-not-allowed',
-            `${path} only supports POST.`,
-            {
-              run: 'not-run',
-            },
-          );
+          throw new TypedError('method-not-allowed', `POST to ${path}.`, {
+            run: 'not-run',
+          });
         },
       });
     });
--- a/packages/serve-callers/src/drain_hooks.ts
+++ b/packages/serve-callers/src/drain_hooks.ts
@@ -57,7 +57,7 @@
       // The node has not loaded the teams and would answer `unauthorized`.
       throw new TypedError('overloaded', 'The node is starting.', {
         run,
-        remedy: 'Ask another node for /v1/entries, or wait for Retry-After.',
+        remedy: 'Ask /v1/entries of another node, or wait for Retry-After.',
         retryAfterMs: START_RETRY_MS,
       });
     case 'refusing':
--- a/packages/serve-callers/src/engine_streams.ts
+++ b/packages/serve-callers/src/engine_streams.ts
@@ -36,7 +36,7 @@
   if (response.statusCode === HTTP_OK) return takeStream(response);
   await response.body.dump();
   throw response.statusCode === HTTP_NOT_FOUND
-    ? new TypedError('not-found', 'The engine no longer has the request.')
+    ? new TypedError('not-found', 'The engine does not keep the request.')
     : new TypedError(
         'backend-failed',
         `The engine answered with status ${response.statusCode}.`,
--- a/packages/serve-callers/src/request_options.ts
+++ b/packages/serve-callers/src/request_options.ts
@@ -89,7 +89,7 @@
   if (typeof key === 'string' && KEY_REGEX.test(key)) return key;
   throw new TypedError(
     'bad-key',
-    'An Idempotency-Key must have 1 to 255 visible ASCII characters.',
+    'An Idempotency-Key has 1 to 255 visible ASCII characters.',
     {run: 'not-run'},
   );
 }
--- a/packages/serve-callers/src/resume_routes.ts
+++ b/packages/serve-callers/src/resume_routes.ts
@@ -71,9 +71,8 @@
 }
 
 function makeNotFound(): TypedError {
-  return new TypedError('not-found', 'No request with this id was found.', {
-    remedy:
-      'Use the x-request-id of an answer to this team, or repeat the request.',
+  return new TypedError('not-found', 'There is no such request.', {
+    remedy: 'Use the x-request-id of an answer to this team; send it again.',
   });
 }
 
@@ -84,14 +83,10 @@
   const {stewardship} = context.state();
   const server = stewardship.findBackendServer(backendServerId);
   if (server) return {baseUrl: server.baseUrl, engineRequestId};
-  throw new TypedError(
-    'stream-broken',
-    'The backend server that ran the request is gone.',
-    {
-      run: 'unknown',
-      remedy: 'Send the request again and drop this answer.',
-    },
-  );
+  throw new TypedError('stream-broken', 'The backend server is gone.', {
+    run: 'unknown',
+    remedy: 'Send the request again and drop this answer.',
+  });
 }
 
 async function resume(
--- a/packages/serve-callers/src/service_dispatch.ts
+++ b/packages/serve-callers/src/service_dispatch.ts
@@ -78,7 +78,7 @@
   const candidates = listUntried(call, tried, context);
   const id = context.router.choose({candidates, excluded: tried});
   if (id !== null) return id;
-  throw new TypedError('overloaded', 'No backend server is available.', {
+  throw new TypedError('overloaded', 'No backend server is there.', {
     run: 'not-run',
     retryAfterMs: RETRY_AFTER_MS,
   });
@@ -98,11 +98,7 @@
 }
 
 function makeDeadlineExceeded(): TypedError {
-  return new TypedError(
-    'deadline-exceeded',
-    'The deadline passed before the call was sent.',
-    {
-      run: 'not-run',
-    },
-  );
+  return new TypedError('deadline-exceeded', 'There was no time left.', {
+    run: 'not-run',
+  });
 }
--- a/packages/serve-callers/src/service_routes.ts
+++ b/packages/serve-callers/src/service_routes.ts
@@ -174,14 +174,10 @@
 ): TypedError {
   if (error.kind !== 'outcome-unknown') return error;
   return hasTimedOut
-    ? new TypedError(
-        'deadline-exceeded',
-        'No answer arrived before the deadline.',
-        {
-          run: 'unknown',
-        },
-      )
-    : new TypedError('backend-failed', 'The answer was lost or incomplete.', {
+    ? new TypedError('deadline-exceeded', 'No answer came in time.', {
+        run: 'unknown',
+      })
+    : new TypedError('backend-failed', 'The answer broke off.', {
         run: 'unknown',
         cause: error,
       });
@@ -195,7 +191,7 @@
     .state()
     .configuration.find('service', service)?.content;
   if (content && Object.hasOwn(content.calls, call)) return content;
-  throw new TypedError('not-found', `Call ${service}/${call} does not exist.`, {
+  throw new TypedError('not-found', `There is no call ${service}/${call}.`, {
     run: 'not-run',
   });
 }
--- a/packages/serve-callers/src/stream_scope.ts
+++ b/packages/serve-callers/src/stream_scope.ts
@@ -21,13 +21,9 @@
   const merged = mergeSignals(others);
   const timer = clock.setTimer(deadlineMs, () =>
     merged.abort(
-      new TypedError(
-        'deadline-exceeded',
-        `The request exceeded its deadline of ${deadlineMs} ms.`,
-        {
-          run: 'unknown',
-        },
-      ),
+      new TypedError('deadline-exceeded', `It took over ${deadlineMs} ms.`, {
+        run: 'unknown',
+      }),
     ),
   );
   return {
--- a/packages/serve-callers/src/ticket_runner.ts
+++ b/packages/serve-callers/src/ticket_runner.ts
@@ -56,21 +56,18 @@
   ): Promise<UnrepeatableAnswer> {
     const {owners, forward} = this.options;
     if (keyed.request.isForwarded) {
-      throw makeOutcomeUnknown('The process that issued the key has stopped.');
+      throw makeOutcomeUnknown('The key belongs to a process that is gone.');
     }
     const target = owners.findProcess(incarnation);
     if (!target) return this.findOutcome(incarnation, keyed);
     try {
       const relayed = await forward(target, keyed.request);
       if (isNodeAnswer(relayed)) return relayed;
-      throw makeOutcomeUnknown('The node that issued the key is stopping.');
+      throw makeOutcomeUnknown('The node that keeps the key is stopping.');
     } catch (thrown) {
       const error = toTypedError(thrown);
       if (error.run === 'not-run') return this.findOutcome(incarnation, keyed);
-      throw makeOutcomeUnknown(
-        'The node that issued the key did not report the outcome.',
-        error,
-      );
+      throw makeOutcomeUnknown('The node that keeps the key was lost.', error);
     }
   }
 
--- a/packages/serve-callers/src/unrepeatable_answers.ts
+++ b/packages/serve-callers/src/unrepeatable_answers.ts
@@ -67,7 +67,7 @@
   relayed: UnrepeatableAnswer,
 ): UnrepeatableAnswer {
   if (hasRunOutcome(relayed)) return relayed;
-  throw makeOutcomeUnknown('The node that owns the key has no answer.');
+  throw makeOutcomeUnknown('The keeper of the key has no answer.');
 }
 
 /**
@@ -80,13 +80,9 @@
   const error = readError(relayed);
   const isVerdict = error !== null && !isBeforeKeyLookup(error);
   if (hasRunOutcome(relayed) || isVerdict) return relayed;
-  throw new TypedError(
-    'platform-unavailable',
-    'The node that owns the key could not look it up.',
-    {
-      run: 'not-run',
-    },
-  );
+  throw new TypedError('platform-unavailable', 'The keeper is of no help.', {
+    run: 'not-run',
+  });
 }
 
 /** Returns the recorded answer, or throws the error for the verdict. */
@@ -100,19 +96,16 @@
     case 'never-run':
       throw new TypedError(
         'shutting-down',
-        'The node that issued the key stopped before it ran the request.',
+        'The node that the key belonged to stopped before it ran the key.',
         {
           run: 'not-run',
-          remedy:
-            'Use a new key that starts with a keyPrefix from /v1/entries.',
+          remedy: 'Send it with a new key, under a keyPrefix of /v1/entries.',
         },
       );
     case 'no-table':
-      throw makeOutcomeUnknown('The process that issued the key has stopped.');
+      throw makeOutcomeUnknown('The key belongs to a process that is gone.');
     case 'unknown':
-      throw makeOutcomeUnknown(
-        'The outcome of the request with this key is unknown.',
-      );
+      throw makeOutcomeUnknown('The outcome of this key is not known.');
   }
 }
 
--- a/packages/serve-callers/src/unrepeatable_runner.ts
+++ b/packages/serve-callers/src/unrepeatable_runner.ts
@@ -46,14 +46,14 @@
   ): Promise<UnrepeatableAnswer> {
     const {idempotencyKey} = request;
     if (idempotencyKey === null) {
-      throw makeBadKey('A request that runs at most once needs a key.');
+      throw makeBadKey('This request runs at most once and needs a key.');
     }
     const reading = this.options.mint.read(idempotencyKey);
     switch (reading.status) {
       case 'ticket':
         return this.tickets.run(reading.ticket, request, start);
       case 'forged':
-        throw makeBadKey('The key has a prefix that no node has issued.');
+        throw makeBadKey('The key has a prefix that no node has given out.');
       case 'not-a-ticket':
         return this.runWithDatedKey(idempotencyKey, request, start);
     }
@@ -65,7 +65,7 @@
     start: StartRun,
   ): Promise<UnrepeatableAnswer> {
     const dated = readDatedKey(text);
-    if (!dated) throw makeBadKey('The key contains no timestamp.');
+    if (!dated) throw makeBadKey('The key does not carry its date.');
     return this.claims.run(dated, request, start);
   }
 }
