--- a/packages/node/src/checkpoint_task.ts
+++ b/packages/node/src/checkpoint_task.ts
@@ -1,6 +1,6 @@
 /**
- * Writes checkpoints well within the time that the log keeps records, and
- * reads the newest one when this node starts or fell behind.
+ * Writes checkpoints before the log drops the records they cover, and reads the
+ * newest checkpoint when this node starts or has fallen behind.
  */
 import {type AgreedState} from '@mimosatack/agreed-state';
 import {CheckpointStore} from '@mimosatack/checkpoints';
@@ -10,36 +10,35 @@
 import {type LogService} from '@mimosatack/platform';
 import {Task, type TaskErrorHandler} from '@mimosatack/tasks';
 
-/** What the task is told. */
 export type CheckpointMessage = {type: 'tick'};
 
-/** What the task needs of the node. */
 export interface CheckpointTaskOptions {
   clock: Clock;
   logger: EventLogger;
   follower: LogFollower;
   log: LogService;
   stream: string;
-  /** Records after which a checkpoint is due. */
+  /** Number of records after which a checkpoint is due. */
   everyRecords: number;
-  /** Time after which one is due even when nothing changed. */
+  /** Time after which a checkpoint is due, even without new records. */
   intervalMs: number;
-  /** The place of this node among those that may write; 0 is first. */
+  /**
+   * Rank of this node among those that may write a checkpoint; 0 writes first.
+   */
   findRank(): number;
   submitTimeoutMs: number;
 }
 
-/** How much longer each next node waits before it writes instead. */
-const RANK_FACTOR = 0.5;
+/** Extra delay per rank, as a share of `everyRecords` and `intervalMs`. */
+const RANK_DELAY_FACTOR = 0.5;
 
-/** The task that writes and reads checkpoints. */
 export class CheckpointTask
   extends Task<CheckpointMessage>
   implements StateSource
 {
   private readonly store: CheckpointStore;
-  private notedSequence = 0;
-  private notedAtMs: number;
+  private lastCheckpointSequence = 0;
+  private lastCheckpointAtMs: number;
 
   constructor(
     private readonly options: CheckpointTaskOptions,
@@ -47,7 +46,7 @@
   ) {
     super('checkpoints', onError);
     this.store = new CheckpointStore(options.log, options.stream);
-    this.notedAtMs = options.clock.monotonicMs();
+    this.lastCheckpointAtMs = options.clock.monotonicMs();
   }
 
   pullState(): Promise<AgreedState | null> {
@@ -56,32 +55,34 @@
 
   protected async handle(_message: CheckpointMessage): Promise<void> {
     const {follower} = this.options;
-    this.noteOthers();
+    this.noteCheckpoints();
     const {hasState, isLogReachable} = follower.status;
     if (hasState && isLogReachable && this.isDue()) await this.write();
   }
 
-  /** Follows which checkpoints were noted in the log, by any node. */
-  private noteOthers(): void {
+  /** Records the newest checkpoint that any node has noted in the log. */
+  private noteCheckpoints(): void {
     const {checkpointSequence} = this.options.follower.state;
-    if (checkpointSequence <= this.notedSequence) return;
-    this.notedSequence = checkpointSequence;
-    this.notedAtMs = this.options.clock.monotonicMs();
+    if (checkpointSequence <= this.lastCheckpointSequence) return;
+    this.lastCheckpointSequence = checkpointSequence;
+    this.lastCheckpointAtMs = this.options.clock.monotonicMs();
   }
 
   /**
-   * The first node in rank writes when one is due. Should it not, each next
-   * one waits a little longer; two that write both do no harm.
+   * The node of rank 0 writes a due checkpoint; each lower-ranked node waits
+   * longer before it writes instead. Two checkpoints of the same state are
+   * harmless.
    */
   private isDue(): boolean {
     const {follower, clock, everyRecords, intervalMs} = this.options;
     const rank = this.options.findRank();
-    const patience = 1 + RANK_FACTOR * Math.max(0, rank);
-    const records = follower.state.sequence - this.notedSequence;
-    const sinceMs = clock.monotonicMs() - this.notedAtMs;
+    const delayFactor = 1 + RANK_DELAY_FACTOR * Math.max(0, rank);
+    const records = follower.state.sequence - this.lastCheckpointSequence;
+    const sinceMs = clock.monotonicMs() - this.lastCheckpointAtMs;
     return (
       follower.state.sequence > 0 &&
-      (records >= everyRecords * patience || sinceMs >= intervalMs * patience)
+      (records >= everyRecords * delayFactor ||
+        sinceMs >= intervalMs * delayFactor)
     );
   }
 
@@ -94,7 +95,7 @@
       coversOffset: nextOffset,
       sizeBytes,
     });
-    this.notedAtMs = this.options.clock.monotonicMs();
+    this.lastCheckpointAtMs = this.options.clock.monotonicMs();
     await follower.submit(
       {
         type: 'note-checkpoint',
--- a/packages/node/src/claim_task.ts
+++ b/packages/node/src/claim_task.ts
@@ -1,11 +1,13 @@
-/** The claims of this node: which partitions it keeps, and who keeps others. */
+/**
+ * The claims of this node: which partitions of idempotency keys it keeps, and
+ * which nodes keep the others.
+ */
 import {ClaimKeys, DEFAULT_CLAIM_OPTIONS} from '@mimosatack/claim-keys';
 import {type Clock} from '@mimosatack/clock';
 import {type Member} from '@mimosatack/membership';
 import {HttpLogService} from '@mimosatack/platform';
 import {type RandomSource} from '@mimosatack/random';
 
-/** What the task needs of the node. */
 export interface ClaimTaskOptions {
   clock: Clock;
   random: RandomSource;
@@ -14,15 +16,14 @@
   logUrl: string;
   logTimeoutMs: number;
   listMembers(): Member[];
-  /** The nodes that come first for a key and reach the log. */
-  listFirst(key: string): readonly Member[];
+  /** The highest-ranked nodes for a key, of those that reach the log. */
+  listTopRanked(key: string): readonly Member[];
 }
 
-const FLUSH_MS = 3_000;
-/** One read and one append for every partition. */
+const FLUSH_TIMEOUT_MS = 3_000;
+/** One read and one append per partition. */
 const LOG_CONNECTIONS = 2 * DEFAULT_CLAIM_OPTIONS.partitionCount;
 
-/** The task that owns the claims of this node. */
 export class ClaimTask {
   readonly keys: ClaimKeys;
   private readonly log: HttpLogService;
@@ -41,27 +42,27 @@
     });
   }
 
-  /** The node that keeps a partition, or null when this one does. */
+  /** The node that keeps a partition, or null if this node keeps it. */
   findKeeper(partition: number): {incarnation: string; baseUrl: string} | null {
-    const keeper = this.rankFirst(partition);
+    const keeper = this.findKeeperMember(partition);
     if (!keeper || this.isSelf(keeper)) return null;
     return {incarnation: keeper.incarnation, baseUrl: keeper.callerBaseUrl};
   }
 
   tick(): void {
     this.keys.tick(partition => {
-      const keeper = this.rankFirst(partition);
+      const keeper = this.findKeeperMember(partition);
       return keeper !== undefined && this.isSelf(keeper);
     });
   }
 
   async stop(): Promise<void> {
-    await this.keys.stop(FLUSH_MS);
+    await this.keys.stop(FLUSH_TIMEOUT_MS);
     await this.log.close();
   }
 
-  private rankFirst(partition: number): Member | undefined {
-    return this.options.listFirst(`claims ${partition}`)[0];
+  private findKeeperMember(partition: number): Member | undefined {
+    return this.options.listTopRanked(`claims ${partition}`)[0];
   }
 
   private isSelf(member: Member): boolean {
--- a/packages/node/src/obituary.ts
+++ b/packages/node/src/dead_processes.ts
@@ -1,8 +1,9 @@
 /**
- * Which processes of the system are proved dead. Silence proves nothing: a
- * frozen process is silent too and goes on when it is thawed. Proof is that
- * its host is not on the platform's list, or that another process answers at
- * its address; either must hold for so long that its last orders have arrived.
+ * Collects evidence that processes of the system are dead. Missing replies are
+ * no evidence: a paused process does not reply either, and continues when it is
+ * resumed. Evidence is that the host of the process is missing from the
+ * platform's list, or that another process answers at its address; either must
+ * last until the last orders of the process have arrived.
  */
 import {type Clock} from '@mimosatack/clock';
 import {type Member} from '@mimosatack/membership';
@@ -12,34 +13,34 @@
 interface KnownProcess {
   nodeName: string;
   peerAddress: string;
-  /** Since when another process has answered at its address. */
+  /** When another process was first seen at the address; null if none was. */
   replacedSinceMs: number | null;
 }
 
 /**
- * How long a host must be missing that this node never saw on a list: the
- * list lags, and a new host may not be on it yet.
+ * How long a host that was never listed must be missing: the list lags, and may
+ * not name a new host yet.
  */
-const UNSEEN_SETTLE_MS = 60 * 60 * 1000;
+const UNLISTED_CONFIRM_MS = 60 * 60 * 1000;
 
-/** How many processes are remembered. */
-const MAX_KNOWN = 2_048;
+const MAX_PROCESSES = 2_048;
 
-/** The processes that are proved dead, with the proof. */
-export class Obituary {
+export class DeadProcesses {
   private readonly known = new Map<NodeIncarnation, KnownProcess>();
-  /** Entry hosts on the newest list; null while no list names any. */
+  /** Entry hosts on the newest list; null if that list names none. */
   private listed: ReadonlySet<string> | null = null;
   private readonly everListed = new Set<string>();
   private readonly absentSinceMs = new Map<string, number>();
 
-  /** @param settleMs how long a proof must hold before it counts. */
+  /** @param confirmMs how long evidence must last before it counts. */
   constructor(
     private readonly clock: Clock,
-    private readonly settleMs: number,
+    private readonly confirmMs: number,
   ) {}
 
-  /** Takes in a fresh host list; the name of a node is its host's id there. */
+  /**
+   * Reads a new host list, in which the id of an entry host is the node's name.
+   */
   noteHosts(hosts: readonly HostEntry[]): void {
     const entryIds = hosts
       .filter(host => host.role === 'entry')
@@ -64,20 +65,22 @@
     });
   }
 
-  /** The proof that a process is dead, once it has held for long enough. */
-  find(incarnation: NodeIncarnation): DeathEvidence | null {
+  /** The evidence that a process is dead, once it has lasted long enough. */
+  findEvidence(incarnation: NodeIncarnation): DeathEvidence | null {
     const nodeName = readNodeName(incarnation);
-    const absenceMs = this.everListed.has(nodeName)
-      ? this.settleMs
-      : UNSEEN_SETTLE_MS;
-    if (this.hasHeld(this.findAbsence(nodeName), absenceMs)) return 'host-gone';
+    const confirmMs = this.everListed.has(nodeName)
+      ? this.confirmMs
+      : UNLISTED_CONFIRM_MS;
+    if (this.isOlder(this.findAbsence(nodeName), confirmMs)) return 'host-gone';
     const replacedSinceMs = this.known.get(incarnation)?.replacedSinceMs;
-    return this.hasHeld(replacedSinceMs ?? null, this.settleMs)
+    return this.isOlder(replacedSinceMs ?? null, this.confirmMs)
       ? 'replaced'
       : null;
   }
 
-  /** Since when the host of a process has been missing from the list. */
+  /**
+   * When the host of a process was first missing from the list; null if listed.
+   */
   private findAbsence(nodeName: string): number | null {
     if (!this.listed || this.listed.has(nodeName)) return null;
     const sinceMs =
@@ -86,8 +89,8 @@
     return sinceMs;
   }
 
-  private hasHeld(sinceMs: number | null, forMs: number): boolean {
-    return sinceMs !== null && this.clock.monotonicMs() - sinceMs >= forMs;
+  private isOlder(sinceMs: number | null, thanMs: number): boolean {
+    return sinceMs !== null && this.clock.monotonicMs() - sinceMs >= thanMs;
   }
 
   private noteProcess(member: Member): void {
@@ -98,11 +101,11 @@
       replacedSinceMs: null,
     });
     const [oldest] = this.known.keys();
-    if (this.known.size > MAX_KNOWN && oldest) this.known.delete(oldest);
+    if (this.known.size > MAX_PROCESSES && oldest) this.known.delete(oldest);
   }
 }
 
-/** An incarnation is the node's name and a random part. */
+/** An incarnation is the node's name, a dot and a random part. */
 function readNodeName(incarnation: NodeIncarnation): string {
   return incarnation.slice(0, incarnation.lastIndexOf('.'));
 }
--- a/packages/node/src/demand_planner.ts
+++ b/packages/node/src/demand_planner.ts
@@ -1,14 +1,14 @@
-/** Plans the replicas for requests outside events. */
+/** Plans replicas for requests outside events. */
 import {type ResolvedEvent} from '@mimosatack/agreed-state';
 import {DemandTable, isDemandDue, planDemand} from '@mimosatack/plan-warming';
 import {type RecordBody} from '@mimosatack/records';
-import {makeDecision, makeEndings} from './plan_records.js';
+import {makeDecisionRecord, makeEndAndExtendRecords} from './plan_records.js';
 import {type PlannerTaskOptions} from './planner_task.js';
 import {type PlannerView} from './planner_view.js';
 
-const DEMAND_MEMORY_MS = 600_000;
+const DEMAND_RETENTION_MS = 600_000;
 
-/** What requests ask for, and the plans that follow from it. */
+/** Records which models are requested and plans replicas for them. */
 export class DemandPlanner {
   private readonly demand = new DemandTable();
 
@@ -21,12 +21,15 @@
     return this.demand.models;
   }
 
-  /** A request for `model` or `model:adapter` found no warm replica. */
+  /**
+   * Records that a request for `model` or `model:adapter` found no warm
+   * replica.
+   */
   noteMiss(modelText: string, nowMs: number): void {
     this.demand.noteMiss(modelText, nowMs);
   }
 
-  /** The models of an event that requests were refused for. */
+  /** The models of an event for which a request found no warm replica. */
   listMissed(event: ResolvedEvent): Set<string> {
     const missed = event.needs
       .map(need => need.model)
@@ -38,7 +41,7 @@
     this.view.listActiveModels().forEach(model => {
       this.demand.noteUse(model, nowMs);
     });
-    this.demand.forgetBefore(nowMs - DEMAND_MEMORY_MS);
+    this.demand.forgetBefore(nowMs - DEMAND_RETENTION_MS);
     return this.models.flatMap(model => this.planModel(model, nowMs));
   }
 
@@ -46,27 +49,32 @@
     const {state} = this.options.follower;
     const document = state.configuration.find('model', model);
     const demand = this.demand.find(model);
-    if (!document || this.view.isForEvent(model, demand.adapters)) return [];
+    if (!document || this.view.isEventDemand(model, demand.adapters)) return [];
     const purpose = {for: 'demand' as const, model};
-    const look = {
+    const planInput = {
       content: document.content,
       demand,
       held: this.view.listHeld(purpose),
       nowMs,
     };
-    if (!isDemandDue(look)) return [];
+    if (!isDemandDue(planInput)) return [];
     if (this.options.findRank(`demand ${model}`) !== 0) return [];
     const plan = planDemand({
       ...this.options,
       ...this.view.planningParts(),
-      ...look,
+      ...planInput,
       model,
       idleSlots: this.view.listIdleDemand(model, this.demand),
     });
-    this.view.take(plan.decide);
+    this.view.reserve(plan.decide);
     return [
-      ...makeEndings(plan),
-      ...makeDecision(state.placement, purpose, document.version, plan.decide),
+      ...makeEndAndExtendRecords(plan),
+      ...makeDecisionRecord(
+        state.placement,
+        purpose,
+        document.version,
+        plan.decide,
+      ),
     ];
   }
 }
--- a/packages/node/src/engine_steward.ts
+++ b/packages/node/src/engine_steward.ts
@@ -1,4 +1,4 @@
-/** The steward of one model engine under one claim. */
+/** Controls one model engine under one claim. */
 import {type BackendServer, type Slot} from '@mimosatack/agreed-state';
 import {type Clock, type Timer} from '@mimosatack/clock';
 import {type BackendReport} from '@mimosatack/engine-board';
@@ -18,9 +18,8 @@
   makeFencingNumber,
 } from '@mimosatack/steward-orders';
 import {type EngineState} from '@mimosatack/types';
-import {LostOrders} from './lost_orders.js';
+import {UnacknowledgedOrders} from './unacknowledged_orders.js';
 
-/** What one steward is built from. */
 export interface EngineStewardOptions {
   clock: Clock;
   logger: EventLogger;
@@ -29,40 +28,44 @@
   server: BackendServer;
   control: EngineControl;
   epoch: number;
-  /** 0 for the holder of the claim, else its place among the successors. */
+  /**
+   * 0 for the holder of the claim, else 1 plus the index among the successors.
+   */
   rank: number;
   publishReport(report: BackendReport, term: StewardTerm): void;
   submitTimeoutMs: number;
   orderDoubtMs: number;
   drain: DrainLimits;
-  /** What is known of the loads of a slot now. */
+  /** What is currently known about the loads of a slot. */
   outlook(slot: Slot): LoadOutlook;
 }
 
-/** Failed reads in a row after which an engine counts as unreachable. */
+/** Consecutive failed reads after which an engine counts as unreachable. */
 const MAX_FAILED_READS = 3;
-/** A read that failed is tried again after this, not at the next tick. */
+/** Delay before a failed read is repeated. */
 const RETRY_READ_MS = 50;
-/** A step that took longer was interrupted; what it saw is out of date. */
+/**
+ * A step that has taken longer was interrupted, and its engine state is stale.
+ */
 const MAX_STEP_MS = 3_000;
-/** Ticks come at least this often, so no later look needs a timer. */
-const MAX_LOOK_DELAY_MS = 1_000;
+/** Ticks come at least this often, so a later step needs no timer. */
+const MAX_STEP_DELAY_MS = 1_000;
 
-/** Reads one engine and sends it the orders that its slots call for. */
+/** Reads one engine and sends it the orders that its slots require. */
 export class EngineSteward {
   private memory = EMPTY_STEWARD_MEMORY;
-  private readonly lost: LostOrders;
+  private readonly unacknowledged: UnacknowledgedOrders;
   private readonly submitting = new Set<string>();
   private orderCount = 0;
   private failedReads = 0;
-  private current: Promise<void> | null = null;
-  private isOver = false;
-  private timer: Timer | null = null;
-  /** The engine process that has taken an order under this claim. */
+  private currentStep: Promise<void> | null = null;
+  private isRetired = false;
+  private stepTimer: Timer | null = null;
+  /** The engine process that has accepted an order under this claim. */
   private fencedIncarnation: string | null = null;
 
   constructor(private readonly options: EngineStewardOptions) {
-    this.lost = new LostOrders(
+    this.unacknowledged = new UnacknowledgedOrders(
       options.clock,
       options.server.fencing,
       options.orderDoubtMs,
@@ -78,39 +81,41 @@
   }
 
   /** Whether an order of this steward may still reach the engine. */
-  get hasOrdersOnTheWay(): boolean {
-    return this.current !== null || this.lost.list().size > 0;
+  get hasOrdersInFlight(): boolean {
+    return this.currentStep !== null || this.unacknowledged.list().size > 0;
   }
 
-  /** One look at the engine and what follows from it; never overlaps. */
+  /**
+   * Reads the engine and sends the orders that are due; steps do not overlap.
+   */
   async step(): Promise<void> {
-    if (this.current || this.isOver) return;
-    this.current = this.runStep();
-    await this.current;
-    this.current = null;
+    if (this.currentStep || this.isRetired) return;
+    this.currentStep = this.runStep();
+    await this.currentStep;
+    this.currentStep = null;
   }
 
-  /** Sends nothing more; resolves when the order in hand is answered. */
+  /** Stops sending orders; resolves when the running step has finished. */
   async retire(): Promise<void> {
-    this.isOver = true;
-    this.timer?.cancel();
-    await this.current;
+    this.isRetired = true;
+    this.stepTimer?.cancel();
+    await this.currentStep;
   }
 
   private async runStep(): Promise<void> {
     const startedMs = this.options.clock.monotonicMs();
     const engine = await this.readEngine();
     if (!engine || !this.maySend(startedMs)) return;
-    if (this.needsFence(engine)) return this.raiseFence(engine);
-    await this.act(engine, startedMs);
+    if (this.needsFence(engine)) return this.sendFence(engine);
+    await this.decideAndSend(engine, startedMs);
   }
 
   /**
-   * Guards against an order of the former steward that arrives after the
-   * engine was read: it would load a slot that is believed absent. An engine
-   * that refuses old numbers turns it down once it has taken any order under
-   * the new claim, so one that changes nothing is sent first, and again to
-   * each new process of the engine, which starts without a number.
+   * Guards against an order of the former steward that arrives after the engine
+   * was read and loads a slot that this steward believes absent. An engine with
+   * fencing refuses that order once it has accepted any order under the new
+   * claim, so a no-op unload is sent first. The fence is repeated for each new
+   * engine process, which starts without a fencing number.
    */
   private needsFence(engine: EngineState): boolean {
     return (
@@ -119,14 +124,14 @@
     );
   }
 
-  private async raiseFence(engine: EngineState): Promise<void> {
-    const isTaken = await this.send({
+  private async sendFence(engine: EngineState): Promise<void> {
+    const isAccepted = await this.send({
       order: 'unload',
       slotId: `fence-${this.options.epoch}`,
     });
-    if (!isTaken) return;
+    if (!isAccepted) return;
     this.fencedIncarnation = engine.incarnation;
-    this.lookAgain(this.options.clock.wallMs());
+    this.scheduleStep(this.options.clock.wallMs());
   }
 
   private async readEngine(): Promise<EngineState | null> {
@@ -138,7 +143,7 @@
     } catch {
       this.failedReads += 1;
       if (this.failedReads >= MAX_FAILED_READS) this.publish(null);
-      else this.lookAgain(this.options.clock.wallMs() + RETRY_READ_MS);
+      else this.scheduleStep(this.options.clock.wallMs() + RETRY_READ_MS);
       return null;
     }
   }
@@ -162,35 +167,43 @@
   }
 
   /**
-   * Guards against a process that was paused in a step and goes on with what
-   * it saw before. This makes a late order rare; that it does no harm follows
-   * from fencing numbers and doubts, never from this check.
+   * Guards against a process that was paused in a step and continues with stale
+   * state. The check only makes late orders rare; fencing numbers and recorded
+   * doubts make them harmless.
    */
   private maySend(startedMs: number): boolean {
     const {follower, control, epoch, clock} = this.options;
     const claim = follower.state.stewardship.findClaim(control.backendServerId);
     const isInTime = clock.monotonicMs() - startedMs <= MAX_STEP_MS;
-    return !this.isOver && isInTime && claim?.epoch === epoch;
+    return !this.isRetired && isInTime && claim?.epoch === epoch;
   }
 
-  private async act(engine: EngineState, startedMs: number): Promise<void> {
+  private async decideAndSend(
+    engine: EngineState,
+    startedMs: number,
+  ): Promise<void> {
     const step = this.decide(engine);
     this.memory = step.memory;
-    const orders = [...step.orders, ...this.listProbes(step)];
+    const orders = [...step.orders, ...this.listFenceOrders(step)];
     for (const intent of orders) {
       if (!this.maySend(startedMs)) return;
       await this.send(intent);
     }
     if (this.rank === 0) this.writeRecords(step);
-    if (step.lookAgainAtMs !== null) this.lookAgain(step.lookAgainAtMs);
+    if (step.lookAgainAtMs !== null) this.scheduleStep(step.lookAgainAtMs);
   }
 
-  /** Looks between two ticks if a load is due or under way. */
-  private lookAgain(atMs: number): void {
-    this.timer?.cancel();
+  /**
+   * Schedules a step before the next tick, for a load that is due or running.
+   */
+  private scheduleStep(atMs: number): void {
+    this.stepTimer?.cancel();
     const delayMs = atMs - this.options.clock.wallMs();
-    if (delayMs > MAX_LOOK_DELAY_MS) return;
-    this.timer = this.options.clock.setTimer(delayMs, () => void this.step());
+    if (delayMs > MAX_STEP_DELAY_MS) return;
+    this.stepTimer = this.options.clock.setTimer(
+      delayMs,
+      () => void this.step(),
+    );
   }
 
   private decide(engine: EngineState): StewardStep {
@@ -201,7 +214,7 @@
       slots,
       engine,
       memory: this.memory,
-      unresolved: this.lost.list(),
+      unresolved: this.unacknowledged.list(),
       hasDoubts: stewardship.listDoubts(engine.backendServerId).length > 0,
       memoryOfAdapter: (model, adapter) =>
         configuration.find('model', model)?.content.adapters[adapter]
@@ -214,8 +227,8 @@
   }
 
   /**
-   * Memory that an order of this or a former steward may still take: slots
-   * that are to be gone, are not there now, and may yet be loaded late.
+   * Memory that a late order of this or a former steward may still take: that
+   * of slots which have ended and are not loaded, but may yet be loaded late.
    */
   private sumReservedMib(
     slots: readonly Slot[],
@@ -230,25 +243,25 @@
       .filter(
         slot =>
           stewardship.isInDoubt(slot.backendServerId, slot.slotId) ||
-          this.lost.mayLoad(slot.slotId),
+          this.unacknowledged.mayLoad(slot.slotId),
       )
       .reduce((sumMib, slot) => sumMib + slot.memoryMib, 0);
   }
 
   /**
-   * A lost answer leaves an order that may still arrive. An engine that
-   * refuses old numbers turns it down once it has taken a newer one, so an
-   * unload that changes nothing is sent to settle the matter.
+   * Guards against an unacknowledged order that arrives late. An engine with
+   * fencing refuses the order once it has accepted a newer one, so a no-op
+   * unload is sent.
    */
-  private listProbes(step: StewardStep): OrderIntent[] {
+  private listFenceOrders(step: StewardStep): OrderIntent[] {
     const isFencing = this.options.server.fencing === 'refuses-old';
     if (!isFencing || step.orders.length > 0) return [];
-    return this.lost.list().size === 0
+    return this.unacknowledged.list().size === 0
       ? []
       : [{order: 'unload', slotId: `fence-${this.options.epoch}`}];
   }
 
-  /** Sends one order; resolves with whether the engine has taken it. */
+  /** Sends one order; resolves with whether the engine has accepted it. */
   private async send(intent: OrderIntent): Promise<boolean> {
     this.orderCount += 1;
     const {epoch, rank, incarnation, control} = this.options;
@@ -257,15 +270,20 @@
     const fencingNumber = makeFencingNumber({epoch, rank, orderCount});
     try {
       await control.sendOrder({...intent, orderId, fencingNumber});
-      this.lost.noteTaken();
+      this.unacknowledged.noteAccepted();
       return true;
     } catch (thrown) {
-      this.noteRefused(intent, orderId, fencingNumber, toTypedError(thrown));
+      this.noteSendFailure(
+        intent,
+        orderId,
+        fencingNumber,
+        toTypedError(thrown),
+      );
       return false;
     }
   }
 
-  private noteRefused(
+  private noteSendFailure(
     intent: OrderIntent,
     orderId: string,
     fencingNumber: number,
@@ -273,7 +291,7 @@
   ): void {
     const {backendServerId} = this.options.control;
     if (error.kind === 'stale-fencing-number') {
-      this.isOver = true;
+      this.isRetired = true;
       this.options.logger.log('order-fenced-off', {
         backendServerId,
         orderId,
@@ -281,7 +299,7 @@
       });
       return;
     }
-    if (error.kind !== 'out-of-memory') this.lost.noteLost(intent);
+    if (error.kind !== 'out-of-memory') this.unacknowledged.add(intent);
   }
 
   private writeRecords(step: StewardStep): void {
@@ -318,7 +336,7 @@
         timeoutMs: this.options.submitTimeoutMs,
       });
     } catch {
-      // What is still true at the next step is submitted again.
+      // The next step submits again what still applies.
     } finally {
       slotIds.forEach(slotId => this.submitting.delete(slotId));
     }
--- a/packages/node/src/engine_watch.test.ts
+++ b/packages/node/src/engine_watch.test.ts
@@ -62,14 +62,14 @@
   };
 }
 
-/** Runs a watch until `untilMs`; gives when it stepped in, or null. */
-async function findStepInMs(
+/** Runs a watch until `untilMs`; returns when the watch took over, or null. */
+async function findTakeoverMs(
   readEngine: () => Promise<EngineState>,
   listSlots: (nowMs: number) => Slot[],
   untilMs: number,
 ): Promise<number | null> {
   const clock = new ManualClock();
-  let steppedInMs: number | null = null;
+  let takeoverMs: number | null = null;
   const control: EngineControl = {
     backendServerId: 'r1',
     readState: readEngine,
@@ -81,55 +81,55 @@
     epoch: 1,
     rank: 1,
     listSlots: () => listSlots(clock.wallMs()),
-    onNeglected: () => (steppedInMs = clock.wallMs()),
+    onNeglected: () => (takeoverMs = clock.wallMs()),
   });
   while (clock.wallMs() < untilMs) {
-    if (clock.wallMs() % TICK_MS === 0) watch.plan();
+    if (clock.wallMs() % TICK_MS === 0) watch.scheduleRead();
     clock.advance(TICK_MS / 5);
     await new Promise(resolve => setImmediate(resolve));
   }
-  return steppedInMs;
+  return takeoverMs;
 }
 
-test('steps in soon after a due load that nobody ordered', async () => {
-  // A steward dies a second before the start of an event, too late for its
-  // death to be noticed in time. Its models would be cold at the start.
-  const steppedInMs = await findStepInMs(
+test('takes over soon after a due load that was not ordered', async () => {
+  // Guards against models that are cold at the start of an event because the
+  // steward crashed too late for membership to notice.
+  const takeoverMs = await findTakeoverMs(
     () => Promise.resolve(makeEngine(false)),
     () => [makeSlot(LOAD_AT_MS)],
     LOAD_AT_MS + 1_000,
   );
-  assert.is(steppedInMs, LOAD_AT_MS + WATCH_PATIENCE_MS);
+  assert.is(takeoverMs, LOAD_AT_MS + WATCH_PATIENCE_MS);
 });
 
-test('stays away while the holder does its work', async () => {
-  const steppedInMs = await findStepInMs(
+test('does not take over while the holder loads', async () => {
+  const takeoverMs = await findTakeoverMs(
     () => Promise.resolve(makeEngine(true)),
     () => [makeSlot(LOAD_AT_MS)],
     LOAD_AT_MS + 5_000,
   );
-  assert.is(steppedInMs, null);
+  assert.is(takeoverMs, null);
 });
 
-test('stays away from an engine that does not answer', async () => {
-  const steppedInMs = await findStepInMs(
+test('does not take over an engine that does not answer', async () => {
+  const takeoverMs = await findTakeoverMs(
     () => Promise.reject(new Error('no answer')),
     () => [makeSlot(LOAD_AT_MS)],
     LOAD_AT_MS + 5_000,
   );
-  assert.is(steppedInMs, null);
+  assert.is(takeoverMs, null);
 });
 
 test('leaves the holder time for a load that is due when decided', async () => {
-  // A load on demand is due at once. A holder that folds it at its next tick
-  // would look dead to a successor that counts from the due time.
+  // Guards against a takeover from a healthy holder that learns of an immediate
+  // load only at its next tick.
   const decidedMs = 10_000;
-  const steppedInMs = await findStepInMs(
+  const takeoverMs = await findTakeoverMs(
     () => Promise.resolve(makeEngine(false)),
     nowMs => (nowMs < decidedMs ? [] : [makeSlot(decidedMs)]),
     decidedMs + 1_400,
   );
-  assert.is(steppedInMs, null);
+  assert.is(takeoverMs, null);
 });
 
 test.run();
--- a/packages/node/src/engine_watch.ts
+++ b/packages/node/src/engine_watch.ts
@@ -1,10 +1,9 @@
-/** A successor's look at an engine when a load is due. */
+/** Lets a successor check an engine when a load is due. */
 import {type Slot} from '@mimosatack/agreed-state';
 import {type Clock, type Timer} from '@mimosatack/clock';
 import {type EngineControl} from '@mimosatack/platform';
 import {findNextWatchMs, watchEngine} from '@mimosatack/steward-orders';
 
-/** What a watch is built from. */
 export interface EngineWatchOptions {
   clock: Clock;
   control: EngineControl;
@@ -12,23 +11,23 @@
   /** 1 for the first successor. */
   rank: number;
   listSlots(): Slot[];
-  /** Called once, when the holder leaves a due load undone. */
+  /** Called once, when the holder has not carried out a due load. */
   onNeglected(): void;
 }
 
 /**
- * Guards against taking over from a holder that is well but has not folded a
- * slot yet, or waits for its next tick: a slot that was decided to be loaded
- * at once is watched only when it has been known for this long.
+ * Guards against taking over from a healthy holder that has not yet read a slot
+ * from the log or waits for its next tick. A slot is watched only after this
+ * node has known it for this long.
  */
-const SETTLE_MS = 1_500;
+const MIN_KNOWN_MS = 1_500;
 
-/** Watches one engine on behalf of one successor, under one claim. */
+/** Watches one engine for one successor under one claim. */
 export class EngineWatch {
   private readonly knownSinceMs = new Map<string, number>();
   private unfinished = new Set<string>();
   private timer: Timer | null = null;
-  private isOver = false;
+  private isStopped = false;
 
   constructor(private readonly options: EngineWatchOptions) {}
 
@@ -36,14 +35,14 @@
     return this.options.epoch;
   }
 
-  /** Takes in the slots as they are now and sets the next look. */
-  plan(): void {
-    if (this.isOver) return;
+  /** Reads the current slots and schedules the next read of the engine. */
+  scheduleRead(): void {
+    if (this.isStopped) return;
     const nowMs = this.options.clock.wallMs();
     const slots = this.options.listSlots();
-    this.noteKnown(slots, nowMs);
+    this.noteSlots(slots, nowMs);
     const nextMs = findNextWatchMs(
-      this.listSettled(slots, nowMs),
+      this.listKnownLongEnough(slots, nowMs),
       this.options.rank,
       nowMs,
     );
@@ -51,20 +50,26 @@
     this.timer =
       nextMs === null
         ? null
-        : this.options.clock.setTimer(nextMs - nowMs, () => void this.look());
+        : this.options.clock.setTimer(
+            nextMs - nowMs,
+            () => void this.readAndJudge(),
+          );
   }
 
   stop(): void {
-    this.isOver = true;
+    this.isStopped = true;
     this.timer?.cancel();
   }
 
-  /** An engine that does not answer shows nothing; its holder finds it lost. */
-  private async look(): Promise<void> {
+  /**
+   * An engine that does not answer is ignored: its holder reports it
+   * unreachable.
+   */
+  private async readAndJudge(): Promise<void> {
     const engine = await this.options.control.readState().catch(() => null);
-    if (this.isOver) return;
+    if (this.isStopped) return;
     const nowMs = this.options.clock.wallMs();
-    const slots = this.listSettled(this.options.listSlots(), nowMs);
+    const slots = this.listKnownLongEnough(this.options.listSlots(), nowMs);
     if (engine) {
       const {isNeglected, unfinished} = watchEngine({
         slots,
@@ -79,10 +84,10 @@
         return this.options.onNeglected();
       }
     }
-    this.plan();
+    this.scheduleRead();
   }
 
-  private noteKnown(slots: readonly Slot[], nowMs: number): void {
+  private noteSlots(slots: readonly Slot[], nowMs: number): void {
     const ids = new Set(slots.map(slot => slot.slotId));
     [...this.knownSinceMs.keys()]
       .filter(slotId => !ids.has(slotId))
@@ -92,10 +97,10 @@
       .forEach(slotId => this.knownSinceMs.set(slotId, nowMs));
   }
 
-  private listSettled(slots: readonly Slot[], nowMs: number): Slot[] {
+  private listKnownLongEnough(slots: readonly Slot[], nowMs: number): Slot[] {
     return slots.filter(
       slot =>
-        nowMs - (this.knownSinceMs.get(slot.slotId) ?? nowMs) >= SETTLE_MS,
+        nowMs - (this.knownSinceMs.get(slot.slotId) ?? nowMs) >= MIN_KNOWN_MS,
     );
   }
 }
--- a/packages/node/src/engine_watches.ts
+++ b/packages/node/src/engine_watches.ts
@@ -1,9 +1,8 @@
-/** The engines that this node watches as a successor. */
+/** Watches the engines for which this node is a successor. */
 import {type BackendServer, type StewardClaim} from '@mimosatack/agreed-state';
 import {type NodeIncarnation} from '@mimosatack/types';
 import {EngineWatch, type EngineWatchOptions} from './engine_watch.js';
 
-/** What the watches are built from. */
 export interface EngineWatchesOptions extends Pick<
   EngineWatchOptions,
   'clock'
@@ -13,26 +12,26 @@
   listSlots(
     backendServerId: string,
   ): ReturnType<EngineWatchOptions['listSlots']>;
-  /** Called when this node should step in for a holder. */
-  onSteppedIn(): void;
+  /** Called when this node should take over from a holder. */
+  onTakeover(): void;
 }
 
 /**
- * Late loads leave less time than it takes to see that a steward is dead, so a
- * successor watches engines whose loads are due. Once it has stepped in, the
- * engine turns the holder away.
+ * Guards against a late load that a crashed steward leaves undone: membership
+ * notices the crash too late, so a successor watches engines whose loads are
+ * due. After the takeover, the engine refuses orders of the holder.
  */
 export class EngineWatches {
   private readonly watches = new Map<string, EngineWatch>();
-  /** Epochs under which this node stepped in for the holder. */
-  private readonly steppedIn = new Map<string, number>();
+  /** Epochs in which this node took over from the holder, by engine. */
+  private readonly takenOverEpochs = new Map<string, number>();
 
   constructor(private readonly options: EngineWatchesOptions) {}
 
   /**
-   * Watches an engine that another node holds, if this one is a successor and
-   * the engine would turn the holder away. Gives the rank to act with when
-   * this node has stepped in, else null.
+   * Watches an engine that another node holds, if this node is a successor and
+   * the engine refuses old fencing numbers. Returns the rank to act with after
+   * a takeover, else null.
    */
   watch(server: BackendServer, claim: StewardClaim | undefined): number | null {
     const id = server.backendServerId;
@@ -42,8 +41,8 @@
       this.stop(id);
       return null;
     }
-    if (this.steppedIn.get(id) === claim.epoch) return rank;
-    this.findWatch(server, claim.epoch, rank).plan();
+    if (this.takenOverEpochs.get(id) === claim.epoch) return rank;
+    this.findWatch(server, claim.epoch, rank).scheduleRead();
     return null;
   }
 
@@ -52,13 +51,13 @@
     this.watches.delete(backendServerId);
   }
 
-  keepOnly(present: ReadonlySet<string>): void {
+  retainOnly(present: ReadonlySet<string>): void {
     [...this.watches.keys()]
       .filter(id => !present.has(id))
       .forEach(id => this.stop(id));
-    [...this.steppedIn.keys()]
+    [...this.takenOverEpochs.keys()]
       .filter(id => !present.has(id))
-      .forEach(id => this.steppedIn.delete(id));
+      .forEach(id => this.takenOverEpochs.delete(id));
   }
 
   private findWatch(
@@ -77,8 +76,8 @@
       rank,
       listSlots: () => this.options.listSlots(id),
       onNeglected: () => {
-        this.steppedIn.set(id, epoch);
-        this.options.onSteppedIn();
+        this.takenOverEpochs.set(id, epoch);
+        this.options.onTakeover();
       },
     });
     this.watches.set(id, watch);
--- a/packages/node/src/entry.ts
+++ b/packages/node/src/entry.ts
@@ -1,7 +1,7 @@
-/** How callers are told of a node. */
+/** Describes a node to callers. */
 import {type Member} from '@mimosatack/membership';
 
-/** The line of the entry list for a member. */
+/** The item of the entry list for a member. */
 export function toEntry(
   member: Pick<
     Member,
--- a/packages/node/src/host_changes.test.ts
+++ b/packages/node/src/host_changes.test.ts
@@ -2,7 +2,7 @@
 import {type HostEntry} from '@mimosatack/types';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {findHostChanges, isCutShort} from './host_changes.js';
+import {findHostChanges, isLikelyTruncated} from './host_changes.js';
 
 const changes = suite('host changes');
 
@@ -35,7 +35,7 @@
   return stewardship;
 }
 
-changes('find what is new, moved, leaving and missing', () => {
+changes('find hosts that are new, relocated, leaving and missing', () => {
   const known = ['a', 'b', 'c'].map(id => makeHost(id));
   const listed = [
     makeHost('a', {baseUrl: 'http://10.0.0.9:8000'}),
@@ -48,26 +48,26 @@
     found.changed.map(host => host.hostId),
     ['a', 'd'],
   );
-  assert.equal(found.moved, [{backendServerId: 'b', isLeaving: true}]);
+  assert.equal(found.stateChanged, [{backendServerId: 'b', isLeaving: true}]);
   assert.equal(found.missing, ['c']);
 });
 
-changes('find nothing when the list says what is agreed', () => {
+changes('find nothing when the list matches the agreed state', () => {
   const known = ['a', 'b'].map(id => makeHost(id));
   const found = findHostChanges(known, makeStewardship(known));
-  assert.equal(found, {changed: [], moved: [], missing: []});
+  assert.equal(found, {changed: [], stateChanged: [], missing: []});
 });
 
-// The platform's list comes back empty for a while, though every host lives.
-// Believing it would unload the models of the event that is running.
-changes('doubt a list that lacks most hosts', () => {
+// Guards against an empty host list of the platform, which would unload the
+// models of a running event.
+changes('treat a list that lacks most hosts as truncated', () => {
   const stewardship = makeStewardship(['a', 'b', 'c'].map(id => makeHost(id)));
-  assert.ok(isCutShort(findHostChanges([], stewardship), stewardship));
+  assert.ok(isLikelyTruncated(findHostChanges([], stewardship), stewardship));
   const oneGone = findHostChanges(
     ['a', 'b'].map(id => makeHost(id)),
     stewardship,
   );
-  assert.not.ok(isCutShort(oneGone, stewardship));
+  assert.not.ok(isLikelyTruncated(oneGone, stewardship));
 });
 
 changes.run();
--- a/packages/node/src/host_changes.ts
+++ b/packages/node/src/host_changes.ts
@@ -1,18 +1,18 @@
-/** What the platform's host list says that the agreed state does not. */
+/** Compares the platform's host list with the agreed state. */
 import {type BackendServer, type Stewardship} from '@mimosatack/agreed-state';
 import {type BackendServerId, type HostEntry} from '@mimosatack/types';
 
-/** Differences between a host list and the agreed state. */
 export interface HostChanges {
-  /** Backend servers that are new, or whose address or place changed. */
+  /**
+   * Backend servers that are new, or whose address, pool or location changed.
+   */
   changed: HostEntry[];
-  /** Backend servers whose host leaves, or stays after all. */
-  moved: {backendServerId: BackendServerId; isLeaving: boolean}[];
-  /** Backend servers that the list lacks. */
+  /** Backend servers whose host is newly leaving, or no longer leaving. */
+  stateChanged: {backendServerId: BackendServerId; isLeaving: boolean}[];
+  /** Registered backend servers that the list does not name. */
   missing: BackendServerId[];
 }
 
-/** Compares a host list with the agreed state. */
 export function findHostChanges(
   hosts: readonly HostEntry[],
   stewardship: Stewardship,
@@ -24,7 +24,7 @@
       const known = stewardship.findBackendServer(host.hostId);
       return !known || !isSameHost(known, host);
     }),
-    moved: backends
+    stateChanged: backends
       .filter(host => stewardship.findBackendServer(host.hostId))
       .map(host => ({
         backendServerId: host.hostId,
@@ -42,10 +42,10 @@
 }
 
 /**
- * Whether a list lacks so much that it was probably cut short: taking it at
- * its word would drop most decided replicas in a moment.
+ * Guards against a truncated list, which would remove most decided replicas at
+ * once.
  */
-export function isCutShort(
+export function isLikelyTruncated(
   changes: HostChanges,
   stewardship: Stewardship,
 ): boolean {
--- a/packages/node/src/host_list_task.ts
+++ b/packages/node/src/host_list_task.ts
@@ -1,4 +1,6 @@
-/** Brings the platform's lagging host list into the agreed state. */
+/**
+ * Records changes of the platform's host list, which lags, in the agreed state.
+ */
 import {type BackendServer} from '@mimosatack/agreed-state';
 import {type Clock} from '@mimosatack/clock';
 import {type LogFollower} from '@mimosatack/follow-log';
@@ -6,45 +8,47 @@
 import {type RecordBody} from '@mimosatack/records';
 import {Task, type TaskErrorHandler} from '@mimosatack/tasks';
 import {type BackendServerId, type HostEntry} from '@mimosatack/types';
-import {type HostChanges, findHostChanges, isCutShort} from './host_changes.js';
+import {
+  type HostChanges,
+  findHostChanges,
+  isLikelyTruncated,
+} from './host_changes.js';
 
-/** What the task is told. */
 export type HostListMessage = {type: 'tick'};
 
-/** What the task needs of the node. */
 export interface HostListTaskOptions {
   clock: Clock;
   hostList: HostList;
   follower: LogFollower;
-  /** How often some node should read the list. */
+  /** How often the list should be read by any node. */
   intervalMs: number;
-  /** How many nodes share the reading. */
+  /** How many nodes share the reads. */
   countNodes: () => number;
   connect(backendServerId: BackendServerId, baseUrl: string): EngineControl;
   onHosts(hosts: readonly HostEntry[]): void;
   submitTimeoutMs: number;
 }
 
-/** Lists in a row that must lack a host before it counts as gone. */
-const MISSING_LISTS = 3;
-/** The same for a list that was probably cut short. */
-const MISSING_LISTS_CUT_SHORT = 120;
+/** Consecutive lists without a host after which the host is removed. */
+const LISTS_BEFORE_REMOVAL = 3;
+/** The same for a list that is probably truncated. */
+const LISTS_BEFORE_REMOVAL_IF_TRUNCATED = 120;
 /**
- * How long a host must have been leaving before a list that calls it live is
- * believed: another node may have read a newer list.
+ * How long this node must have seen a leaving host listed as live before it
+ * accepts the list: another node may have read a newer one.
  */
-const WITHDRAW_MS = 60_000;
-/** How soon a list that lacks a host is read again. */
-const RECHECK_MS = 1_000;
+const MIN_LISTED_LIVE_MS = 60_000;
+/** Delay before a list that lacks a host is read again. */
+const REREAD_DELAY_MS = 1_000;
 
 /**
- * The task that reads the host list. The nodes share the reading: each reads
- * it the more rarely the more of them there are, so that the cost of one node
- * stays the same, and passes on what is new.
+ * Reads the host list and records its changes. The nodes share the reads: the
+ * interval of each grows with their number, so that the total load on the
+ * platform stays constant.
  */
 export class HostListTask extends Task<HostListMessage> {
-  private readonly missing = new Map<BackendServerId, number>();
-  private readonly leavingSinceMs = new Map<BackendServerId, number>();
+  private readonly missingCounts = new Map<BackendServerId, number>();
+  private readonly listedLiveSinceMs = new Map<BackendServerId, number>();
   private nextReadMs = 0;
 
   constructor(
@@ -60,8 +64,8 @@
     const {intervalMs, countNodes} = this.options;
     this.nextReadMs = nowMs + intervalMs * Math.max(1, countNodes());
     await this.readList();
-    const isDoubtful = this.missing.size > 0;
-    if (isDoubtful) this.nextReadMs = nowMs + RECHECK_MS;
+    const hasMissingHosts = this.missingCounts.size > 0;
+    if (hasMissingHosts) this.nextReadMs = nowMs + REREAD_DELAY_MS;
   }
 
   private async readList(): Promise<void> {
@@ -73,10 +77,10 @@
     const changes = findHostChanges(hosts, follower.state.stewardship);
     await Promise.all([
       ...changes.changed.map(host => this.register(host)),
-      ...changes.moved
-        .filter(moved => moved.isLeaving || this.mayWithdraw(moved))
-        .map(moved => this.submit({type: 'note-host-state', ...moved})),
-      ...this.listGone(changes).map(id =>
+      ...changes.stateChanged
+        .filter(change => change.isLeaving || this.mayReturnToLive(change))
+        .map(change => this.submit({type: 'note-host-state', ...change})),
+      ...this.listRemovable(changes).map(id =>
         this.submit({type: 'remove-backend-server', backendServerId: id}),
       ),
     ]);
@@ -87,7 +91,7 @@
     if (server) await this.submit({type: 'register-backend-server', ...server});
   }
 
-  /** Null when an engine does not answer yet. */
+  /** Null if the engine does not answer yet. */
   private async describe(host: HostEntry): Promise<BackendServer | null> {
     const base = {
       backendServerId: host.hostId,
@@ -109,27 +113,31 @@
     return {...base, fencing, accelerators, memoryMib};
   }
 
-  private mayWithdraw({backendServerId}: {backendServerId: string}): boolean {
+  private mayReturnToLive({
+    backendServerId,
+  }: {
+    backendServerId: string;
+  }): boolean {
     const nowMs = this.options.clock.monotonicMs();
-    const sinceMs = this.leavingSinceMs.get(backendServerId) ?? nowMs;
-    this.leavingSinceMs.set(backendServerId, sinceMs);
-    const isOld = nowMs - sinceMs >= WITHDRAW_MS;
-    if (isOld) this.leavingSinceMs.delete(backendServerId);
-    return isOld;
+    const sinceMs = this.listedLiveSinceMs.get(backendServerId) ?? nowMs;
+    this.listedLiveSinceMs.set(backendServerId, sinceMs);
+    const isConfirmed = nowMs - sinceMs >= MIN_LISTED_LIVE_MS;
+    if (isConfirmed) this.listedLiveSinceMs.delete(backendServerId);
+    return isConfirmed;
   }
 
-  private listGone(changes: HostChanges): BackendServerId[] {
+  private listRemovable(changes: HostChanges): BackendServerId[] {
     const {stewardship} = this.options.follower.state;
-    const enough = isCutShort(changes, stewardship)
-      ? MISSING_LISTS_CUT_SHORT
-      : MISSING_LISTS;
+    const requiredLists = isLikelyTruncated(changes, stewardship)
+      ? LISTS_BEFORE_REMOVAL_IF_TRUNCATED
+      : LISTS_BEFORE_REMOVAL;
     const counts = changes.missing.map(id => ({
       id,
-      count: (this.missing.get(id) ?? 0) + 1,
+      count: (this.missingCounts.get(id) ?? 0) + 1,
     }));
-    this.missing.clear();
-    counts.forEach(({id, count}) => this.missing.set(id, count));
-    return counts.filter(({count}) => count >= enough).map(({id}) => id);
+    this.missingCounts.clear();
+    counts.forEach(({id, count}) => this.missingCounts.set(id, count));
+    return counts.filter(({count}) => count >= requiredLists).map(({id}) => id);
   }
 
   private async submit(body: RecordBody): Promise<void> {
--- a/packages/node/src/host_watch.ts
+++ b/packages/node/src/host_watch.ts
@@ -1,23 +1,24 @@
-/** Acts on what is heard of hosts that leave, from whichever side it comes. */
+/**
+ * Tracks hosts that are leaving, from the host list, other nodes and the log.
+ */
 import {type Clock} from '@mimosatack/clock';
 import {type LogFollower} from '@mimosatack/follow-log';
 import {type BackendServerId, type HostEntry} from '@mimosatack/types';
-import {LeavingServers, isAboutDraining} from './leaving_servers.js';
+import {LeavingServers, mayChangeDraining} from './leaving_servers.js';
 
-/** What the watch needs of the node. */
 export interface HostWatchOptions {
   clock: Clock;
   follower: LogFollower;
-  /** Told of the backend servers that get no new work, at every change. */
+  /** Called at every change with the backend servers that get no new work. */
   onDraining(ids: readonly BackendServerId[]): void;
-  /** Passes news of hosts that leave on to the other nodes. */
+  /** Tells the other nodes about hosts that are leaving. */
   broadcastLeaving(
     serverIds: readonly BackendServerId[],
     nodeNames: readonly string[],
   ): void;
 }
 
-/** Which hosts leave, and who was told of it. */
+/** Tracks which hosts are leaving, and tells the other nodes. */
 export class HostWatch {
   private readonly leaving: LeavingServers;
   private leavingNodes: ReadonlySet<string> = new Set();
@@ -26,7 +27,7 @@
   constructor(private readonly options: HostWatchOptions) {
     this.leaving = new LeavingServers(options.clock);
     options.follower.onFold(folded => {
-      if (folded.length === 0 || folded.some(isAboutDraining)) this.update();
+      if (folded.length === 0 || folded.some(mayChangeDraining)) this.update();
     });
   }
 
@@ -35,7 +36,9 @@
     return this.draining.has(id);
   }
 
-  /** Takes in a fresh host list; other nodes may not read it. */
+  /**
+   * Reads a new host list, and passes changes to nodes that may not read it.
+   */
   noteHosts(hosts: readonly HostEntry[]): void {
     const leaving = hosts.filter(host => host.state === 'leaving');
     const serverIds = leaving
@@ -44,16 +47,16 @@
     const nodeNames = leaving
       .filter(host => host.role === 'entry')
       .map(host => host.hostId);
-    const freshServers = this.leaving.noteHints(serverIds);
-    const freshNodes = nodeNames.filter(id => !this.leavingNodes.has(id));
+    const newServers = this.leaving.noteHints(serverIds);
+    const newNodes = nodeNames.filter(id => !this.leavingNodes.has(id));
     this.leavingNodes = new Set(nodeNames);
-    if (freshServers.length + freshNodes.length > 0) {
-      this.options.broadcastLeaving(freshServers, freshNodes);
+    if (newServers.length + newNodes.length > 0) {
+      this.options.broadcastLeaving(newServers, newNodes);
     }
     this.update();
   }
 
-  /** Takes in a hint of another node. */
+  /** Records a hint of another node. */
   noteHints(ids: readonly BackendServerId[]): void {
     this.leaving.noteHints(ids);
     this.update();
--- a/packages/node/src/key_tasks.ts
+++ b/packages/node/src/key_tasks.ts
@@ -1,4 +1,4 @@
-/** All that one node does about idempotency keys, wired together. */
+/** Wires the tasks of a node that handle idempotency keys. */
 import {type Clock} from '@mimosatack/clock';
 import {type RandomSource} from '@mimosatack/random';
 import {UnrepeatableRunner} from '@mimosatack/serve-callers';
@@ -10,7 +10,6 @@
 import {type TicketMessage} from './ticket_messages.js';
 import {TicketTask} from './ticket_task.js';
 
-/** What the tasks need of the node. */
 export interface KeyTasksOptions {
   clock: Clock;
   random: RandomSource;
@@ -36,7 +35,7 @@
       ...options,
       ...{nodeName, logUrl},
       listMembers: () => peers.listMembers(),
-      listFirst: key => ranking.listFirst(key),
+      listTopRanked: key => ranking.listTopRanked(key),
     });
     this.runner = new UnrepeatableRunner({
       ...options,
@@ -59,7 +58,10 @@
     return this.tickets.receive(message);
   }
 
-  /** Once nothing is taken on any more, so that the tables are final. */
+  /**
+   * Called when the node accepts no more requests, so that the tables are
+   * final.
+   */
   async handOver(): Promise<void> {
     this.tickets.close();
     await this.tickets.handOver();
--- a/packages/node/src/known_processes.ts
+++ b/packages/node/src/known_processes.ts
@@ -1,8 +1,7 @@
-/** What membership says of other processes. */
+/** Looks up processes in the membership. */
 import {type Member} from '@mimosatack/membership';
 import {type PeerTask} from './peer_task.js';
 
-/** Looks processes up by their incarnation. */
 export class KnownProcesses {
   constructor(private readonly peers: Pick<PeerTask, 'listMembers'>) {}
 
@@ -10,8 +9,8 @@
     return this.find(incarnation) !== undefined;
   }
 
-  /** A process that membership never heard of, or believes to be dead. */
-  isGone(incarnation: string): boolean {
+  /** Whether a process is unknown to membership or believed to be dead. */
+  isGoneOrUnknown(incarnation: string): boolean {
     const member = this.find(incarnation);
     return member === undefined || member.status === 'gone';
   }
--- a/packages/node/src/leaving_servers.ts
+++ b/packages/node/src/leaving_servers.ts
@@ -1,32 +1,32 @@
 /**
- * Which backend servers get no new work: those that the agreed state says
- * leave or are drained, and those that a hint says leave.
+ * Lists the backend servers that get no new work: those that are leaving or
+ * drained in the agreed state, and those that a hint names as leaving.
  */
 import {type FoldedRecord, type Stewardship} from '@mimosatack/agreed-state';
 import {type Clock} from '@mimosatack/clock';
 import {type BackendServerId} from '@mimosatack/types';
 
-/** How long a hint holds that the agreed state does not confirm. */
-const HINT_MS = 120_000;
+/** How long a hint holds without confirmation in the agreed state. */
+const HINT_TTL_MS = 120_000;
 
 /**
- * Hints from the host list or from other nodes count at once, also while the
- * log is down; the agreed state takes over when it says the same.
+ * A hint from the host list or another node takes effect at once, even while
+ * the log is down, until it expires.
  */
 export class LeavingServers {
   private readonly hintedAtMs = new Map<BackendServerId, number>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Takes in a hint; returns the servers that no hint named before. */
+  /** Records hints; returns the servers that had no hint before. */
   noteHints(ids: readonly BackendServerId[]): BackendServerId[] {
     const nowMs = this.clock.monotonicMs();
-    const fresh = ids.filter(id => !this.isHinted(id));
+    const newIds = ids.filter(id => !this.isHinted(id));
     ids.forEach(id => this.hintedAtMs.set(id, nowMs));
-    return fresh;
+    return newIds;
   }
 
-  /** The servers that stay after all, as the host list says. */
+  /** Removes the hints for servers that the host list names as staying. */
   withdrawHints(ids: readonly BackendServerId[]): void {
     ids.forEach(id => this.hintedAtMs.delete(id));
   }
@@ -46,14 +46,14 @@
   private isHinted(id: BackendServerId): boolean {
     const hintedAtMs = this.hintedAtMs.get(id);
     if (hintedAtMs === undefined) return false;
-    if (this.clock.monotonicMs() - hintedAtMs < HINT_MS) return true;
+    if (this.clock.monotonicMs() - hintedAtMs < HINT_TTL_MS) return true;
     this.hintedAtMs.delete(id);
     return false;
   }
 }
 
 /** Whether a record may change which backend servers get no new work. */
-export function isAboutDraining({record}: FoldedRecord): boolean {
+export function mayChangeDraining({record}: FoldedRecord): boolean {
   const type = record?.body.type;
   return type === 'drain-backend-server' || type === 'note-host-state';
 }
--- a/packages/node/src/make_engine_tasks.ts
+++ b/packages/node/src/make_engine_tasks.ts
@@ -1,4 +1,4 @@
-/** Builds the tasks of a node that deal with engines and their hosts. */
+/** Builds the tasks that handle engines and their hosts. */
 import {type Clock} from '@mimosatack/clock';
 import {type LogFollower} from '@mimosatack/follow-log';
 import {type EventLogger} from '@mimosatack/logger';
@@ -14,14 +14,13 @@
   PLATFORM_TIMEOUT_MS,
   SUBMIT_TIMEOUT_MS,
 } from './node_timings.js';
-import {type Obituary} from './obituary.js';
+import {type DeadProcesses} from './dead_processes.js';
 import {type Operations} from './operations.js';
 import {type PeerTask} from './peer_task.js';
 import {type ReportTask} from './report_task.js';
 import {type StewardHints} from './steward_hints.js';
 import {StewardTask} from './steward_task.js';
 
-/** What the tasks are built from. */
 export interface EngineTaskParts {
   clock: Clock;
   logger: EventLogger;
@@ -30,29 +29,31 @@
   incarnation: string;
   ranking: NodeRanking;
   processes: KnownProcesses;
-  obituary: Obituary;
+  deadProcesses: DeadProcesses;
   peers: PeerTask;
   reports: ReportTask;
   hints: StewardHints;
   hostWatch: HostWatch;
-  /** Built after the tasks. */
+  /** A function, because the operations are built after the tasks. */
   operations: () => Operations;
   onFault: (thrown: unknown, task: string) => void;
 }
 
 export function makeStewardTask(parts: EngineTaskParts): StewardTask {
   const {clock, logger, follower, incarnation, onFault} = parts;
-  const {ranking, processes, obituary, reports, hints, operations} = parts;
+  const {ranking, processes, deadProcesses, reports, hints, operations} = parts;
   return new StewardTask(
     {
       ...{clock, logger, follower, incarnation},
       connect: (id, baseUrl) => connectEngine(parts.settings, id, baseUrl),
       findOwnRank: id => ranking.findOwnRank(`steward ${id}`),
       listSuccessors: id =>
-        ranking.listFirst(`steward ${id}`).map(member => member.incarnation),
+        ranking
+          .listTopRanked(`steward ${id}`)
+          .map(member => member.incarnation),
       isKnown: other => processes.isKnown(other),
-      isGone: other => processes.isGone(other),
-      findDeathEvidence: other => obituary.find(other),
+      isGone: other => processes.isGoneOrUnknown(other),
+      findDeathEvidence: other => deadProcesses.findEvidence(other),
       publishReport: (report, term) => {
         operations().noteReport(report);
         reports.post({type: 'publish', report, term});
@@ -67,7 +68,7 @@
 }
 
 export function makeHostListTask(parts: EngineTaskParts): HostListTask {
-  const {clock, settings, follower, peers, obituary, hostWatch} = parts;
+  const {clock, settings, follower, peers, deadProcesses, hostWatch} = parts;
   return new HostListTask(
     {
       ...{clock, follower},
@@ -80,7 +81,7 @@
       countNodes: () => peers.listUsable().length,
       connect: (id, baseUrl) => connectEngine(settings, id, baseUrl),
       onHosts: hosts => {
-        obituary.noteHosts(hosts);
+        deadProcesses.noteHosts(hosts);
         hostWatch.noteHosts(hosts);
       },
       submitTimeoutMs: SUBMIT_TIMEOUT_MS,
--- a/packages/node/src/make_policy.ts
+++ b/packages/node/src/make_policy.ts
@@ -1,4 +1,4 @@
-/** The warming policy that the settings name. */
+/** Makes the warming policy that the settings name. */
 import {
   FixedLeadPolicy,
   LoadOnFirstRequestPolicy,
@@ -7,7 +7,6 @@
 } from '@mimosatack/plan-warming';
 import {type DaemonSettings} from '@mimosatack/settings';
 
-/** Makes the warming policy that the settings name. */
 export function makePolicy(settings: DaemonSettings): WarmingPolicy {
   switch (settings.warmingPolicy) {
     case 'load-on-first-request':
--- a/packages/node/src/metrics_reporter.ts
+++ b/packages/node/src/metrics_reporter.ts
@@ -1,4 +1,4 @@
-/** Sends the gauges of a node at regular times. */
+/** Reports the state of a node as gauges. */
 import {type FoldedRecord} from '@mimosatack/agreed-state';
 import {type AuditTrail} from '@mimosatack/audit-trail';
 import {type EngineBoard} from '@mimosatack/engine-board';
@@ -7,7 +7,6 @@
 import {type LogOffset} from '@mimosatack/types';
 import {type HttpObserver} from './observe_http.js';
 
-/** What the reporter looks at. */
 export interface MetricsReporterOptions {
   metrics: Metrics;
   follower: LogFollower;
@@ -19,11 +18,10 @@
   readResidentBytes(): number;
 }
 
-/** Reads the state of a node into gauges. */
 export class MetricsReporter {
   constructor(private readonly options: MetricsReporterOptions) {}
 
-  /** Counts the records that were found void. */
+  /** Counts the records that were void when applied. */
   noteFolded(folded: readonly FoldedRecord[]): void {
     folded.forEach(({outcome}) => {
       if (outcome.status === 'valid') return;
--- a/packages/node/src/metrics_wiring.test.ts
+++ b/packages/node/src/metrics_wiring.test.ts
@@ -62,10 +62,10 @@
 });
 
 /**
- * A node takes a backend server over whose replicas have been warm for hours.
- * They must not show as loads that have just ended.
+ * Guards against counting replicas that were warm long before this node took
+ * over the backend server.
  */
-wiring('what was warm before the first report is no load', () => {
+wiring('a replica that is warm in the first report is no load', () => {
   const metrics = new MemoryMetrics();
   const state = new AgreedState();
   const observer = new ReplicaObserver(new ManualClock(), metrics, () => state);
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -1,4 +1,4 @@
-/** One node: its tasks, its servers and how they are wired. */
+/** Builds the tasks and servers of one node and connects them. */
 import {randomUUID} from 'node:crypto';
 import {RequestTokenMint} from '@mimosatack/answer-streams';
 import {type Clock} from '@mimosatack/clock';
@@ -30,9 +30,9 @@
 import {KeyTasks} from './key_tasks.js';
 import {HostWatch} from './host_watch.js';
 import {NodeRanking} from './node_ranking.js';
-import {Obituary} from './obituary.js';
+import {DeadProcesses} from './dead_processes.js';
 import {Operations} from './operations.js';
-import {passDemand} from './pass_demand.js';
+import {forwardDemand} from './forward_demand.js';
 import {PeerTask} from './peer_task.js';
 import {PlannerTask} from './planner_task.js';
 import {toEntry} from './entry.js';
@@ -42,7 +42,7 @@
 import {makeLimitsReader} from './store_limits.js';
 import {KnownProcesses} from './known_processes.js';
 import {
-  KEEPERS_INTERVAL_MS,
+  CLAIM_TICK_INTERVAL_MS,
   LONG_POLL_MS,
   ORDER_DOUBT_MS,
   PLATFORM_TIMEOUT_MS,
@@ -53,7 +53,6 @@
 } from './node_timings.js';
 import {type NodeAddresses, openPorts} from './open_ports.js';
 
-/** What a node is started with. */
 export interface NodeOptions {
   settings: DaemonSettings;
   clock: Clock;
@@ -65,7 +64,6 @@
 const DECISIONS_STREAM = 'decisions';
 const CHECKPOINT_STREAM = 'checkpoints';
 
-/** One node of the system. */
 export class MimosatackNode {
   readonly incarnation: string;
   private readonly board = new EngineBoard({
@@ -87,7 +85,7 @@
   private readonly periodics: Periodic[] = [];
   private readonly mint: TicketMint;
   private readonly keys: KeyTasks;
-  private readonly obituary: Obituary;
+  private readonly deadProcesses: DeadProcesses;
   private readonly ranking: NodeRanking;
   private readonly shutdown: NodeShutdown;
   private readonly abandoned: AbandonedRequests;
@@ -105,7 +103,7 @@
     });
     this.incarnation = `${settings.nodeName}.${randomUUID().slice(0, 8)}`;
     this.mint = new TicketMint(settings.clusterSecret);
-    this.obituary = new Obituary(clock, ORDER_DOUBT_MS);
+    this.deadProcesses = new DeadProcesses(clock, ORDER_DOUBT_MS);
     this.log = new HttpLogService({
       baseUrl: settings.logUrl,
       nodeId: settings.nodeName,
@@ -169,14 +167,14 @@
     return this.shutdown.task.exited;
   }
 
-  /** Whether a stop was asked for. */
+  /** Whether a stop was requested. */
   get isStopping(): boolean {
     return this.shutdown.task.isStopping;
   }
 
   /**
-   * Opens the ports, joins the other nodes and begins to work. Null when the
-   * node was told to stop meanwhile.
+   * Opens the ports, joins the other nodes and starts the tasks. Null if a stop
+   * was requested during the start.
    */
   async start(): Promise<NodeAddresses | null> {
     const startedAtMs = this.options.clock.monotonicMs();
@@ -203,12 +201,12 @@
     return addresses;
   }
 
-  /** Begins a graceful shutdown; a second call ends it at once. */
+  /** Starts a graceful shutdown; a second call stops the node at once. */
   requestStop(signal: string): void {
     this.shutdown.task.requestStop(signal);
   }
 
-  /** Calls `hook` once nothing is in flight any more, before the exit. */
+  /** Calls `hook` once no requests are in flight, before the node exits. */
   onDrained(hook: DrainedHook): void {
     this.shutdown.onDrained(hook);
   }
@@ -227,9 +225,10 @@
   }
 
   /**
-   * The servers first, so that operators' changes still get their answers.
-   * The follower is stopped with the tasks and not after them: while the log
-   * is down they wait for records that only it can tell them to give up.
+   * Closes the servers first, so that pending operator commands still get their
+   * answers. Guards against a hang while the log is down: the tasks wait for
+   * records until the follower stops, so the follower stops along with the
+   * tasks.
    */
   private async close(): Promise<void> {
     await this.callerServer.close();
@@ -255,12 +254,12 @@
     const every = (intervalMs: number, action: () => void | Promise<void>) =>
       this.periodics.push(startPeriodic(clock, intervalMs, action));
     every(settings.pollIntervalMs, () => {
-      this.obituary.noteMembers(this.peers.listMembers());
+      this.deadProcesses.noteMembers(this.peers.listMembers());
       [this.stewards, this.hosts, this.planner, this.checkpoints]
         .filter(task => !task.isBusy)
         .forEach(task => task.post({type: 'tick'}));
     });
-    every(KEEPERS_INTERVAL_MS, () => this.keys.tick());
+    every(CLAIM_TICK_INTERVAL_MS, () => this.keys.tick());
     every(REPORT_TICK_MS, () => this.reports.post({type: 'tick'}));
     const readLimits = makeLimitsReader(settings, PLATFORM_TIMEOUT_MS, limits =>
       this.planner.post({type: 'store-limits', limits}),
@@ -277,7 +276,7 @@
       board: this.board,
       countNodes: () => this.peers.listUsable().length,
       noteDemand: modelText =>
-        passDemand(modelText, {
+        forwardDemand(modelText, {
           ...{incarnation: this.incarnation, ranking: this.ranking},
           ...{peers: this.peers, planner: this.planner},
         }),
@@ -305,7 +304,7 @@
       onServersLeaving: ids => {
         this.hostWatch.noteHints(ids);
       },
-      onFault: error => this.noteFault(error, 'peers'),
+      onFault: error => this.logTaskFailure(error, 'peers'),
     });
   }
 
@@ -318,7 +317,7 @@
         board: this.board,
         peers: this.peers,
       },
-      (error, task) => this.noteFault(error, task),
+      (error, task) => this.logTaskFailure(error, task),
     );
   }
 
@@ -336,19 +335,19 @@
         findRank: () => this.ranking.findOwnRank('checkpoint'),
         submitTimeoutMs: SUBMIT_TIMEOUT_MS,
       },
-      (error, task) => this.noteFault(error, task),
+      (error, task) => this.logTaskFailure(error, task),
     );
   }
 
   private listEngineTaskParts(): EngineTaskParts {
-    const {follower, incarnation, ranking, processes, obituary} = this;
+    const {follower, incarnation, ranking, processes, deadProcesses} = this;
     const {peers, reports, hints, hostWatch} = this;
     return {
       ...this.options,
-      ...{follower, incarnation, ranking, processes, obituary},
+      ...{follower, incarnation, ranking, processes, deadProcesses},
       ...{peers, reports, hints, hostWatch},
       operations: () => this.operations,
-      onFault: (thrown, task) => this.noteFault(thrown, task),
+      onFault: (thrown, task) => this.logTaskFailure(thrown, task),
     };
   }
 
@@ -366,7 +365,7 @@
         makeSlotId: () => `s-${randomUUID()}`,
         submitTimeoutMs: SUBMIT_TIMEOUT_MS,
       },
-      (error, task) => this.noteFault(error, task),
+      (error, task) => this.logTaskFailure(error, task),
     );
   }
 
@@ -381,11 +380,11 @@
       submitTimeoutMs: SUBMIT_TIMEOUT_MS,
       isResponsible: key => this.ranking.isFirst(key),
       isStopping: () => this.isStopping,
-      onFault: (error, task) => this.noteFault(error, task),
+      onFault: (error, task) => this.logTaskFailure(error, task),
     });
   }
 
-  private noteFault(thrown: unknown, task: string): void {
+  private logTaskFailure(thrown: unknown, task: string): void {
     const error: TypedError = toTypedError(thrown);
     this.options.logger.log('task-failed', {
       task,
--- a/packages/node/src/node_fixture.ts
+++ b/packages/node/src/node_fixture.ts
@@ -1,4 +1,4 @@
-/** A small cluster in one process, for the tests of this package. */
+/** Runs a small cluster in one process, for the tests of this package. */
 import {createHash} from 'node:crypto';
 import {SystemClock} from '@mimosatack/clock';
 import {MemoryEventLogger} from '@mimosatack/logger';
@@ -16,7 +16,6 @@
 import {Agent, request} from 'undici';
 import {MimosatackNode} from './index.js';
 
-/** One node that runs. */
 export interface TestNode {
   node: MimosatackNode;
   nodeName: string;
@@ -26,7 +25,6 @@
   peerAddress: string;
 }
 
-/** All that was started. */
 export interface TestCluster {
   platform: RunningStandIn<PlatformStandIn>;
   engine: RunningBackend<EngineStandIn>;
@@ -38,7 +36,7 @@
 const SECRET = 'a-secret-of-the-cluster';
 const TOKEN_MS = 10;
 
-/** Runs `body` on a cluster with one model warm, and ends all of it. */
+/** Runs `body` on a cluster with one warm model, and stops the cluster. */
 export async function withCluster(
   nodeCount: number,
   body: (cluster: TestCluster) => Promise<void>,
@@ -66,7 +64,7 @@
   }
 }
 
-/** Makes a node that is not started yet. */
+/** Makes a node without starting it. */
 export function createNode(
   nodeName: string,
   platformUrl: string,
@@ -97,21 +95,23 @@
 ): Promise<TestNode> {
   const created = createNode(nodeName, platformUrl, seed);
   const addresses = await created.node.start();
-  if (!addresses) throw new Error(`${nodeName} was told to stop.`);
+  if (!addresses) throw new Error(`${nodeName} was stopped during startup`);
   return {...created, ...addresses, nodeName};
 }
 
-/** A second request would end a node early that is stopping already. */
+/**
+ * A second stop request would stop the node before its shutdown is complete.
+ */
 async function stop(node: MimosatackNode): Promise<void> {
   if (!node.isStopping) node.requestStop('test');
   await node.stopped;
 }
 
-/** Streams one chat to its end; the text, or why there is none. */
+/** Streams one chat; returns its text, or the raw body if it is incomplete. */
 export async function chat(
   {callerBaseUrl}: TestNode,
   maxTokens: number,
-  onBegun: () => void = () => undefined,
+  onHeaders: () => void = () => undefined,
 ): Promise<string> {
   const response = await request(`${callerBaseUrl}/v1/chat/completions`, {
     method: 'POST',
@@ -119,7 +119,7 @@
     body: JSON.stringify({...makePrompt(maxTokens), stream: true}),
     dispatcher: new Agent(),
   });
-  onBegun();
+  onHeaders();
   const raw = await response.body.text().catch(() => 'cut off');
   if (!raw.endsWith('data: [DONE]\n\n')) return raw;
   return raw
--- a/packages/node/src/node_ranking.ts
+++ b/packages/node/src/node_ranking.ts
@@ -1,28 +1,27 @@
-/** Which node acts for a key; a hint that all nodes work out alike. */
+/**
+ * Ranks the nodes for a key. Nodes with the same members get the same ranking.
+ */
 import {type Member, rankMembers} from '@mimosatack/membership';
 import {type NodeIncarnation} from '@mimosatack/types';
 
-/** Where the members come from. */
 export interface MemberSource {
-  /** Grows whenever `listDeciders` may have changed. */
+  /** Increases whenever `listDeciders` may have changed. */
   readonly decidersVersion: number;
   listDeciders(): Member[];
 }
 
-/** The places that matter for one key. */
 interface KeyRanking {
-  /** The first few nodes, first in rank first. */
-  first: Member[];
-  /** The place of this node; -1 when it is no usable member. */
+  /** The highest-ranked nodes, in order. */
+  topNodes: Member[];
+  /** The rank of this node; -1 if it is not a usable member. */
   ownRank: number;
 }
 
-const KEPT_PLACES = 4;
+const MAX_LISTED_NODES = 4;
 
 /**
- * Rankings by key, kept until the membership changes: one ranking of 370
- * nodes takes about 0.15 ms, and each of several hundred backend servers and
- * events is asked about at every tick.
+ * Caches rankings until the membership changes, because each tick asks for
+ * several hundred keys.
  */
 export class NodeRanking {
   private readonly rankings = new Map<string, KeyRanking>();
@@ -33,7 +32,7 @@
     private readonly self: NodeIncarnation,
   ) {}
 
-  /** The place of this node for a key; 0 acts first, -1 is none. */
+  /** The rank of this node for a key; 0 acts first, -1 means not ranked. */
   findOwnRank(key: string): number {
     return this.rank(key).ownRank;
   }
@@ -43,9 +42,9 @@
     return this.findOwnRank(key) === 0;
   }
 
-  /** The first few nodes for a key, first in rank first. */
-  listFirst(key: string): readonly Member[] {
-    return this.rank(key).first;
+  /** The highest-ranked nodes for a key, in order. */
+  listTopRanked(key: string): readonly Member[] {
+    return this.rank(key).topNodes;
   }
 
   private rank(key: string): KeyRanking {
@@ -57,7 +56,7 @@
     if (known) return known;
     const ranked = rankMembers(key, this.source.listDeciders());
     const ranking = {
-      first: ranked.slice(0, KEPT_PLACES),
+      topNodes: ranked.slice(0, MAX_LISTED_NODES),
       ownRank: ranked.findIndex(member => member.incarnation === this.self),
     };
     this.rankings.set(key, ranking);
--- a/packages/node/src/node_shutdown.ts
+++ b/packages/node/src/node_shutdown.ts
@@ -1,4 +1,4 @@
-/** The graceful shutdown of a node, wired to its parts. */
+/** Connects the graceful shutdown to the parts of a node. */
 import {type Clock} from '@mimosatack/clock';
 import {DrainGate, InFlight, ShutdownTask} from '@mimosatack/drain-node';
 import {toTypedError} from '@mimosatack/errors';
@@ -6,26 +6,23 @@
 import {type FastifyInstance} from 'fastify';
 import {type YieldReport} from './steward_task.js';
 
-/** What the shutdown needs of the node. */
 export interface NodeShutdownOptions {
   clock: Clock;
   logger: EventLogger;
   entriesTtlMs: number;
   graceMs: number;
-  /** Tells the other nodes that this one leaves. */
+  /** Tells the other nodes that this node is leaving. */
   announce(): void;
   yieldStewardships(): Promise<YieldReport>;
-  /** Closes all sockets. */
   close(): Promise<void>;
 }
 
-/** Called once nothing is in flight any more, before the node closes. */
+/** Called once no requests are in flight, before the node closes. */
 export type DrainedHook = () => Promise<void>;
 
-/** After this time no node gives out the address of one that leaves. */
-const LEAVE_SPREAD_MS = 2_000;
+/** Time after which no node lists the address of a leaving node. */
+const LEAVE_PROPAGATION_MS = 2_000;
 
-/** The shutdown of one node and what its servers see of it. */
 export class NodeShutdown {
   readonly gate: DrainGate;
   readonly task: ShutdownTask;
@@ -36,9 +33,9 @@
     this.gate = new DrainGate(new InFlight(clock));
     this.task = new ShutdownTask({
       ...{clock, logger, graceMs, gate: this.gate},
-      tellCallersMs: entriesTtlMs + LEAVE_SPREAD_MS,
+      tellCallersMs: entriesTtlMs + LEAVE_PROPAGATION_MS,
       actions: {
-        // The start itself looks whether it is to go on.
+        // `start` checks itself whether a stop was requested.
         abortStart: () => undefined,
         announce: () => options.announce(),
         handOver: () => this.handOver(),
@@ -47,7 +44,7 @@
     });
   }
 
-  /** Counts the requests of the operators' server among those in flight. */
+  /** Counts the requests of a server as in flight. */
   watch(server: FastifyInstance): void {
     server.addHook('onRequest', async (incoming, reply) => {
       const route = incoming.routeOptions.url ?? 'unknown route';
@@ -67,11 +64,13 @@
       keptIds: report.keptIds,
       reason: report.reason,
     });
-    for (const hook of this.hooks) await this.call(hook);
+    for (const hook of this.hooks) await this.runHook(hook);
   }
 
-  /** One hook that fails keeps neither the others nor the node. */
-  private async call(hook: DrainedHook): Promise<void> {
+  /**
+   * Guards against a failed hook that blocks the other hooks or the shutdown.
+   */
+  private async runHook(hook: DrainedHook): Promise<void> {
     try {
       await hook();
     } catch (thrown) {
--- a/packages/node/src/observe_http.ts
+++ b/packages/node/src/observe_http.ts
@@ -3,15 +3,14 @@
 import {type Metrics} from '@mimosatack/metrics';
 import {type FastifyInstance, type FastifyRequest} from 'fastify';
 
-/** Whose interface a server is. */
+/** Who uses the interface that a server offers. */
 export type InterfaceName = 'callers' | 'operators';
 
 const FIRST_ERROR_STATUS = 400;
 const UNKNOWN_ROUTE = 'unknown route';
 
-/** Counts the requests of a server and those that are being served. */
 export class HttpObserver {
-  /** Requests that have arrived and are not answered in full. */
+  /** Requests that have arrived and have no complete response yet. */
   inFlight = 0;
   private readonly arrivals = new WeakMap<FastifyRequest, number>();
 
@@ -21,14 +20,14 @@
     private readonly metrics: Metrics,
   ) {}
 
-  /** Adds the hooks; called before the server listens. */
+  /** Adds the hooks; must be called before the server listens. */
   watch(server: FastifyInstance): void {
     server.addHook('onRequest', async incoming => this.noteArrival(incoming));
     server.addHook('onResponse', async (incoming, reply) =>
-      this.noteEnd(incoming, reply.statusCode),
+      this.noteCompletion(incoming, reply.statusCode),
     );
     server.addHook('onRequestAbort', async incoming =>
-      this.noteEnd(incoming, null),
+      this.noteCompletion(incoming, null),
     );
   }
 
@@ -38,8 +37,11 @@
     this.metrics.count('requests.received', this.tagsOf(incoming));
   }
 
-  /** A request that its caller gave up ends twice; only once counts. */
-  private noteEnd(incoming: FastifyRequest, status: number | null): void {
+  /** An aborted request triggers both hooks; only the first call counts. */
+  private noteCompletion(
+    incoming: FastifyRequest,
+    status: number | null,
+  ): void {
     const arrivedAtMs = this.arrivals.get(incoming);
     if (arrivedAtMs === undefined) return;
     this.arrivals.delete(incoming);
@@ -52,7 +54,9 @@
     this.metrics.count('requests.refused', {...tags, status: String(status)});
   }
 
-  /** The route and not the path, so that there are few different tags. */
+  /**
+   * Tags with the route instead of the path, which bounds the number of tags.
+   */
   private tagsOf(incoming: FastifyRequest) {
     const url = incoming.routeOptions.url;
     return {
--- a/packages/node/src/open_ports.ts
+++ b/packages/node/src/open_ports.ts
@@ -1,18 +1,16 @@
-/** Opens the ports of a node. */
 import {type EventLogger} from '@mimosatack/logger';
 import {type DaemonSettings} from '@mimosatack/settings';
 import {type FastifyInstance} from 'fastify';
 import {type Operations} from './operations.js';
 import {type PeerTask} from './peer_task.js';
 
-/** Where a started node listens. */
+/** The addresses at which a started node listens. */
 export interface NodeAddresses {
   callerBaseUrl: string;
   adminBaseUrl: string;
   peerAddress: string;
 }
 
-/** What listens. */
 export interface ListeningParts {
   settings: DaemonSettings;
   logger: EventLogger;
@@ -22,7 +20,10 @@
   operations: Operations;
 }
 
-/** Nodes first, so that none hears of this one before it can be asked. */
+/**
+ * Opens the peer port first, so that this node answers peers before they learn
+ * of it.
+ */
 export async function openPorts(parts: ListeningParts): Promise<NodeAddresses> {
   const {settings, logger, incarnation, operations, callerServer} = parts;
   const {listenHost: host, advertiseHost} = settings;
--- a/packages/node/src/operations.ts
+++ b/packages/node/src/operations.ts
@@ -1,6 +1,6 @@
 /**
- * What operators see of a node: its interface, the audit trail, metrics and
- * the certificates of its listeners.
+ * The operators' side of a node: operator server, audit trail, metrics and TLS
+ * certificates.
  */
 import {randomUUID} from 'node:crypto';
 import {AuditTrail} from '@mimosatack/audit-trail';
@@ -24,7 +24,6 @@
 import {type PeerTask} from './peer_task.js';
 import {ReplicaObserver} from './replica_observer.js';
 
-/** What the operations of a node are built from. */
 export interface OperationsOptions {
   settings: DaemonSettings;
   clock: Clock;
@@ -44,18 +43,17 @@
 const METRICS_INTERVAL_MS = 10_000;
 const AUDIT_SETTLE_INTERVAL_MS = 15_000;
 const AUDIT_SETTLE_GRACE_MS = 60_000;
-const AUDIT_COPIES_PER_AGE = 6;
+const AUDIT_COPY_TICKS_PER_AGE = 6;
 const LIMITED_LOG_INTERVAL_MS = 10_000;
 const MAX_LIMITED_LOGS = 5;
 const MINUTE_MS = 60_000;
 const DAY_MS = 24 * 60 * MINUTE_MS;
 
-/** What operators see of a node. */
 export class Operations {
   readonly metrics: Metrics;
   readonly audit: AuditTrail;
   readonly operatorServer: FastifyInstance;
-  /** Makes the callers' server; undefined for plain HTTP. */
+  /** Makes the callers' TLS server; undefined for plain HTTP. */
   readonly callerServerFactory: FastifyServerFactory | undefined;
   private readonly logger: EventLogger;
   private readonly callerTls: TlsListener | null;
@@ -67,7 +65,7 @@
 
   constructor(private readonly options: OperationsOptions) {
     const {settings, clock, follower} = options;
-    this.logger = limitLogger(options);
+    this.logger = makeLimitedLogger(options);
     this.callerTls = this.makeTls(
       'callers',
       settings.callerTlsCertPath,
@@ -96,31 +94,31 @@
     this.followFold();
   }
 
-  /** Measures the requests of a server; called before it listens. */
+  /** Measures the requests of a server; must be called before it listens. */
   watch(server: FastifyInstance, interfaceName: 'callers' | 'operators'): void {
     this.observers
       .find(observer => observer.interfaceName === interfaceName)
       ?.watch(server);
   }
 
-  /** Takes a report that this node read from an engine itself. */
+  /** Measures a report that this node itself has read from an engine. */
   noteReport(report: BackendReport): void {
     this.replicas.note(report);
   }
 
-  /** The scheme of the URLs under which a server is reached. */
+  /** The URL scheme of a server. */
   schemeOf(interfaceName: 'callers' | 'operators'): 'http' | 'https' {
     const tls = interfaceName === 'callers' ? this.callerTls : this.operatorTls;
     return tls ? 'https' : 'http';
   }
 
-  /** Reads the certificates; rejects when one is not usable. */
+  /** Reads the certificates; rejects if one is not usable. */
   async openTls(): Promise<void> {
     await this.callerTls?.start();
     await this.operatorTls?.start();
   }
 
-  /** Begins to measure and to keep the audit trail. */
+  /** Starts the metrics and the audit trail. */
   start(): void {
     const {clock, follower, settings} = this.options;
     this.audit.reset(follower.state);
@@ -129,12 +127,12 @@
     every(METRICS_INTERVAL_MS, () => this.reporter.report());
     every(AUDIT_SETTLE_INTERVAL_MS, () => this.audit.post({type: 'settle'}));
     every(
-      (settings.auditCopyAfterMinutes * MINUTE_MS) / AUDIT_COPIES_PER_AGE,
+      (settings.auditCopyAfterMinutes * MINUTE_MS) / AUDIT_COPY_TICKS_PER_AGE,
       () => this.audit.post({type: 'copy'}),
     );
   }
 
-  /** Stores what the audit trail lacks and lets go of everything. */
+  /** Stores pending entries of the audit trail and releases all resources. */
   async stop(): Promise<void> {
     this.periodics.forEach(periodic => periodic.stop());
     this.callerTls?.stop();
@@ -251,8 +249,11 @@
   }
 }
 
-/** Events that strangers can cause are limited, so they flood no log. */
-function limitLogger({logger, clock}: OperationsOptions): EventLogger {
+/**
+ * Guards against a log flooded by events that unauthenticated clients can
+ * cause.
+ */
+function makeLimitedLogger({logger, clock}: OperationsOptions): EventLogger {
   return new LimitedEventLogger(logger, {
     clock,
     limited: [
--- a/packages/node/src/peer_messages.ts
+++ b/packages/node/src/peer_messages.ts
@@ -1,4 +1,4 @@
-/** What nodes say to each other; every message is checked on arrival. */
+/** The messages between nodes, with the schemas that check them on arrival. */
 import {membershipMessageSchema} from '@mimosatack/membership';
 import {reportMessageSchema} from '@mimosatack/share-reports';
 import {z} from 'zod';
@@ -51,9 +51,9 @@
   z.object({
     type: z.literal('membership'),
     message: membershipMessageSchema,
-    /** How far the sender has folded the log. */
+    /** The next log offset that the sender will read. */
     nextOffset: offset,
-    /** Whether the sender reads the log itself. */
+    /** Whether the sender reads the log directly. */
     isLogReachable: z.boolean(),
   }),
   z.object({type: z.literal('pull-appends'), from: offset}),
@@ -61,7 +61,7 @@
     type: z.literal('appends'),
     records: z.array(z.object({offset, data: bytes})),
   }),
-  /** Asks how far a node has folded, and tells it how far the sender has. */
+  /** Asks for the progress of a node, and reports that of the sender. */
   z.object({
     type: z.literal('read-progress'),
     nextOffset: offset,
@@ -82,7 +82,7 @@
   }),
   z.object({type: z.literal('demand'), model: name}),
   ...ticketMessageSchemas,
-  /** A caller has resumed a request that the receiver took in. */
+  /** Tells the node that accepted a request that its caller has resumed it. */
   z.object({type: z.literal('resumed'), engineRequestId: name}),
   z.object({
     type: z.literal('hosts-leaving'),
@@ -91,5 +91,4 @@
   }),
 ]);
 
-/** One message between nodes. */
 export type PeerMessage = z.infer<typeof peerMessageSchema>;
--- a/packages/node/src/peer_progress.ts
+++ b/packages/node/src/peer_progress.ts
@@ -1,18 +1,17 @@
-/** How far the other nodes have got with the log, as they last said. */
+/** Tracks how far the other nodes have read the log. */
 import {type LogOffset} from '@mimosatack/types';
 
-/** What a node says of itself with every membership message. */
+/** The log progress of a node, sent with every membership message. */
 export interface Progress {
   nextOffset: LogOffset;
   isLogReachable: boolean;
 }
 
-/** How many addresses are remembered. */
 const MAX_ADDRESSES = 2_048;
 
-/** The newest word of each node, by its peer address. */
+/** The last reported progress of each node, by its peer address. */
 export class PeerProgress {
-  /** Grows whenever a node lost or regained the log. */
+  /** Increases whenever a node loses or regains the log. */
   version = 0;
   private readonly byAddress = new Map<string, Progress>();
 
--- a/packages/node/src/peer_task.ts
+++ b/packages/node/src/peer_task.ts
@@ -1,6 +1,6 @@
 /**
- * Talks to the other nodes: membership, reports on backend servers, and
- * appends for nodes that can't read the log themselves.
+ * Communicates with the other nodes: membership, reports on backend servers,
+ * and log records for nodes that cannot read the log.
  */
 import {AgreedState} from '@mimosatack/agreed-state';
 import {type Clock} from '@mimosatack/clock';
@@ -31,13 +31,12 @@
 import {type TicketMessage} from './ticket_messages.js';
 import {PeerProgress, type Progress} from './peer_progress.js';
 
-/** The whole state of an engine as its steward tells it. */
+/** The whole state of an engine, as its steward has read it. */
 export interface PulledEngine {
   engine: EngineState;
   version: ReportVersion;
 }
 
-/** What the task needs of the node. */
 export interface PeerTaskOptions {
   clock: Clock;
   random: RandomSource;
@@ -45,18 +44,18 @@
   nodeName: string;
   listenHost: string;
   listenPort: number;
-  /** The host that peers reach this node at. */
+  /** The host at which peers reach this node. */
   advertiseHost: string;
   clusterSecret: string;
   seeds: readonly string[];
   onDemand(model: string): void;
-  /** Answers a message about the tickets of a process that stops. */
+  /** Answers a message about the tickets of a process that is stopping. */
   onTicketMessage(message: TicketMessage): TicketMessage | void;
   onReport(fromAddress: string, message: ReportMessage): void;
   /** The whole state of an engine that this node holds. */
   findOwnEngine(id: BackendServerId): PulledEngine | null;
   onResumed(engineRequestId: string): void;
-  /** Told by another node that hosts of backend servers leave. */
+  /** Called when another node reports backend servers that are leaving. */
   onServersLeaving(backendServerIds: readonly string[]): void;
   onFault(error: TypedError): void;
 }
@@ -65,16 +64,15 @@
 const MAX_CONNECTIONS = 64;
 const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
 const REQUEST_TIMEOUT_MS = 3_000;
-/** A frozen node must not hold up what is asked of the others. */
-const ASK_TIMEOUT_MS = 1_000;
+/** Guards against a paused node that delays the answers of the others. */
+const OFFSET_TIMEOUT_MS = 1_000;
 
-/** The task that owns the connections to the other nodes. */
 export class PeerTask implements AppendSource, StateSource {
   private readonly transport: PeerTransport<PeerMessage>;
   private readonly progress = new PeerProgress();
   private membership: Membership | null = null;
   private ownAddress = '';
-  private ticking: Periodic | null = null;
+  private membershipTicks: Periodic | null = null;
 
   constructor(private readonly options: PeerTaskOptions) {
     this.transport = new PeerTransport<PeerMessage>({
@@ -96,7 +94,7 @@
     });
   }
 
-  /** Opens the port; the address goes into `MemberInfo`. */
+  /** Opens the port, which becomes part of `MemberInfo.peerAddress`. */
   async listen(): Promise<{port: number}> {
     return this.transport.start();
   }
@@ -106,17 +104,17 @@
     this.ownAddress = self.peerAddress;
     this.membership = new Membership(self, {}, random);
     this.sendAll(this.membership.join(seeds, clock.monotonicMs()));
-    this.ticking = startPeriodic(clock, TICK_MS, () => {
+    this.membershipTicks = startPeriodic(clock, TICK_MS, () => {
       this.sendAll(this.membership?.tick(clock.monotonicMs()) ?? []);
     });
   }
 
   async stop(): Promise<void> {
-    this.ticking?.stop();
+    this.membershipTicks?.stop();
     await this.transport.stop();
   }
 
-  /** Grows with every change of what `listDeciders` gives. */
+  /** Increases whenever the result of `listDeciders` may have changed. */
   get decidersVersion(): number {
     return (this.membership?.version ?? 0) + this.progress.version;
   }
@@ -130,9 +128,9 @@
   }
 
   /**
-   * The members that may write records: those that read the log themselves,
-   * or all while none does. Guards against an event that nobody plans because
-   * the node that should is cut from the log.
+   * The members that may write records: those that read the log directly, or
+   * all members if none does. Guards against an event that stays unplanned
+   * because the node responsible for it cannot reach the log.
    */
   listDeciders(): Member[] {
     const usable = this.listUsable();
@@ -144,7 +142,7 @@
     return this.progress.find(peerAddress)?.nextOffset ?? null;
   }
 
-  /** Asks a node how far it has folded; null when it does not answer. */
+  /** Asks a node for its next log offset; null if it does not answer. */
   async askNextOffset(nodeName: string): Promise<LogOffset | null> {
     const peer = this.listPeers().find(other => other.nodeName === nodeName);
     if (!peer) return null;
@@ -152,7 +150,7 @@
       const reply = await this.transport.request(
         peer.peerAddress,
         {type: 'read-progress', ...this.ownProgress()},
-        ASK_TIMEOUT_MS,
+        OFFSET_TIMEOUT_MS,
       );
       if (reply.type !== 'progress') return null;
       this.noteProgress(peer.peerAddress, reply);
@@ -188,7 +186,7 @@
     }
   }
 
-  /** Tells every other node of hosts that leave. */
+  /** Tells all other nodes about hosts that are leaving. */
   broadcastLeaving(
     backendServerIds: readonly string[],
     nodeNames: readonly string[],
@@ -209,8 +207,8 @@
   }
 
   /**
-   * The nodes that callers may be sent to. A node that is suspected has
-   * perhaps died; tickets for it would come to nothing.
+   * The nodes to which callers may be sent. Suspected nodes are left out unless
+   * all are suspected, because a ticket of a dead node cannot be redeemed.
    */
   listEntries(): Member[] {
     const usable = this.listUsable();
@@ -218,7 +216,7 @@
     return alive.length > 0 ? alive : usable;
   }
 
-  /** Where a process can be reached, unless it is known to be gone. */
+  /** Where a process can be reached, unless membership knows it as gone. */
   findProcess(
     incarnation: string,
   ): {incarnation: string; baseUrl: string} | null {
@@ -228,7 +226,7 @@
     return member ? {incarnation, baseUrl: member.callerBaseUrl} : null;
   }
 
-  /** All usable nodes but this one. */
+  /** All usable nodes except this one. */
   listPeers(): Member[] {
     return this.listUsable().filter(
       member => member.nodeName !== this.options.nodeName,
@@ -243,7 +241,7 @@
     return this.transport.request(peerAddress, message, timeoutMs);
   }
 
-  /** Tells the process that took a request in that its caller has resumed. */
+  /** Tells the process that accepted a request that its caller has resumed. */
   sendResumed(incarnation: string, engineRequestId: string): void {
     const peer = this.listMembers().find(
       other => other.incarnation === incarnation,
@@ -285,7 +283,7 @@
     }
   }
 
-  /** Peers that have not said how far they got come last. */
+  /** Peers of unknown progress come last. */
   private findMostAdvanced(): Member | undefined {
     return this.listPeers()
       .toSorted((a, b) => this.offsetOf(b) - this.offsetOf(a))
@@ -296,7 +294,9 @@
     return this.progress.find(member.peerAddress)?.nextOffset ?? -1;
   }
 
-  /** This node itself tells all others, which makes it more than a hint. */
+  /**
+   * Records hints about other nodes; announces the leave if this node is named.
+   */
   private noteNodesLeaving(nodeNames: readonly string[]): void {
     const nowMs = this.options.clock.monotonicMs();
     nodeNames.forEach(nodeName =>
--- a/packages/node/src/plan_records.ts
+++ b/packages/node/src/plan_records.ts
@@ -1,4 +1,4 @@
-/** Turns plans into the records that carry them. */
+/** Converts plans to records. */
 import {type Placement} from '@mimosatack/agreed-state';
 import {type SlotEnding, type SlotExtension} from '@mimosatack/plan-warming';
 import {
@@ -7,19 +7,22 @@
   type SlotPurpose,
 } from '@mimosatack/records';
 
-/** The records for what a plan ends or keeps for longer. */
-export function makeEndings(plan: {
+/** The records for the slots that a plan ends or extends. */
+export function makeEndAndExtendRecords(plan: {
   end: readonly SlotEnding[];
   extend: readonly SlotExtension[];
 }): RecordBody[] {
   return [
     ...plan.end.map(ending => ({type: 'end-slots' as const, ...ending})),
-    ...plan.extend.map(more => ({type: 'extend-slots' as const, ...more})),
+    ...plan.extend.map(extension => ({
+      type: 'extend-slots' as const,
+      ...extension,
+    })),
   ];
 }
 
-/** The record for what a plan decides; none when it decides nothing. */
-export function makeDecision(
+/** The record for the slots that a plan decides; empty if there are none. */
+export function makeDecisionRecord(
   placement: Placement,
   purpose: SlotPurpose,
   targetRevision: number,
--- a/packages/node/src/planner_task.test.ts
+++ b/packages/node/src/planner_task.test.ts
@@ -16,7 +16,7 @@
 const LONG_MS = 60_000;
 const MODEL_MIB = 100;
 
-/** One node with nothing but a follower and a planner. */
+/** A node that consists of a follower and a planner. */
 class PlanningNode {
   readonly clock = new ManualClock();
   readonly logger = new MemoryEventLogger();
@@ -132,9 +132,8 @@
 }
 
 test('decides the replicas of an event once, whoever plans it', async () => {
-  // Two nodes believe to be the first in rank, as after a change of members,
-  // and plan the same event at once. Both plans in force would load a replica
-  // too many.
+  // Guards against a surplus replica when two nodes plan the same event because
+  // both rank themselves first after a membership change.
   const {nodes, node, publish, stop} = await setUp(2);
   await publish();
   const [, other] = nodes as [PlanningNode, PlanningNode];
@@ -150,7 +149,7 @@
   await stop();
 });
 
-test('ends what was decided for an event that is cancelled', async () => {
+test('ends the slots of an event that is cancelled', async () => {
   const {node, publish, stop} = await setUp();
   await publish();
   await tickUntil(node, () => node.listSlots().length > 0);
@@ -164,9 +163,9 @@
   await stop();
 });
 
-test('decides nothing while the log is down, and goes on after', async () => {
-  // A request finds no replica during an outage. Plans that pile up would all
-  // be written when the log is back.
+test('decides nothing while the log is down, and resumes after', async () => {
+  // Guards against plans that pile up during an outage and are all written when
+  // the log is back.
   const {log, node, stop} = await setUp();
   log.setDown(true);
   await waitUntil('the log', () => !node.follower.status.isLogReachable);
@@ -180,7 +179,7 @@
   await stop();
 });
 
-test('leaves an event to the node before it in rank at first', async () => {
+test('leaves an event to the higher-ranked node at first', async () => {
   const {node, publish, stop} = await setUp();
   node.rank = 1;
   await publish();
@@ -192,7 +191,7 @@
   await stop();
 });
 
-test('tells the operator of replicas without room, once', async () => {
+test('logs a shortage of room for replicas once', async () => {
   const {node, stop} = await setUp();
   const needs = [{model: 'm1', replicas: 3}];
   const event = {startsAt: START_MS, durationMinutes: 10, needs};
--- a/packages/node/src/planner_task.ts
+++ b/packages/node/src/planner_task.ts
@@ -1,4 +1,4 @@
-/** Plans the events and the demand that this node is responsible for. */
+/** Plans the events and the demand for which this node is responsible. */
 import {type ResolvedEvent} from '@mimosatack/agreed-state';
 import {type Clock} from '@mimosatack/clock';
 import {type EngineBoard} from '@mimosatack/engine-board';
@@ -18,17 +18,15 @@
 import {Task, type TaskErrorHandler} from '@mimosatack/tasks';
 import {type BackendServerId, type EventId} from '@mimosatack/types';
 import {DemandPlanner} from './demand_planner.js';
-import {makeDecision, makeEndings} from './plan_records.js';
+import {makeDecisionRecord, makeEndAndExtendRecords} from './plan_records.js';
 import {PlannerView} from './planner_view.js';
 
-/** What the task is told. */
 export type PlannerMessage =
   | {type: 'tick'}
   /** A request for `model` or `model:adapter` found no warm replica. */
   | {type: 'demand'; model: string}
   | {type: 'store-limits'; limits: WeightStoreLimits};
 
-/** What the task needs of the node. */
 export interface PlannerTaskOptions {
   clock: Clock;
   logger: EventLogger;
@@ -36,38 +34,41 @@
   board: EngineBoard;
   policy: WarmingPolicy;
   loadTimes: LoadTimeEstimates;
-  /** The place of this node among those that may plan, from 0; else -1. */
+  /** The rank of this node among those that may plan, from 0; else -1. */
   findRank(key: string): number;
   isLeaving(backendServerId: BackendServerId): boolean;
-  /** Asks for the whole states of some engines, which arrive on the board. */
+  /** Requests the whole states of engines, which arrive on the board. */
   watchEngines(ids: readonly BackendServerId[]): void;
   makeSlotId: () => string;
   submitTimeoutMs: number;
 }
 
-/** Replicas of an event that there is no room for. */
+/** Replicas of an event for which there is no room. */
 export interface UnplacedReplicas {
   eventId: EventId;
   model: string;
   replicas: number;
 }
 
-const AGENDA = {firstRetryMs: 1_000, maxRetryMs: 30_000, patienceMs: 5_000};
+const AGENDA_OPTIONS = {
+  firstRetryMs: 1_000,
+  maxRetryMs: 30_000,
+  patienceMs: 5_000,
+};
 const MAX_SLOTS_PER_RECORD = 512;
-/** Nodes behind the first that plan when it does not. */
-const MAX_RANK = 2;
+/** Highest rank number that may plan when the nodes before it do not. */
+const MAX_PLANNING_RANK = 2;
 
-/** The task that plans events and demand. */
 export class PlannerTask extends Task<PlannerMessage> {
-  private readonly agenda = new PlanningAgenda(AGENDA);
+  private readonly agenda = new PlanningAgenda(AGENDA_OPTIONS);
   private readonly demand: DemandPlanner;
   private readonly unplaced = new Map<EventId, UnplacedReplicas[]>();
   private readonly view: PlannerView;
   private isTickQueued = false;
-  /** What the last look at all events saw. */
-  private lookMark = '';
-  /** When an event begins or ends next. */
-  private nextPhaseMs = 0;
+  /** The inputs of the last run over all events. */
+  private lastInputKey = '';
+  /** The next time at which an event starts or ends. */
+  private nextBoundaryMs = 0;
 
   constructor(
     private readonly options: PlannerTaskOptions,
@@ -78,12 +79,12 @@
     this.demand = new DemandPlanner(options, this.view);
   }
 
-  /** What this node found no room for when it planned last. */
+  /** Replicas that did not fit when this node last planned their events. */
   listUnplaced(): UnplacedReplicas[] {
     return [...this.unplaced.values()].flat();
   }
 
-  /** A tick that comes while another waits for the log is dropped. */
+  /** Drops a tick while another tick is queued. */
   override post(message: PlannerMessage): void {
     if (message.type === 'tick') {
       if (this.isTickQueued) return;
@@ -108,14 +109,16 @@
     }
   }
 
-  /** Without the log nothing new can be decided, so nothing is planned. */
+  /**
+   * Plans nothing while the log is down, because no decision can be written.
+   */
   private async planAll(): Promise<void> {
     if (!this.options.follower.status.isLogReachable) return;
     const nowMs = this.options.clock.wallMs();
-    this.view.begin(nowMs);
-    this.view.watchUsed();
+    this.view.startRun(nowMs);
+    this.view.watchSlotEngines();
     const bodies = [
-      ...(this.isQuiet(nowMs) ? [] : this.planEvents(nowMs)),
+      ...(this.isUnchanged(nowMs) ? [] : this.planEvents(nowMs)),
       ...this.demand.plan(nowMs),
     ];
     await Promise.all(
@@ -128,28 +131,32 @@
   }
 
   /**
-   * Whether nothing that events are planned from has changed since the last
-   * look at all of them, which costs most when there are many.
+   * Whether the inputs of event planning are unchanged since the last run.
+   * Saves that run, which is the costly part when there are many events.
    */
-  private isQuiet(nowMs: number): boolean {
+  private isUnchanged(nowMs: number): boolean {
     const {sequence} = this.options.follower.state;
-    const mark = [sequence, ...this.demand.models, this.view.markServers()];
-    const lookMark = mark.join(' ');
+    const mark = [
+      sequence,
+      ...this.demand.models,
+      this.view.fingerprintServers(),
+    ];
+    const inputKey = mark.join(' ');
     const isQuiet =
-      lookMark === this.lookMark &&
-      nowMs < this.nextPhaseMs &&
+      inputKey === this.lastInputKey &&
+      nowMs < this.nextBoundaryMs &&
       !this.agenda.hasOpen;
-    this.lookMark = lookMark;
+    this.lastInputKey = inputKey;
     return isQuiet;
   }
 
   private planEvents(nowMs: number): RecordBody[] {
     const {configuration} = this.options.follower.state;
     const events = configuration.listEvents();
-    const phasesMs = events
+    const boundariesMs = events
       .flatMap(({startsAtMs, endsAtMs}) => [startsAtMs, endsAtMs])
       .filter(atMs => atMs > nowMs);
-    this.nextPhaseMs = Math.min(Infinity, ...phasesMs);
+    this.nextBoundaryMs = Math.min(Infinity, ...boundariesMs);
     this.agenda.keepOnly(new Set(events.map(event => event.eventId)));
     [...this.unplaced.keys()]
       .filter(eventId => !configuration.findEvent(eventId))
@@ -157,21 +164,21 @@
     const due = events
       .map(event => ({event, fingerprint: this.fingerprint(event, nowMs)}))
       .filter(({event, fingerprint}) =>
-        this.isMine(event.eventId, fingerprint, nowMs),
+        this.shouldPlan(event.eventId, fingerprint, nowMs),
       )
       .toSorted((a, b) => compareEvents(a.event, b.event));
     return [
       ...due.flatMap(({event, fingerprint}) =>
-        this.planOne(event, fingerprint, nowMs),
+        this.planDueEvent(event, fingerprint, nowMs),
       ),
       ...this.endCancelled(),
     ];
   }
 
-  private isMine(eventId: EventId, fingerprint: string, nowMs: number) {
+  private shouldPlan(eventId: EventId, fingerprint: string, nowMs: number) {
     if (!this.agenda.isDue(eventId, fingerprint, nowMs)) return false;
     const rank = this.options.findRank(`event ${eventId}`);
-    const mayPlan = rank >= 0 && rank <= MAX_RANK;
+    const mayPlan = rank >= 0 && rank <= MAX_PLANNING_RANK;
     return mayPlan && this.agenda.isTurn(eventId, rank, nowMs);
   }
 
@@ -181,11 +188,11 @@
       held: this.view.listHeld({for: 'event', eventId: event.eventId}),
       demanded: this.demand.listMissed(event),
       nowMs,
-      markSlot: slot => this.view.markSlot(slot),
+      markSlot: slot => this.view.fingerprintSlot(slot),
     });
   }
 
-  private planOne(
+  private planDueEvent(
     event: ResolvedEvent,
     fingerprint: string,
     nowMs: number,
@@ -205,10 +212,10 @@
       demanded: this.demand.listMissed(event),
     });
     const bodies: RecordBody[] = [
-      ...makeEndings(plan),
-      ...makeDecision(placement, purpose, event.revision, plan.decide),
+      ...makeEndAndExtendRecords(plan),
+      ...makeDecisionRecord(placement, purpose, event.revision, plan.decide),
     ];
-    this.view.take(plan.decide);
+    this.view.reserve(plan.decide);
     this.noteUnplaced(event, plan, nowMs);
     if (bodies.length === 0 && plan.unplaced.length === 0) {
       this.agenda.noteSettled(event.eventId, fingerprint);
@@ -218,7 +225,7 @@
     return bodies;
   }
 
-  /** Tells the operator once for each change of what is missing. */
+  /** Logs a shortage once for each change of the missing replicas. */
   private noteUnplaced(
     {eventId, startsAtMs}: ResolvedEvent,
     {unplaced}: EventPlan,
@@ -240,7 +247,7 @@
     });
   }
 
-  /** Ends what was decided for events that were cancelled since. */
+  /** Ends the slots of cancelled events. */
   private endCancelled(): RecordBody[] {
     const slotIds = this.view
       .listCancelled()
@@ -253,7 +260,7 @@
   }
 }
 
-/** Of two events that compete for memory, the one that is planned first. */
+/** Orders events that compete for memory; the first is planned first. */
 function compareEvents(a: ResolvedEvent, b: ResolvedEvent): number {
   return (
     b.priority - a.priority ||
--- a/packages/node/src/planner_view.ts
+++ b/packages/node/src/planner_view.ts
@@ -1,4 +1,6 @@
-/** What the planner sees of the agreed state and the board during one run. */
+/**
+ * What the planner reads from the agreed state and the board during one run.
+ */
 import {type AgreedState, type Slot} from '@mimosatack/agreed-state';
 import {type EngineBoard} from '@mimosatack/engine-board';
 import {type LogFollower} from '@mimosatack/follow-log';
@@ -15,7 +17,6 @@
 import {readBaseSlotId} from '@mimosatack/steward-orders';
 import {type BackendServerId} from '@mimosatack/types';
 
-/** What the view is made of. */
 export interface PlannerViewOptions {
   follower: LogFollower;
   board: EngineBoard;
@@ -23,7 +24,7 @@
   watchEngines(ids: readonly BackendServerId[]): void;
 }
 
-/** What a planning run takes room and time from. */
+/** The memory and store time that a planning run may use. */
 export interface PlanningParts {
   servers: readonly ServerView[];
   timetable: StoreTimetable;
@@ -34,17 +35,17 @@
   loadsPerSecond: 3,
   fullSpeedLoads: 4,
 };
-/** The share of the store's lanes that planned loads may use. */
-const PLANNED_SHARE = 0.75;
+/** The share of the store's full-speed loads that planned loads may use. */
+const PLANNED_LOAD_SHARE = 0.75;
 /**
- * Engines that are asked what lies in their near caches. Beyond these a model
- * may be placed where its checkpoint is not near, which costs a transfer.
+ * Engines whose cache contents are requested. On other engines, a model may be
+ * placed without a cached checkpoint, which costs a transfer.
  */
-const MAX_TIER_ENGINES = 64;
+const MAX_CACHE_LOOKUPS = 64;
 
 /**
- * Built once for each run, and the costly parts only when something is due.
- * What one event takes in a run is gone for the next one in the same run.
+ * Reads the costly parts only when something is due, at most once per run, and
+ * deducts what one event reserves before the next event of the run is planned.
  */
 export class PlannerView {
   private limits = DEFAULT_LIMITS;
@@ -57,14 +58,14 @@
     this.limits = limits;
   }
 
-  /** Forgets what the last run saw. */
-  begin(nowMs: number): void {
+  /** Discards the state of the last run. */
+  startRun(nowMs: number): void {
     this.nowMs = nowMs;
     this.parts = null;
   }
 
-  /** Follows the engines whose use or progress decides what to plan. */
-  watchUsed(): void {
+  /** Requests the states of engines with demand slots or replacement slots. */
+  watchSlotEngines(): void {
     const used = this.state.placement
       .list()
       .filter(slot => slot.purpose.for === 'demand' || slot.replaces !== null)
@@ -85,36 +86,36 @@
     return this.parts;
   }
 
-  /** Takes what was just planned from the room that is left. */
-  take(plans: readonly SlotPlan[]): void {
+  /** Deducts planned slots from the available memory. */
+  reserve(plans: readonly SlotPlan[]): void {
     if (plans.length === 0) return;
     const parts = this.planningParts();
     this.parts = {...parts, servers: takeRoom(parts.servers, plans)};
   }
 
   /** Changes when planning for the slot's backend server may change. */
-  markSlot(slot: Slot): string {
+  fingerprintSlot(slot: Slot): string {
     const id = slot.backendServerId;
     const warmParts = slot.replaces === null ? 0 : this.countWarmParts(slot);
-    return `${this.markServer(id)}${warmParts > 0 ? warmParts : ''}`;
+    return `${this.fingerprintServer(id)}${warmParts > 0 ? warmParts : ''}`;
   }
 
-  /** Changes with the servers that are lost or leaving, and with stand-ins. */
-  markServers(): string {
+  /** Changes with the lost and leaving servers, and with replacement slots. */
+  fingerprintServers(): string {
     const {stewardship, placement} = this.state;
     const servers = stewardship
       .listBackendServers()
-      .map(({backendServerId: id}) => ({id, mark: this.markServer(id)}))
+      .map(({backendServerId: id}) => ({id, mark: this.fingerprintServer(id)}))
       .filter(({mark}) => mark !== '')
       .map(({id, mark}) => `${id}${mark}`);
-    const standIns = placement
+    const replacements = placement
       .list()
       .filter(slot => slot.replaces !== null)
-      .map(slot => this.markSlot(slot));
-    return [...servers, ...standIns].join(' ');
+      .map(slot => this.fingerprintSlot(slot));
+    return [...servers, ...replacements].join(' ');
   }
 
-  private markServer(id: BackendServerId): string {
+  private fingerprintServer(id: BackendServerId): string {
     const isLost = this.options.board.find(id)?.isReachable === false;
     return `${isLost ? 'l' : ''}${this.options.isLeaving(id) ? 'v' : ''}`;
   }
@@ -126,7 +127,7 @@
       .filter(replica => replica.status === 'warm').length;
   }
 
-  /** Slots of events that are not in the configuration any more. */
+  /** Slots of events that are no longer in the configuration. */
   listCancelled(): {slotId: string; eventId: string}[] {
     const {configuration, placement} = this.state;
     return placement
@@ -140,7 +141,7 @@
       );
   }
 
-  /** Models whose demand slots run requests now. */
+  /** Models whose demand slots currently run requests. */
   listActiveModels(): string[] {
     return this.listDemandSlots()
       .filter(slot => this.countRequests(slot) > 0)
@@ -148,10 +149,10 @@
   }
 
   /**
-   * Whether a running event is to serve such requests; then its own plan sees
-   * to them, and a second replica beside it would be one too many.
+   * Whether a running event covers these requests. Guards against a surplus
+   * replica beside those of the event.
    */
-  isForEvent(model: string, adapters: readonly string[]): boolean {
+  isEventDemand(model: string, adapters: readonly string[]): boolean {
     return this.state.configuration
       .listEvents()
       .filter(({startsAtMs}) => startsAtMs <= this.nowMs)
@@ -164,7 +165,7 @@
       );
   }
 
-  /** Demand slots of other models that run nothing, unused longest first. */
+  /** Idle demand slots of other models, least recently used first. */
   listIdleDemand(model: string, demand: DemandTable): Slot[] {
     const lastUseMs = (slot: Slot) => demand.find(slot.model).lastUseMs ?? 0;
     return this.listDemandSlots()
@@ -177,7 +178,10 @@
   }
 
   private get lanes(): number {
-    return Math.max(1, Math.floor(this.limits.fullSpeedLoads * PLANNED_SHARE));
+    return Math.max(
+      1,
+      Math.floor(this.limits.fullSpeedLoads * PLANNED_LOAD_SHARE),
+    );
   }
 
   private listDemandSlots(): Slot[] {
@@ -200,7 +204,7 @@
       .listBackendServers()
       .filter(server => server.memoryMib > 0)
       .map(server => server.backendServerId);
-    this.options.watchEngines(ids.slice(0, MAX_TIER_ENGINES));
+    this.options.watchEngines(ids.slice(0, MAX_CACHE_LOOKUPS));
     return stewardship
       .listBackendServers()
       .filter(server => server.memoryMib > 0)
--- a/packages/node/src/replica_observer.ts
+++ b/packages/node/src/replica_observer.ts
@@ -1,4 +1,4 @@
-/** Measures the loads that show in the reports of held engines. */
+/** Measures loads from the reports of engines that this node reads. */
 import {type AgreedState, type Slot} from '@mimosatack/agreed-state';
 import {type Clock} from '@mimosatack/clock';
 import {type BackendReport} from '@mimosatack/engine-board';
@@ -6,7 +6,6 @@
 import {readBaseSlotId} from '@mimosatack/steward-orders';
 import {type BackendServerId, type LoadedReplica} from '@mimosatack/types';
 
-/** Compares each report of an engine with the one before. */
 export class ReplicaObserver {
   private readonly warmSlots = new Map<BackendServerId, Set<string>>();
 
@@ -16,7 +15,7 @@
     private readonly state: () => AgreedState,
   ) {}
 
-  /** Takes a report that this node read itself. */
+  /** Records a report that this node itself has read. */
   note({backendServerId, engine}: BackendReport): void {
     if (!engine) return;
     const warm = engine.replicas.filter(replica => replica.status === 'warm');
@@ -25,7 +24,8 @@
       backendServerId,
       new Set(warm.map(replica => replica.slotId)),
     );
-    // What is warm in the first report may have been loaded long before.
+    // Replicas that are warm in the first report may have been loaded long
+    // before.
     if (!known) return;
     warm
       .filter(replica => !known.has(replica.slotId))
--- a/packages/node/src/report_task.ts
+++ b/packages/node/src/report_task.ts
@@ -1,6 +1,6 @@
 /**
- * Shares what stewards read of their engines: loads, warm states, and on
- * request the whole state of one engine.
+ * Shares what stewards read from their engines: loads, warm states, and the
+ * whole state of one engine on request.
  */
 import {type AgreedState} from '@mimosatack/agreed-state';
 import {type Clock} from '@mimosatack/clock';
@@ -24,13 +24,11 @@
 import {type BackendServerId, type EngineState} from '@mimosatack/types';
 import {type PeerTask, type PulledEngine} from './peer_task.js';
 
-/** What the task is told. */
 export type ReportTaskMessage =
   | {type: 'tick'}
   | {type: 'publish'; report: BackendReport; term: StewardTerm}
   | {type: 'receive'; fromAddress: string; message: ReportMessage};
 
-/** What the task needs of the node. */
 export interface ReportTaskOptions {
   clock: Clock;
   random: RandomSource;
@@ -40,15 +38,15 @@
   peers: Pick<PeerTask, 'listUsable' | 'sendReport' | 'pullEngine'>;
 }
 
-/** How long the planner keeps the states of the engines it looks at. */
-const WATCH_MS = 60_000;
+/** How long a request of the planner keeps engine states up to date. */
+const WATCH_DURATION_MS = 60_000;
 
-/** The task that shares reports through the peer transport. */
+/** Shares reports through the peer transport. */
 export class ReportTask extends Task<ReportTaskMessage> {
   private readonly sharing: ReportSharing;
   private readonly pulls: PullPlan;
-  private foldedState: AgreedState | null = null;
-  private foldedSequence = -1;
+  private lastState: AgreedState | null = null;
+  private lastSequence = -1;
   private nodesKey = '';
 
   constructor(
@@ -80,12 +78,15 @@
       : null;
   }
 
-  /** Keeps the whole states of engines up to date for a while. */
+  /** Keeps the whole states of engines up to date for a limited time. */
   watchEngines(ids: readonly BackendServerId[]): void {
-    this.pulls.watch(ids, this.options.clock.monotonicMs() + WATCH_MS);
+    this.pulls.watch(ids, this.options.clock.monotonicMs() + WATCH_DURATION_MS);
   }
 
-  /** Asks the steward of an engine for its whole state. */
+  /**
+   * Asks the stewards of an engine for its whole state, the holder first; falls
+   * back to the board.
+   */
   async readEngine(id: BackendServerId): Promise<EngineState | null> {
     const {board, peers} = this.options;
     for (const steward of this.listStewards(id)) {
@@ -101,8 +102,8 @@
     const now = this.readClock();
     switch (message.type) {
       case 'tick':
-        this.followState();
-        this.followNodes();
+        this.syncBackendServers();
+        this.syncNodes();
         this.sharing.tick(now).forEach(each => this.send(each));
         this.pullDue(now);
         return;
@@ -117,13 +118,13 @@
     }
   }
 
-  private followState(): void {
+  private syncBackendServers(): void {
     const {state} = this.options.follower;
     const isSame =
-      state === this.foldedState && state.sequence === this.foldedSequence;
+      state === this.lastState && state.sequence === this.lastSequence;
     if (isSame) return;
-    this.foldedState = state;
-    this.foldedSequence = state.sequence;
+    this.lastState = state;
+    this.lastSequence = state.sequence;
     const {stewardship} = state;
     this.sharing.setRunners(
       stewardship.listBackendServers().map(({backendServerId}) => {
@@ -138,7 +139,7 @@
     this.options.board.refreshSlots();
   }
 
-  private followNodes(): void {
+  private syncNodes(): void {
     const nodes = this.options.peers.listUsable();
     const key = nodes.map(node => node.incarnation).join(' ');
     if (key === this.nodesKey) return;
@@ -157,7 +158,7 @@
     });
   }
 
-  /** The nodes that may hold a backend server, the holder first. */
+  /** The other nodes that may hold a backend server, the holder first. */
   private listStewards(id: BackendServerId): Member[] {
     const {follower, peers, nodeName} = this.options;
     const claim = follower.state.stewardship.findClaim(id);
@@ -186,7 +187,7 @@
   }
 }
 
-/** What the decided slots of a backend server may hold warm. */
+/** The models and adapters that the slots of a backend server may hold warm. */
 export function listSlotContents(
   {placement}: AgreedState,
   id: BackendServerId,
--- a/packages/node/src/steward_hints.ts
+++ b/packages/node/src/steward_hints.ts
@@ -1,4 +1,4 @@
-/** What stewards are told of load times and of requests that still run. */
+/** Provides stewards with load time estimates and drain limits. */
 import {type Slot} from '@mimosatack/agreed-state';
 import {type Clock} from '@mimosatack/clock';
 import {type EngineBoard} from '@mimosatack/engine-board';
@@ -6,12 +6,11 @@
 import {LoadTimeEstimates, makeLoadOutlook} from '@mimosatack/plan-warming';
 import {type DrainLimits, type LoadOutlook} from '@mimosatack/steward-orders';
 
-/** How far the clocks of two nodes may differ. */
+/** Assumed maximum difference between the clocks of two nodes. */
 const CLOCK_SKEW_MS = 500;
-/** How long a change may take to be in force on every node. */
+/** Assumed maximum time until a change is applied on every node. */
 const FOLD_LAG_MS = 4_000;
 
-/** What the hints are made from. */
 export interface StewardHintsOptions {
   clock: Clock;
   follower: LogFollower;
@@ -19,7 +18,7 @@
   maxDeadlineMs: number;
 }
 
-/** Learns from every report that the board takes. */
+/** Learns load times from every report on the board. */
 export class StewardHints {
   readonly loadTimes = new LoadTimeEstimates();
   readonly drain: DrainLimits;
@@ -35,7 +34,7 @@
     });
   }
 
-  /** What is known of the loads of a slot now. */
+  /** What is currently known about the loads of a slot. */
   outlook(slot: Slot): LoadOutlook {
     const {clock, follower} = this.options;
     const {configuration} = follower.state;
--- a/packages/node/src/steward_task.test.ts
+++ b/packages/node/src/steward_task.test.ts
@@ -11,7 +11,7 @@
 
 const stewards = suite('stewards');
 
-/** The slots that the engine truly holds. */
+/** The slots that the engine actually holds. */
 function listLoaded({engine}: StewardBench): string[] {
   return engine.core.readState().replicas.map(replica => replica.slotId);
 }
@@ -21,8 +21,8 @@
 }
 
 /**
- * The first node holds `r1` and has sent the load of `s1`, which is still on
- * the way. Then it is frozen: it does nothing more until it is ticked again.
+ * The first node holds `r1` and has sent the load of `s1`, which the engine has
+ * not received yet. From then on the node is paused until its next tick.
  */
 async function freezeFirstMidLoad(
   bench: StewardBench,
@@ -45,8 +45,8 @@
   second.gone.add(first.incarnation);
 }
 
-/** Lets the order that is on the way arrive. */
-async function releaseOrders({engine}: StewardBench): Promise<void> {
+/** Delivers the orders that are held back. */
+async function deliverHeldOrders({engine}: StewardBench): Promise<void> {
   await fetch(`${engine.baseUrl}/control/release-orders`, {method: 'POST'});
 }
 
@@ -72,8 +72,8 @@
 }
 
 stewards('step in for a holder that leaves a due load undone', () =>
-  // The holder freezes a moment before the start of an event. Nobody believes
-  // it dead yet, so the late load that it should order would never begin.
+  // Guards against a late load that is never ordered because the holder pauses
+  // shortly before an event, while membership still believes it alive.
   withBench('refuses-old', async bench => {
     const {first, second} = bench;
     await first.tickUntil(
@@ -107,9 +107,8 @@
   }),
 );
 
-// A steward is frozen with a load on the way. Another takes over, the event is
-// cancelled, and the slot is released. Then the late load arrives: without a
-// fence the engine would hold a replica that nobody decided.
+// Guards against a late load of a paused steward that takes effect after
+// another steward has taken over and released the slot.
 stewards('fence off the late order of a frozen steward', () =>
   withBench('refuses-old', async bench => {
     const {engine, second} = bench;
@@ -124,7 +123,7 @@
       () => second.follower.state.placement.find('s1') === undefined,
     );
     const before = engine.core.observe().orders.length;
-    await releaseOrders(bench);
+    await deliverHeldOrders(bench);
     await waitUntil(() => engine.core.observe().orders.length > before);
     assert.is(
       engine.core.observe().orders.at(-1)?.outcome,
@@ -134,9 +133,8 @@
   }),
 );
 
-// The same on an engine that ignores fencing numbers: the late load does take
-// effect. Its memory was kept free all the time, so that the next event's
-// replica was not loaded beside it and the runner was never overcommitted.
+// Guards against overcommitted memory when an engine without fencing carries
+// out the late load of a paused steward.
 stewards('keep memory free for the late order of a frozen steward', () =>
   withBench('ignores', async bench => {
     const {engine, first, second} = bench;
@@ -152,7 +150,7 @@
     await second.tick(20);
     assert.ok(second.follower.state.placement.find('s1'), 's1 was released');
     assert.equal(listLoaded(bench), []);
-    await releaseOrders(bench);
+    await deliverHeldOrders(bench);
     await waitUntil(() => engine.core.observe().replicas.length > 0);
     await second.tickUntil(() => listLoaded(bench).length === 0);
     await waitUntil(
@@ -163,9 +161,8 @@
   }),
 );
 
-// The log service is down and the steward dies with a load still to do. A
-// successor named in its claim goes on with what was decided, so the models of
-// the event become warm all the same; the dead one's late order is refused.
+// Guards against models that stay cold when the steward crashes while the log
+// is down, and against the late order of the crashed steward.
 stewards('let a successor go on while the log is down', () =>
   withBench('refuses-old', async bench => {
     const {engine, platform, second} = bench;
@@ -173,7 +170,7 @@
     platform.core.log.faults.set({down: true});
     await second.tickUntil(() => listLoaded(bench).includes('s1'));
     const before = engine.core.observe().orders.length;
-    await releaseOrders(bench);
+    await deliverHeldOrders(bench);
     await waitUntil(() => engine.core.observe().orders.length > before);
     const last = engine.core.observe().orders.at(-1);
     assert.is(last?.outcome, 'stale-fencing-number');
@@ -183,8 +180,8 @@
   }),
 );
 
-// Where the engine can't turn the old steward away, a successor that acts in
-// an outage could load beside it. It must wait for the log.
+// Guards against a successor that loads beside the old steward during a log
+// outage, on an engine that cannot refuse the old one.
 stewards('have no successor on an engine that ignores fencing', () =>
   withBench('ignores', async bench => {
     const {engine, platform, second} = bench;
@@ -196,8 +193,8 @@
   }),
 );
 
-// An unload takes effect but its answer is lost. The slot must not count as
-// released while the unload may still be on the way, and must be in the end.
+// Guards against a slot that is released while its unload may still arrive, and
+// against one that is never released after a lost answer.
 stewards('release a slot after the answer to its unload was lost', () =>
   withBench('refuses-old', async bench => {
     const {engine, first} = bench;
@@ -211,12 +208,12 @@
     const taken = engine.core
       .observe()
       .orders.filter(({order}) => order.order === 'unload');
-    assert.ok(taken.length >= 3, 'a fence, the unload, and one to settle it');
+    assert.ok(taken.length >= 3, 'a fence, the unload and a second fence');
   }),
 );
 
-// The former holder's machine is gone for good, so it can never say that it
-// has nothing on the way. Proof of its death ends the doubt instead.
+// Guards against a doubt that stays forever because the former holder's host is
+// gone and cannot acknowledge.
 stewards('clear a doubt when the former holder is proved dead', () =>
   withBench('ignores', async bench => {
     const {second} = bench;
@@ -231,10 +228,9 @@
   }),
 );
 
-// A node with a wrong cluster secret shares the log but hears of nobody. It and
-// the real holder would take each other for dead and claim the same engine in
-// turn, as fast as they can write. Each must become ever more patient instead.
-stewards('do not fight over an engine when they do not know each other', () =>
+// Guards against two nodes that believe each other dead, such as with a wrong
+// cluster secret, and keep claiming the same engine in turn.
+stewards('do not claim in turn when they do not know each other', () =>
   withBench('refuses-old', async bench => {
     const nodes = [bench.first, bench.second];
     nodes.forEach(node => {
--- a/packages/node/src/steward_task.ts
+++ b/packages/node/src/steward_task.ts
@@ -1,6 +1,6 @@
 /**
- * Holds backend servers for this node: claims them in the log, runs a steward
- * for each, and settles the doubts that takeovers leave behind.
+ * Claims backend servers in the log, runs a steward for each, and clears the
+ * doubts that takeovers leave behind.
  */
 import {
   type AgreedState,
@@ -24,72 +24,75 @@
 import {EngineSteward} from './engine_steward.js';
 import {EngineWatches} from './engine_watches.js';
 
-/** What the task is told. */
 export type StewardMessage = {type: 'tick'};
 
-/** Why a former holder can send nothing any more. */
+/** Why a former holder can send no more orders. */
 export type DeathEvidence = Exclude<
   BodyOf<'clear-doubt'>['evidence'],
   'acknowledged'
 >;
 
-/** What the task needs of the node. */
 export interface StewardTaskOptions {
   clock: Clock;
   logger: EventLogger;
   follower: LogFollower;
   incarnation: NodeIncarnation;
   connect(backendServerId: BackendServerId, baseUrl: string): EngineControl;
-  /** The place of this node among those that may claim; 0 is first. */
+  /** The rank of this node among those that may claim; 0 claims first. */
   findOwnRank(backendServerId: BackendServerId): number;
-  /** The first few nodes in rank. */
+  /** The highest-ranked nodes for a backend server, in order. */
   listSuccessors(backendServerId: BackendServerId): NodeIncarnation[];
-  /** Whether membership has ever heard of a process. */
+  /** Whether a process is in the membership. */
   isKnown(incarnation: NodeIncarnation): boolean;
-  /** Whether membership believes that a process is dead, or knows of none. */
+  /** Whether membership believes a process dead, or does not know it. */
   isGone(incarnation: NodeIncarnation): boolean;
-  /** Proof, for long enough, that a process is dead; null without one. */
+  /**
+   * Evidence that a process is dead, once it has lasted long enough; else null.
+   */
   findDeathEvidence(incarnation: NodeIncarnation): DeathEvidence | null;
   publishReport(report: BackendReport, term: StewardTerm): void;
   submitTimeoutMs: number;
   /**
-   * How long an order whose connection is gone may still be carried out by an
-   * engine that ignores fencing numbers.
+   * How long an engine that ignores fencing numbers may still carry out an
+   * order after its connection was closed.
    */
   orderDoubtMs: number;
   drain: DrainLimits;
   outlook(slot: Slot): LoadOutlook;
 }
 
-/** What became of the backend servers of a node that stops. */
+/** What happened to the backend servers of a stopping node. */
 export interface YieldReport {
   yieldedIds: BackendServerId[];
   keptIds: BackendServerId[];
-  /** Why some were kept. */
+  /** Why some backend servers were kept; null if none was. */
   reason: 'log-unavailable' | 'order-on-the-way' | null;
 }
 
 const MAX_SUCCESSORS = 3;
 const RANK_DELAY_MS = 2_000;
-/** How long a holder that membership never heard of is waited for. */
-const UNHEARD_MS = 5_000;
-/** Waits before a claim that was taken away is made again; they double. */
-const MIN_RECLAIM_MS = 5_000;
-const MAX_RECLAIM_MS = 300_000;
-/** How many nodes, the first in rank, may clear a doubt by proof of death. */
-const PROVING_NODES = 3;
+/** Delay before a takeover from a holder that is unknown to membership. */
+const UNKNOWN_HOLDER_DELAY_MS = 5_000;
+/** Delay before a lost claim is made again; doubles with each loss. */
+const MIN_RECLAIM_DELAY_MS = 5_000;
+const MAX_RECLAIM_DELAY_MS = 300_000;
+/**
+ * How many of the highest-ranked nodes may clear a doubt by evidence of death.
+ */
+const PROVING_NODE_COUNT = 3;
 
-/** The task that claims backend servers and runs one steward for each. */
 export class StewardTask extends Task<StewardMessage> {
   private readonly stewards = new Map<BackendServerId, EngineSteward>();
-  /** Stewards of lost claims that may still have orders on the way. */
+  /**
+   * Stewards of lost claims, by epoch, that may still have orders in flight.
+   */
   private readonly retired = new Map<number, EngineSteward>();
   private readonly watches: EngineWatches;
   private readonly freeSinceMs = new Map<BackendServerId, number>();
   private readonly submitting = new Set<string>();
   private isYielding = false;
-  /** How often a claim of this node was taken away while it was alive. */
-  private readonly takenAway = new Map<BackendServerId, number>();
+  /** How often a claim of this node was taken by another node, by engine. */
+  private readonly lostClaimCounts = new Map<BackendServerId, number>();
 
   constructor(
     private readonly options: StewardTaskOptions,
@@ -102,14 +105,15 @@
       connect: ({backendServerId, baseUrl}) =>
         options.connect(backendServerId, baseUrl),
       listSlots: id => options.follower.state.placement.listOn(id),
-      onSteppedIn: () => this.post({type: 'tick'}),
+      onTakeover: () => this.post({type: 'tick'}),
     });
   }
 
   /**
-   * Gives up every claim of this node that has no order on the way, so that
-   * another node takes over at once; takes up nothing more. While the log is
-   * down nothing is given up: others take over once this node counts as gone.
+   * Yields every claim of this node without orders in flight, so that another
+   * node takes over at once, and claims nothing more. While the log is down
+   * nothing is yielded: other nodes take over once membership reports this node
+   * as gone.
    */
   async yieldAll(): Promise<YieldReport> {
     this.isYielding = true;
@@ -126,7 +130,7 @@
     return {
       yieldedIds: ids.filter(id => this.isYielded(id)),
       keptIds,
-      reason: describeKept(keptIds, status.isLogReachable),
+      reason: findKeptReason(keptIds, status.isLogReachable),
     };
   }
 
@@ -136,20 +140,20 @@
     const engines = state.stewardship
       .listBackendServers()
       .filter(server => server.memoryMib > 0);
-    engines.forEach(server => this.attend(server, state));
-    engines.forEach(server => this.settleDoubts(server, state));
+    engines.forEach(server => this.applyRole(server, state));
+    engines.forEach(server => this.clearDoubts(server, state));
     this.forgetRemoved(new Set(engines.map(server => server.backendServerId)));
   }
 
   /**
-   * Guards against a yield that is not true: an order that still arrives
-   * would load into memory that the next steward takes to be free.
+   * Guards against a yield while an order is in flight, which would load into
+   * memory that the next steward considers free.
    */
   private async yield(
     id: BackendServerId,
     steward: EngineSteward,
   ): Promise<void> {
-    if (steward.hasOrdersOnTheWay) return;
+    if (steward.hasOrdersInFlight) return;
     await this.submit(`yield ${id}`, {
       type: 'yield-steward',
       backendServerId: id,
@@ -162,7 +166,7 @@
     return stewardship.findClaim(id)?.isYielded ?? true;
   }
 
-  private attend(server: BackendServer, state: AgreedState): void {
+  private applyRole(server: BackendServer, state: AgreedState): void {
     const id = server.backendServerId;
     const claim = state.stewardship.findClaim(id);
     const decision = decideRole({
@@ -172,7 +176,7 @@
       rank: this.options.findOwnRank(id),
       freeForMs:
         this.measureFreeMs(id, isFree(claim, this.options)) -
-        this.findPatienceMs(id, claim),
+        this.findClaimDelayMs(id, claim),
       rankDelayMs: RANK_DELAY_MS,
       isLogReachable: this.options.follower.status.isLogReachable,
       isGone: incarnation => this.options.isGone(incarnation),
@@ -191,13 +195,15 @@
     }
   }
 
-  /** Stays off an engine that another node holds, unless it is neglected. */
+  /**
+   * Leaves an engine to its holder, unless this node takes over as a successor.
+   */
   private standBy(server: BackendServer, state: AgreedState): void {
     const id = server.backendServerId;
     const claim = state.stewardship.findClaim(id);
     const rank = this.watches.watch(server, claim);
     if (!claim || rank === null) {
-      if (this.stewards.has(id)) this.noteTakenAway(id);
+      if (this.stewards.has(id)) this.countLostClaim(id);
       return this.retire(id);
     }
     this.step(server, claim.epoch, rank);
@@ -212,23 +218,28 @@
   }
 
   /**
-   * Guards against nodes that do not know of each other, such as one with a
-   * wrong cluster secret: each would take the other for dead and claim what
-   * it holds, again and again. A holder that was never heard of is waited for,
-   * and a claim that was taken away is made again ever more rarely.
+   * Guards against nodes that do not know each other, such as with a wrong
+   * cluster secret: each would believe the other dead and take over its claims
+   * in turn. Delays the takeover from an unknown holder, and the repeat of a
+   * lost claim, with backoff.
    */
-  private findPatienceMs(
+  private findClaimDelayMs(
     id: BackendServerId,
     claim: StewardClaim | undefined,
   ): number {
     if (!claim || claim.isYielded) return 0;
-    const times = this.takenAway.get(id) ?? 0;
-    const reclaimMs =
-      times === 0
+    const lossCount = this.lostClaimCounts.get(id) ?? 0;
+    const reclaimDelayMs =
+      lossCount === 0
         ? 0
-        : Math.min(MAX_RECLAIM_MS, MIN_RECLAIM_MS * 2 ** (times - 1));
-    const unheardMs = this.options.isKnown(claim.holder) ? 0 : UNHEARD_MS;
-    return Math.max(reclaimMs, unheardMs);
+        : Math.min(
+            MAX_RECLAIM_DELAY_MS,
+            MIN_RECLAIM_DELAY_MS * 2 ** (lossCount - 1),
+          );
+    const unknownHolderDelayMs = this.options.isKnown(claim.holder)
+      ? 0
+      : UNKNOWN_HOLDER_DELAY_MS;
+    return Math.max(reclaimDelayMs, unknownHolderDelayMs);
   }
 
   private step(server: BackendServer, epoch: number, rank: number): void {
@@ -247,12 +258,12 @@
       control: this.options.connect(id, server.baseUrl),
     });
     this.stewards.set(id, steward);
-    this.logTakenUp(server, epoch, rank);
+    this.logAcquired(server, epoch, rank);
     void steward.step();
   }
 
-  private noteTakenAway(id: BackendServerId): void {
-    this.takenAway.set(id, (this.takenAway.get(id) ?? 0) + 1);
+  private countLostClaim(id: BackendServerId): void {
+    this.lostClaimCounts.set(id, (this.lostClaimCounts.get(id) ?? 0) + 1);
   }
 
   private retire(id: BackendServerId): void {
@@ -267,7 +278,11 @@
     });
   }
 
-  private logTakenUp(server: BackendServer, epoch: number, rank: number): void {
+  private logAcquired(
+    server: BackendServer,
+    epoch: number,
+    rank: number,
+  ): void {
     this.options.logger.log('stewardship-acquired', {
       backendServerId: server.backendServerId,
       epoch,
@@ -275,7 +290,7 @@
     });
   }
 
-  /** Begins to act as soon as the claim is read back, not at the next tick. */
+  /** Posts a tick once the claim is read back, to act without delay. */
   private async claim(
     id: BackendServerId,
     expectedEpoch: number,
@@ -294,13 +309,13 @@
   }
 
   /**
-   * A doubt ends when the former holder itself says that it has nothing on
-   * the way, or when its process is proved dead for long enough.
+   * Clears a doubt when this node is the former holder and has no orders in
+   * flight, or when there is evidence that the former holder is dead.
    */
-  private settleDoubts(server: BackendServer, state: AgreedState): void {
+  private clearDoubts(server: BackendServer, state: AgreedState): void {
     const id = server.backendServerId;
     const rank = this.options.findOwnRank(id);
-    const mayProve = rank >= 0 && rank < PROVING_NODES;
+    const mayProve = rank >= 0 && rank < PROVING_NODE_COUNT;
     state.stewardship.listDoubts(id).forEach(doubt => {
       const evidence = this.findEvidence(doubt, mayProve);
       if (!evidence) return;
@@ -319,7 +334,7 @@
   ): BodyOf<'clear-doubt'>['evidence'] | null {
     if (doubt.formerHolder === this.options.incarnation) {
       const steward = this.retired.get(doubt.epoch);
-      return steward?.hasOrdersOnTheWay ? null : 'acknowledged';
+      return steward?.hasOrdersInFlight ? null : 'acknowledged';
     }
     return mayProve ? this.options.findDeathEvidence(doubt.formerHolder) : null;
   }
@@ -328,16 +343,16 @@
     [...this.stewards.keys()]
       .filter(id => !present.has(id))
       .forEach(id => this.retire(id));
-    this.watches.keepOnly(present);
+    this.watches.retainOnly(present);
     [...this.freeSinceMs.keys()]
       .filter(id => !present.has(id))
       .forEach(id => this.freeSinceMs.delete(id));
     [...this.retired.values()]
-      .filter(steward => !steward.hasOrdersOnTheWay)
+      .filter(steward => !steward.hasOrdersInFlight)
       .forEach(steward => this.retired.delete(steward.epoch));
   }
 
-  /** Submits a record unless the same is on its way already. */
+  /** Submits a record, unless one with the same key is pending. */
   private async submit(key: string, body: RecordBody): Promise<void> {
     if (this.submitting.has(key)) return;
     this.submitting.add(key);
@@ -348,14 +363,14 @@
     } catch (thrown) {
       const error = toTypedError(thrown);
       if (error.kind !== 'log-unavailable') throw error;
-      // What is still true at the next tick is submitted again.
+      // The next tick submits again what still applies.
     } finally {
       this.submitting.delete(key);
     }
   }
 }
 
-function describeKept(
+function findKeptReason(
   keptIds: readonly BackendServerId[],
   isLogReachable: boolean,
 ): YieldReport['reason'] {
--- a/packages/node/src/stop.test.ts
+++ b/packages/node/src/stop.test.ts
@@ -13,15 +13,18 @@
 
 const test = suite('planned stops of nodes');
 
-/** About three seconds, longer than callers are told of the stop. */
-const LONG = 300;
+/**
+ * About three seconds, longer than the drain period in which callers learn of
+ * the stop.
+ */
+const LONG_STREAM_TOKENS = 300;
 
-/** Long streams, all of which have begun. */
+/** Starts a long stream on each node and waits until all have begun. */
 async function beginStreams(nodes: readonly TestNode[]) {
   const streams = nodes.map(node => {
     let texts = Promise.resolve('');
     const begun = new Promise<void>(resolve => {
-      texts = chat(node, LONG, resolve);
+      texts = chat(node, LONG_STREAM_TOKENS, resolve);
     });
     return {texts, begun};
   });
@@ -43,8 +46,8 @@
 }
 
 test('two nodes that stop at once cut no stream and leave the lists', () =>
-  // Callers would lose half-read answers and be sent to nodes that are gone:
-  // two of three nodes are replaced in the same moment, under load.
+  // Guards against truncated streams, and callers sent to stopped nodes, when
+  // two of three nodes stop at once under load.
   withCluster(3, async ({nodes}) => {
     const [first, second, third] = holderFirst(nodes);
     const readAll = await beginStreams([first, first, second, second]);
@@ -54,7 +57,7 @@
     assert.equal(await listEntryNames(third), [third.nodeName]);
     assert.is(await chat(first, 2), expectedText(2));
     const texts = await readAll();
-    assert.ok(texts.every(text => text === expectedText(LONG)));
+    assert.ok(texts.every(text => text === expectedText(LONG_STREAM_TOKENS)));
     assert.equal(
       await Promise.all([first.node.stopped, second.node.stopped]),
       [0, 0],
@@ -64,9 +67,9 @@
     assert.is(await chat(third, 2), expectedText(2));
   }));
 
-test('a stop during a log outage cuts nothing and does not hang', () =>
-  // The node would wait for its records until the grace is over, or cut its
-  // streams: the log service is down when its host is reclaimed.
+test('a stop during a log outage cuts no stream and does not hang', () =>
+  // Guards against a stop that waits for records, or cuts streams, while the
+  // log is down.
   withCluster(2, async ({platform, nodes}) => {
     const [first, second] = holderFirst(nodes);
     const readAll = await beginStreams([first, first]);
@@ -76,7 +79,7 @@
     );
     first.node.requestStop('SIGTERM');
     const texts = await readAll();
-    assert.ok(texts.every(text => text === expectedText(LONG)));
+    assert.ok(texts.every(text => text === expectedText(LONG_STREAM_TOKENS)));
     assert.is(await first.node.stopped, 0);
     assert.equal(first.logger.fieldsOf('shutdown-cut-off'), []);
     const [report] = first.logger.fieldsOf('stewardship-yielded');
@@ -85,9 +88,9 @@
     assert.is(await chat(second, 2), expectedText(2));
   }));
 
-test('a node that is stopped while it starts ends', async () => {
-  // The process would hang, or stay in the lists as a node that never was
-  // ready: its host is reclaimed in the moment in which it starts.
+test('a node that is stopped during startup exits', async () => {
+  // Guards against a hang, or a node listed without ever being ready, when the
+  // stop is requested during startup.
   const platform = await startPlatformStandIn();
   const {node, logger} = createNode('node-0', platform.baseUrl);
   const starting = node.start();
--- a/packages/node/src/store_limits.ts
+++ b/packages/node/src/store_limits.ts
@@ -1,8 +1,10 @@
-/** Reads the limits of the weight store. */
 import {HttpWeightStore, type WeightStoreLimits} from '@mimosatack/platform';
 import {type DaemonSettings} from '@mimosatack/settings';
 
-/** Makes the function that reads the limits and passes them on. */
+/**
+ * Makes a function that reads the limits of the weight store and passes them
+ * on.
+ */
 export function makeLimitsReader(
   settings: DaemonSettings,
   timeoutMs: number,
--- a/packages/node/src/test_fixtures.ts
+++ b/packages/node/src/test_fixtures.ts
@@ -1,4 +1,4 @@
-/** Nodes with a steward task each, on one log and one engine, in a test. */
+/** Runs nodes with one steward task each, on a shared log and engine. */
 import {SystemClock} from '@mimosatack/clock';
 import {LogFollower} from '@mimosatack/follow-log';
 import {MemoryEventLogger} from '@mimosatack/logger';
@@ -17,10 +17,12 @@
 const POLL_MS = 5;
 const MAX_POLLS = 4_000;
 export const HOUR_MS = 3_600_000;
-/** How long an engine that ignores fencing may take over a late order. */
+/**
+ * How long an engine that ignores fencing may take to carry out a late order.
+ */
 export const ORDER_DOUBT_MS = 300;
 
-/** The machine's clock, whose wall time a test can set ahead. */
+/** The system clock, with wall time that a test can advance. */
 class ShiftableClock extends SystemClock {
   aheadMs = 0;
 
@@ -29,14 +31,14 @@
   }
 }
 
-/** One node with nothing but a follower and a steward task. */
+/** A node that consists of a follower and a steward task. */
 export class StewardNode {
   readonly incarnation: string;
   readonly follower: LogFollower;
   readonly task: StewardTask;
   readonly logger = new MemoryEventLogger();
   readonly clock = new ShiftableClock();
-  /** Processes that this node believes to be dead. */
+  /** Processes that this node believes dead. */
   readonly gone = new Set<string>();
   evidence: DeathEvidence | null = null;
   isEveryoneKnown = true;
@@ -81,12 +83,12 @@
     await this.log.close();
   }
 
-  /** Ticks the task until a condition holds. */
+  /** Ticks the task until the condition holds. */
   async tickUntil(condition: () => boolean): Promise<void> {
     await waitUntil(condition, () => this.task.post({type: 'tick'}));
   }
 
-  /** Lets the task make a number of ticks, whatever they do. */
+  /** Ticks the task a given number of times. */
   async tick(times: number): Promise<void> {
     for (let count = 0; count < times; count += 1) {
       this.task.post({type: 'tick'});
@@ -136,7 +138,10 @@
   }
 }
 
-/** A platform, an engine `r1`, and two nodes of which the first is in rank. */
+/**
+ * Starts a platform, an engine `r1`, and two nodes of which the first ranks
+ * first.
+ */
 export async function startStewardBench(options: Partial<EngineOptions>) {
   const platform = await startPlatformStandIn({});
   const engine = await startEngineStandIn({
@@ -168,7 +173,6 @@
   };
 }
 
-/** What `startStewardBench` gives. */
 export type StewardBench = Awaited<ReturnType<typeof startStewardBench>>;
 
 /** Decides a replica of 600 MiB on `r1`, due now, and waits for the record. */
@@ -207,8 +211,8 @@
 }
 
 /**
- * Waits until a condition holds, doing `meanwhile` again and again. Gives up
- * in the end, so that a test of a broken guard fails instead of hanging.
+ * Polls until the condition holds, calling `meanwhile` before each poll. Throws
+ * after `MAX_POLLS`, so that a failing test does not hang.
  */
 export async function waitUntil(
   condition: () => boolean,
--- a/packages/node/src/ticket_messages.ts
+++ b/packages/node/src/ticket_messages.ts
@@ -1,4 +1,4 @@
-/** What nodes say to each other about tickets of a process that stops. */
+/** The messages between nodes about the tickets of stopped processes. */
 import {z} from 'zod';
 
 const name = z.string().min(1).max(256);
@@ -60,5 +60,4 @@
   ticketVerdict,
 ] as const;
 
-/** One message about tickets. */
 export type TicketMessage = z.infer<(typeof ticketMessageSchemas)[number]>;
--- a/packages/node/src/ticket_task.test.ts
+++ b/packages/node/src/ticket_task.test.ts
@@ -12,7 +12,10 @@
   body: Buffer.from('sent'),
 };
 
-/** Nodes that reach each other without a network; `lost` says how many. */
+/**
+ * Nodes that call each other without a network; `faults` counts the messages to
+ * lose.
+ */
 function createNodes(names: readonly string[]) {
   const clock = new SystemClock();
   const tasks = new Map<string, TicketTask>();
@@ -61,8 +64,8 @@
 const test = suite('ticket task');
 
 test('after a graceful stop, every node learns what ran', async () => {
-  // A node is stopped for an update. A volunteer's phone asks the others what
-  // became of its order; one of the heirs has gone meanwhile.
+  // Guards against an unknown outcome after a graceful stop, when one of the
+  // heirs is gone as well.
   const {tasks, faults, find, run, ask} = createNodes(['a', 'b', 'c', 'd']);
   await run('a', 'k1');
   find('a').close();
@@ -76,7 +79,7 @@
   assert.is(await ask('c', 'a', 'k1'), 'ran');
 });
 
-test('a table that was not handed over tells nothing', async () => {
+test('a table that was not handed over gives no verdict', async () => {
   const {tasks, faults, find, run, ask} = createNodes(['a', 'b', 'c']);
   await run('a', 'k1');
   find('a').close();
--- a/packages/node/src/ticket_task.ts
+++ b/packages/node/src/ticket_task.ts
@@ -1,6 +1,6 @@
 /**
- * The tickets of this process and those it was handed: gives the table away
- * when the node stops, and asks the heirs of processes that have stopped.
+ * Keeps the tickets of this process and those inherited from others: hands the
+ * table over when the node stops, and asks the heirs of stopped processes.
  */
 import {type Clock, sleep} from '@mimosatack/clock';
 import {type Member, rankMembers} from '@mimosatack/membership';
@@ -15,7 +15,6 @@
 import {type PeerMessage} from './peer_messages.js';
 import {type TicketMessage} from './ticket_messages.js';
 
-/** What the task needs of the other nodes. */
 export interface TicketPeers {
   listPeers(): Member[];
   request(
@@ -25,25 +24,29 @@
   ): Promise<PeerMessage>;
 }
 
-/** What the task needs of the node. */
 export interface TicketTaskOptions {
   clock: Clock;
   incarnation: string;
   peers: TicketPeers;
 }
 
-/** Two, so that one of them may be lost or stop as well. */
+/** Two, so that one heir may be lost or stop as well. */
 const HEIR_COUNT = 2;
-/** One more than heirs, as a node may have come since. */
-const ASKED_COUNT = HEIR_COUNT + 1;
+/**
+ * One more than the heirs, because a new node may have joined since and rank
+ * higher.
+ */
+const ASKED_HEIR_COUNT = HEIR_COUNT + 1;
 const PAGE_TIMEOUT_MS = 2_000;
 const PAGE_ATTEMPTS = 3;
 const ASK_TIMEOUT_MS = 1_000;
-/** How long the hand-over waits for runs whose callers have gone. */
-const IDLE_WAIT_MS = 2_000;
+/**
+ * How long the hand-over waits for requests whose callers have disconnected.
+ */
+const IDLE_TIMEOUT_MS = 2_000;
 
-/** Verdicts from the most to the least telling. */
-const BEST_FIRST: ReadonlyArray<InheritedVerdict['status']> = [
+/** Verdicts from the most to the least informative. */
+const VERDICT_PREFERENCE: ReadonlyArray<InheritedVerdict['status']> = [
   'ran',
   'key-reused',
   'never-run',
@@ -51,7 +54,6 @@
   'no-table',
 ];
 
-/** The task that owns the tickets of this process. */
 export class TicketTask {
   readonly table: TicketTable;
   private readonly inherited = new InheritedTickets();
@@ -60,18 +62,18 @@
     this.table = new TicketTable({clock: options.clock});
   }
 
-  /** Takes no new tickets from now on. */
+  /** Issues no more tickets. */
   close(): void {
     this.table.close();
   }
 
   /**
-   * Gives the table to the heirs. It must be closed, so that a key that is not
-   * in it never was and never will be run.
+   * Hands the table over to the heirs. The table must be closed first, so that
+   * a key missing from it has not run and will not run.
    */
   async handOver(): Promise<void> {
     const {clock, incarnation} = this.options;
-    await Promise.race([this.table.whenIdle(), sleep(clock, IDLE_WAIT_MS)]);
+    await Promise.race([this.table.whenIdle(), sleep(clock, IDLE_TIMEOUT_MS)]);
     const {floorGeneration, keys} = this.table.export();
     const pages = makeTicketPages(incarnation, floorGeneration, keys);
     await Promise.all(
@@ -81,16 +83,17 @@
     );
   }
 
-  /** What the heirs of a process know of one of its tickets. */
+  /** The best verdict on a ticket that the heirs of a process have. */
   async askHeirs(query: InheritedQuery): Promise<InheritedVerdict> {
     const answers = await Promise.all(
-      this.rankHeirs(query.incarnation, ASKED_COUNT).map(heir =>
+      this.rankHeirs(query.incarnation, ASKED_HEIR_COUNT).map(heir =>
         this.ask(heir, query),
       ),
     );
     const verdicts = [this.inherited.find(query), ...answers];
     return verdicts.reduce((best, verdict) =>
-      BEST_FIRST.indexOf(verdict.status) < BEST_FIRST.indexOf(best.status)
+      VERDICT_PREFERENCE.indexOf(verdict.status) <
+      VERDICT_PREFERENCE.indexOf(best.status)
         ? verdict
         : best,
     );
@@ -119,7 +122,9 @@
     return rankMembers(`tickets ${incarnation}`, peers).slice(0, count);
   }
 
-  /** An heir that does not get all pages answers `unknown` for the rest. */
+  /**
+   * An heir that lacks some pages answers `unknown` for keys it does not have.
+   */
   private async sendPages(
     heir: Member,
     pages: readonly TicketPage[],
--- a/packages/node/src/lost_orders.ts
+++ b/packages/node/src/unacknowledged_orders.ts
@@ -1,21 +1,21 @@
-/** Orders whose answer was lost and that may still be carried out. */
+/** Orders whose answer was lost and that an engine may still carry out. */
 import {type Clock} from '@mimosatack/clock';
 import {type OrderIntent, readBaseSlotId} from '@mimosatack/steward-orders';
 import {type FencingSupport} from '@mimosatack/types';
 
-interface LostOrder {
+interface UnacknowledgedOrder {
   intent: OrderIntent;
   sentAtMs: number;
 }
 
 /**
- * Guards against an order that arrives after its sender gave it up. An engine
- * that refuses old fencing numbers turns it down once it has taken a newer
- * order. For any other, the order counts as on the way for a bounded time
- * after its connection was closed.
+ * Guards against an order that arrives after its sender has given it up. An
+ * engine with fencing refuses the order once it has accepted a newer one; for
+ * other engines, the order stays in flight for a fixed time after its
+ * connection was closed.
  */
-export class LostOrders {
-  private orders: LostOrder[] = [];
+export class UnacknowledgedOrders {
+  private orders: UnacknowledgedOrder[] = [];
 
   constructor(
     private readonly clock: Clock,
@@ -23,31 +23,31 @@
     private readonly doubtMs: number,
   ) {}
 
-  noteLost(intent: OrderIntent): void {
+  add(intent: OrderIntent): void {
     this.orders.push({intent, sentAtMs: this.clock.monotonicMs()});
   }
 
-  /** Called when the engine has taken an order sent after all of these. */
-  noteTaken(): void {
+  /** Called when the engine has accepted an order that was sent after these. */
+  noteAccepted(): void {
     if (this.fencing === 'refuses-old') this.orders = [];
   }
 
-  /** The engine's slots that one of these orders names. */
+  /** The engine slots that these orders name. */
   list(): ReadonlySet<string> {
-    this.forgetOld();
+    this.removeExpired();
     return new Set(this.orders.map(order => order.intent.slotId));
   }
 
-  /** Whether one of these orders would load a decided replica. */
+  /** Whether one of these orders would load the given slot. */
   mayLoad(slotId: string): boolean {
-    this.forgetOld();
+    this.removeExpired();
     return this.orders.some(
       ({intent}) =>
         intent.order === 'load' && readBaseSlotId(intent.slotId) === slotId,
     );
   }
 
-  private forgetOld(): void {
+  private removeExpired(): void {
     if (this.fencing === 'refuses-old') return;
     const oldestMs = this.clock.monotonicMs() - this.doubtMs;
     this.orders = this.orders.filter(order => order.sentAtMs >= oldestMs);
