--- a/packages/claim-keys/src/claim_fold.test.ts
+++ b/packages/claim-keys/src/claim_fold.test.ts
@@ -34,7 +34,7 @@
     : {type, ...shape};
 }
 
-/** A stream that several nodes fold; each from where it began to read. */
+/** A stream that tests fold from different start offsets. */
 function createStream() {
   const appends: Uint8Array[] = [];
   const write = (
@@ -62,19 +62,18 @@
 
 const test = suite('claim fold');
 
-test('of two nodes that get a key at once, the first is granted', () => {
-  // A caller gives up on one entry host and sends its hamper order to another.
-  // Both claim the key before either has read the other's claim.
+// Guards against two grants when two nodes claim a key before either has read
+// the other's claim.
+test('grants a key to the first of two concurrent claims', () => {
   const {write, fold} = createStream();
   write('a', [{}]);
   write('b', [{}]);
   assert.equal(fold().verdicts, ['a granted', 'b taken']);
 });
 
-test('a claim whose answer was lost is granted once', () => {
-  // The log service keeps the claim but its answer is lost, and the node
-  // appends it again. Taken for a second claim, the key would be lost; taken
-  // for the first, it would be granted to both of two nodes.
+// Guards against a wrong verdict on a claim that is appended again after the
+// log's response was lost.
+test('grants a claim once when its append is retried', () => {
   const {write, fold} = createStream();
   write('a', [{}]);
   write('b', [{}]);
@@ -82,7 +81,7 @@
   assert.equal(fold().verdicts, ['a granted', 'b taken', 'a duplicate']);
 });
 
-test('only a release by the claimer frees a key, for one claim', () => {
+test('frees a key only on release by its claimant, for one claim', () => {
   const {write, fold} = createStream();
   write('a', [{}]);
   write('b', [{type: 'release'}, {claimNumber: 1, attempt: 1}]);
@@ -95,10 +94,9 @@
   );
 });
 
-test('a claim that arrives after its release takes nothing', () => {
-  // An append hangs in a slow log service. Its node gives up, releases the
-  // claim and tells the caller to come back; then the claim arrives. The key
-  // must be free for the caller, not held for good by nobody.
+// Guards against a key blocked permanently by an abandoned claim whose append
+// takes effect after its release.
+test('ignores a claim that is appended after its release', () => {
   const {write, fold} = createStream();
   write('a', [{type: 'release'}]);
   write('a', [{}]);
@@ -113,7 +111,7 @@
   ]);
 });
 
-test('an outcome is final', () => {
+test('keeps an outcome when a release follows it', () => {
   const {write, fold} = createStream();
   write('a', [{}, {type: 'outcome'}, {type: 'release'}]);
   write('b', [{attempt: 1}]);
@@ -124,9 +122,8 @@
   );
 });
 
-test('a key that may have been forgotten is never granted', () => {
-  // A caller repeats an order of an hour ago. Its claim was forgotten to free
-  // memory, so the key looks as if nobody had claimed it.
+// Guards against a second grant of an old key whose claim was evicted.
+test('refuses a key whose claim may have been evicted', () => {
   const {write, fold} = createStream();
   const later = NOW_MS + 2 * OPTIONS.windowMs;
   const newer = Array.from({length: 40}, (_, index) => ({
@@ -141,31 +138,32 @@
   assert.is(node.size, 40);
 });
 
-test('a node with a wrong clock does not push honest keys out', () => {
-  // One host's clock is a day ahead. It claims what callers send it, and even
-  // some keys of a caller whose clock is wrong too. New keys of all others
-  // must go on being granted.
+// Guards against eviction of valid keys when one host's clock and some keys
+// are a day ahead.
+test('grants valid keys when a node has a wrong clock', () => {
   const {write, fold} = createStream();
-  const wrongMs = NOW_MS + 24 * 3_600 * SECOND_MS;
-  const honest = Array.from({length: 400}, (_, index) => ({key: `h${index}`}));
-  const strange = Array.from({length: 100}, (_, index) => ({
+  const futureMs = NOW_MS + 24 * 3_600 * SECOND_MS;
+  const validKeys = Array.from({length: 400}, (_, index) => ({
+    key: `h${index}`,
+  }));
+  const futureKeys = Array.from({length: 100}, (_, index) => ({
     key: `w${index}`,
-    issuedAtMs: wrongMs,
+    issuedAtMs: futureMs,
   }));
-  write('a', honest);
-  write('wrong', strange, wrongMs);
-  write('wrong', [{key: 'more'}], wrongMs);
+  write('a', validKeys);
+  write('wrong', futureKeys, futureMs);
+  write('wrong', [{key: 'more'}], futureMs);
   write('a', [{key: 'new', issuedAtMs: NOW_MS}]);
   assert.is(fold().verdicts.at(-1), 'a granted');
 });
 
-test('a key dated ahead of its author is void', () => {
+test('refuses a key created too far in the future', () => {
   const {write, fold} = createStream();
   write('a', [{issuedAtMs: NOW_MS + OPTIONS.aheadMs + 1}]);
   assert.equal(fold().verdicts, ['a dated-ahead']);
 });
 
-test('too many keys make the oldest unknown', () => {
+test('evicts the oldest keys over the maximum count', () => {
   const {write, fold} = createStream();
   const fill = Array.from({length: OPTIONS.maxKeys}, (_, index) => ({
     key: `n${index}`,
@@ -179,9 +177,9 @@
   assert.is(node.size, OPTIONS.maxKeys);
 });
 
-test('a node that began to read late grants nothing it may have missed', () => {
-  // A new node starts; the log has dropped its oldest records. A caller
-  // repeats a key whose claim was among them, and the node takes it for new.
+// Guards against a second grant by a new node when the key's first claim was
+// trimmed from the log.
+test('refuses keys that appends before the start offset may have claimed', () => {
   const {write, fold} = createStream();
   write('a', [{}]);
   write('a', [], NOW_MS + SECOND_MS);
@@ -191,9 +189,9 @@
   assert.is(fold(3).node.floorMs, Number.POSITIVE_INFINITY);
 });
 
-test('an append of an unknown form counts as a gap', () => {
-  // Nodes of two releases run at once. The older one can't read the claims of
-  // the newer one, and must not grant the same keys again.
+// Guards against a second grant of keys claimed by a node of a newer release,
+// whose batches this release cannot read.
+test('treats an append of an unknown format as a gap', () => {
   const {write, writeGarbage, fold} = createStream();
   write('a', [{key: 'k0'}]);
   writeGarbage();
@@ -201,9 +199,9 @@
   assert.equal(fold().verdicts, ['a granted', 'a below-floor']);
 });
 
-test('folds that began at different places never grant a key twice', () => {
-  // Three nodes act on their own folds of one stream. Whatever the order of
-  // claims, releases and late starts, one key has one acting claimer at most.
+// Guards against two nodes acting on one key when their folds start at
+// different offsets.
+test('grants a key to one author across folds with different starts', () => {
   const {write, fold} = createStream();
   const authors = ['a', 'b', 'c'];
   const steps = Array.from({length: 300}, (_, index) => index);
@@ -221,15 +219,15 @@
     ),
   );
   const starts: Record<string, number> = {a: 0, b: 90, c: 170};
-  const acting = authors.flatMap(author => {
+  const grantedKeys = authors.flatMap(author => {
     const from = starts[author]!;
     return fold(from)
       .verdicts.map((verdict, index) => ({verdict, step: from + index}))
       .filter(({verdict}) => verdict === granted(author))
       .map(({step}) => (step * 7) % 20);
   });
-  assert.ok(acting.length > 0);
-  assert.is(new Set(acting).size, acting.length);
+  assert.ok(grantedKeys.length > 0);
+  assert.is(new Set(grantedKeys).size, grantedKeys.length);
 });
 
 test.run();
--- a/packages/claim-keys/src/claim_fold.ts
+++ b/packages/claim-keys/src/claim_fold.ts
@@ -1,14 +1,10 @@
 /**
- * Folds one claim stream. Whether a claim is granted follows from the appends
- * before it alone; a node that has not seen all of them refuses what they may
- * have granted. So of all claims of a key at most one author ever acts.
+ * Folds one claim stream into the state of its keys. A verdict depends only on
+ * earlier appends, and a node that has not read all of them refuses any key
+ * that they may have granted, so at most one author acts on a key.
  */
 import {type LogOffset} from '@mimosatack/types';
-import {
-  type ClaimKey,
-  ClaimMemory,
-  type RememberedClaim,
-} from './claim_memory.js';
+import {type ClaimKey, ClaimTable, type ClaimEntry} from './claim_table.js';
 import {
   type ClaimRecord,
   type ClaimStreamRecord,
@@ -18,37 +14,37 @@
 } from './claim_records.js';
 import {type ClaimOptions} from './options.js';
 
-/** What became of a claim in the fold. */
+/** Verdict on a claim. */
 export type FoldVerdict =
   'granted' | 'duplicate' | 'taken' | 'below-floor' | 'dated-ahead';
 
-/** One record as it was folded; the verdict is null for other records. */
+/** A folded record; the verdict is null unless the record is a claim. */
 export interface FoldedClaim {
   author: string;
   record: ClaimStreamRecord;
   verdict: FoldVerdict | null;
 }
 
-/** What a fold must know of the options. */
+/** Options of a fold. */
 export type FoldOptions = Pick<
   ClaimOptions,
   'windowMs' | 'marginMs' | 'aheadMs' | 'maxKeys'
 >;
 
-/** The state of one partition after the appends folded so far. */
+/** State of one partition after the appends folded so far. */
 export class ClaimFold {
-  private readonly memory: ClaimMemory;
+  private readonly table: ClaimTable;
   private readonly authors = new Map<string, string>();
   private next: LogOffset;
   private hasGap: boolean;
   private writtenAtMs: number | null = null;
 
-  /** @param firstOffset appends before it are never read. */
+  /** @param firstOffset offset of the first append to fold. */
   constructor(
     private readonly options: FoldOptions,
     private readonly firstOffset: LogOffset,
   ) {
-    this.memory = new ClaimMemory(options.windowMs, options.maxKeys);
+    this.table = new ClaimTable(options.windowMs, options.maxKeys);
     this.next = firstOffset;
     this.hasGap = firstOffset > 0;
   }
@@ -57,27 +53,27 @@
     return this.next;
   }
 
-  /** How many appends were folded. */
+  /** Number of folded appends. */
   get appendCount(): number {
     return this.next - this.firstOffset;
   }
 
   get size(): number {
-    return this.memory.size;
+    return this.table.size;
   }
 
-  /** Keys dated before this are unknown here. */
+  /** Claims of keys created before this time may be missing from the fold. */
   get floorMs(): number {
-    return this.hasGap ? Number.POSITIVE_INFINITY : this.memory.floorMs;
+    return this.hasGap ? Number.POSITIVE_INFINITY : this.table.floorMs;
   }
 
-  /** When the newest append was written, or null before the first. */
+  /** Write time of the last folded append; null before the first. */
   get lastWrittenAtMs(): number | null {
     return this.writtenAtMs;
   }
 
-  find(key: ClaimKey): RememberedClaim | undefined {
-    return this.memory.find(key);
+  find(key: ClaimKey): ClaimEntry | undefined {
+    return this.table.find(key);
   }
 
   /** Folds the append at `nextOffset`. */
@@ -95,21 +91,20 @@
       record,
       verdict: this.apply(author, record, batch.writtenAtMs),
     }));
-    this.memory.forgetOld();
+    this.table.evictOld();
     return folded;
   }
 
   /**
-   * Guards against claims in appends that this node has not read, because
-   * they were trimmed or are of an unknown form: it would grant a key a second
-   * time. Any such claim was written before the next append that can be read,
-   * so its key is dated less than the margin after that one's time.
+   * Guards against a second grant of a key whose claim was trimmed or has an
+   * unknown format. Such a claim precedes the next readable append, so its key
+   * was created less than `marginMs` after that append's write time.
    */
   private closeGap(writtenAtMs: number): void {
     this.writtenAtMs = writtenAtMs;
     if (!this.hasGap) return;
     this.hasGap = false;
-    this.memory.raiseFloor(writtenAtMs + this.options.marginMs);
+    this.table.raiseFloor(writtenAtMs + this.options.marginMs);
   }
 
   private apply(
@@ -134,40 +129,40 @@
     record: ClaimRecord,
     writtenAtMs: number,
   ): FoldVerdict {
-    const known = this.memory.find(record);
-    if (known && isSameClaim(known, author, record)) return 'duplicate';
-    if (record.issuedAtMs < this.memory.floorMs) return 'below-floor';
+    const entry = this.table.find(record);
+    if (entry && isSameClaim(entry, author, record)) return 'duplicate';
+    if (record.issuedAtMs < this.table.floorMs) return 'below-floor';
     if (record.issuedAtMs > writtenAtMs + this.options.aheadMs) {
       return 'dated-ahead';
     }
-    if (!isFree(known, record)) return 'taken';
-    this.memory.put(record, makeClaim(author, record, 'claimed'));
+    if (!isClaimable(entry, record)) return 'taken';
+    this.table.put(record, makeClaim(author, record, 'claimed'));
     return 'granted';
   }
 
   /**
-   * The release of a claim that is not there yet is remembered, since a lost
-   * append of that claim may still arrive; it must not take the key for good.
+   * Records a release even before its claim is seen. Guards against a delayed
+   * append of that claim blocking the key permanently.
    */
   private applyRelease(author: string, record: ReleaseRecord): void {
-    const known = this.memory.find(record);
-    if (known && isSameClaim(known, author, record)) {
-      if (known.state === 'claimed') known.state = 'released';
-    } else if (isFree(known, record)) {
-      if (record.issuedAtMs < this.memory.floorMs) return;
-      this.memory.put(record, makeClaim(author, record, 'released'));
+    const entry = this.table.find(record);
+    if (entry && isSameClaim(entry, author, record)) {
+      if (entry.state === 'claimed') entry.state = 'released';
+    } else if (isClaimable(entry, record)) {
+      if (record.issuedAtMs < this.table.floorMs) return;
+      this.table.put(record, makeClaim(author, record, 'released'));
     }
   }
 
   private applyOutcome(author: string, record: OutcomeRecord): void {
-    const known = this.memory.find(record);
-    if (!known || !isSameClaim(known, author, record)) return;
-    if (known.state !== 'claimed') return;
-    known.state = record.outcome;
-    known.answer = record.answer;
+    const entry = this.table.find(record);
+    if (!entry || !isSameClaim(entry, author, record)) return;
+    if (entry.state !== 'claimed') return;
+    entry.state = record.outcome;
+    entry.answer = record.answer;
   }
 
-  /** Keeps one text for each author, not one for each claim. */
+  /** Shares one string per author to save memory. */
   private intern(author: string): string {
     const known = this.authors.get(author);
     if (known !== undefined) return known;
@@ -176,31 +171,31 @@
   }
 }
 
-/** Whether a claim of this attempt may take the key. */
-function isFree(
-  known: RememberedClaim | undefined,
+/** Whether the record's attempt may claim the key. */
+function isClaimable(
+  entry: ClaimEntry | undefined,
   {attempt, requestHash}: ClaimRecord | ReleaseRecord,
 ): boolean {
-  if (!known) return attempt === 0;
+  if (!entry) return attempt === 0;
   return (
-    known.state === 'released' &&
-    known.requestHash === requestHash &&
-    attempt === known.attempt + 1
+    entry.state === 'released' &&
+    entry.requestHash === requestHash &&
+    attempt === entry.attempt + 1
   );
 }
 
 function isSameClaim(
-  known: RememberedClaim,
+  entry: ClaimEntry,
   author: string,
   {claimNumber}: ClaimStreamRecord,
 ): boolean {
-  return known.author === author && known.claimNumber === claimNumber;
+  return entry.author === author && entry.claimNumber === claimNumber;
 }
 
 function makeClaim(
   author: string,
   {requestHash, claimNumber, attempt}: ClaimRecord | ReleaseRecord,
   state: 'claimed' | 'released',
-): RememberedClaim {
+): ClaimEntry {
   return {requestHash, author, claimNumber, attempt, state, answer: null};
 }
--- a/packages/claim-keys/src/claim_keys.test.ts
+++ b/packages/claim-keys/src/claim_keys.test.ts
@@ -23,7 +23,7 @@
 function createFixture(options: Partial<ClaimOptions> = {}) {
   const clock = new SystemClock();
   const log = new MemoryLog(clock);
-  const dead = new Set<string>();
+  const crashed = new Set<string>();
   const nodes: ClaimKeys[] = [];
   const start = (incarnation: string) => {
     const node = new ClaimKeys({
@@ -31,7 +31,7 @@
       random: new SeededRandom(1),
       log,
       incarnation,
-      isAlive: other => !dead.has(other),
+      isAlive: other => !crashed.has(other),
       options: {
         partitionCount: 1,
         appendGapMs: 1,
@@ -44,7 +44,7 @@
     return node;
   };
   const stop = () => Promise.all(nodes.map(node => node.stop(0)));
-  return {clock, log, dead, start, stop};
+  return {clock, log, dead: crashed, start, stop};
 }
 
 function createRequest(key = 'k1'): ClaimRequest {
@@ -55,7 +55,7 @@
   };
 }
 
-/** Claims; resolves with the status, or with kind and run of the refusal. */
+/** Resolves with the status, or with `kind` and `run` of the error. */
 async function claim(
   node: ClaimKeys,
   request: ClaimRequest,
@@ -77,16 +77,15 @@
   return result.grant;
 }
 
-async function until(isDone: () => boolean): Promise<void> {
+async function waitUntil(isDone: () => boolean): Promise<void> {
   while (!isDone()) await sleep(new SystemClock(), 1);
 }
 
 const test = suite('claim keys');
 
-test('a caller that tries two nodes at once is run by one', async () => {
-  // A volunteer's phone sends an order to two entry hosts at once, as the
-  // first seems slow. Both claim; the one that is second must not run it, and
-  // gets the answer of the first.
+// Guards against running a request more than once when its caller sends it to
+// several nodes at the same time.
+test('grants concurrent claims of a key to one node', async () => {
   const {start, stop} = createFixture();
   const nodes = [start('a'), start('b'), start('c')];
   const request = createRequest();
@@ -101,23 +100,23 @@
   await stop();
 });
 
-test('a lost answer of a claim grants it once, to its author', async () => {
-  // The log service keeps a claim and its answer is lost. The node reads its
-  // claim back all the same; a caller that tries another node hears of it.
+// Guards against a lost or double grant when the log's response to an append
+// is lost.
+test('grants a claim to its author when the append response is lost', async () => {
   const {log, start, stop} = createFixture();
-  log.answersToLose = 1;
+  log.responsesToDrop = 1;
   const request = createRequest();
   const node = start('a');
-  const held = await grant(node, request);
+  const firstGrant = await grant(node, request);
   const other = start('b');
-  node.noteRan(held, ANSWER);
+  node.noteRan(firstGrant, ANSWER);
   assert.is(await claim(other, request), 'ran');
   await stop();
 });
 
-test('a claimer that died between claim and dispatch leaves unknown', async () => {
-  // A node is killed just after its claim. Nobody can tell whether it had
-  // handed the order over, so it is neither run nor called not run.
+// Guards against running a request again after its node crashed between claim
+// and outcome; the crashed node may have dispatched the request.
+test('returns orphaned when the claimant crashed without an outcome', async () => {
   const {dead, start, stop} = createFixture();
   const request = createRequest();
   await grant(start('a'), request);
@@ -130,72 +129,70 @@
   await stop();
 });
 
-test('a released key may be claimed again, by any node', async () => {
+test('lets any node claim a released key', async () => {
   const {start, stop} = createFixture();
   const request = createRequest();
   const [a, b] = [start('a'), start('b')];
   b.tick(() => true);
   a.release(await grant(a, request));
-  await until(() => b.listStatus()[0]?.nextOffset === 2);
+  await waitUntil(() => b.listStatus()[0]?.nextOffset === 2);
   assert.is(await claim(b, request), 'granted');
   assert.is(await claim(a, {...request, requestHash: 'x'}), 'key-reused');
   await stop();
 });
 
-test('a node that waited for a claimer does not run what it let go', async () => {
-  // A caller tries two nodes. The first claims its key, can hand nothing over
-  // and says `not-run`; the caller gives the hamper to somebody else. The
-  // second, which had waited, must not claim the key and dispatch it then.
+// Guards against running a request on a second node after the first node
+// answered `not-run` and released the key.
+test('does not claim a key that was released during the wait', async () => {
   const {start, stop} = createFixture();
   const request = createRequest();
   const [a, b] = [start('a'), start('b')];
   const held = await grant(a, request);
   const waiting = claim(b, request);
-  await until(() => b.listStatus()[0]?.isReady === true);
+  await waitUntil(() => b.listStatus()[0]?.isReady === true);
   a.release(held);
   assert.is(await waiting, 'released');
   assert.is(await claim(b, request), 'granted');
   await stop();
 });
 
-test('with the log down, only what is known is told', async () => {
-  // The log service fails while an event runs. Another node may have run a
-  // key that this one does not know, so it must not say `not-run`; and it
-  // says so at once, not when the caller's time is over.
+// Guards against a `not-run` error for a key that another node may have run,
+// and against a wait for the caller's deadline while the log is down.
+test('answers at once with known outcomes only while the log is down', async () => {
   const {clock, log, start, stop} = createFixture({claimTimeoutMs: MINUTE_MS});
   const node = start('a');
   const [known, fresh] = [createRequest('k1'), createRequest('k2')];
   node.noteRan(await grant(node, known), ANSWER);
-  await until(() => node.listStatus()[0]?.nextOffset === 2);
+  await waitUntil(() => node.listStatus()[0]?.nextOffset === 2);
   log.setDown(true);
-  await until(() => node.listStatus()[0]?.isFailing === true);
+  await waitUntil(() => node.listStatus()[0]?.isFailing === true);
   assert.is(await claim(node, known), 'ran');
   const refused = claim(node, fresh, MINUTE_MS);
-  const heldBack = sleep(clock, MINUTE_MS / 20).then(() => 'held back');
-  assert.is(await Promise.race([refused, heldBack]), 'log-unavailable unknown');
+  const timedOut = sleep(clock, MINUTE_MS / 20).then(() => 'timed out');
+  assert.is(await Promise.race([refused, timedOut]), 'log-unavailable unknown');
   log.setDown(false);
-  await until(() => node.listStatus()[0]?.isFailing === false);
+  await waitUntil(() => node.listStatus()[0]?.isFailing === false);
   assert.is(await claim(node, fresh), 'granted');
   await stop();
 });
 
-test('a claim that is given up is released when it arrives', async () => {
-  // An append hangs. The node tells the caller to come back; when the claim
-  // takes effect after all, the key must not be held by nobody for good.
+// Guards against a key blocked permanently by a claim that is granted after
+// its node stopped waiting for the append.
+test('releases an abandoned claim that is granted later', async () => {
   const {log, start, stop} = createFixture();
   const node = start('a');
   const request = createRequest();
   await claim(node, createRequest('warm-up'));
   let open: () => void = () => undefined;
-  log.gate = new Promise(resolve => (open = resolve));
+  log.appendGate = new Promise(resolve => (open = resolve));
   assert.is(await claim(node, request, 30), 'log-unavailable unknown');
-  log.gate = null;
+  log.appendGate = null;
   open();
   assert.is(await claim(node, request), 'granted');
   await stop();
 });
 
-test('many claims share an append', async () => {
+test('batches many claims into one append', async () => {
   const {log, start, stop} = createFixture({appendGapMs: 20});
   const node = start('a');
   const results = await Promise.all(
@@ -208,27 +205,30 @@
   await stop();
 });
 
-test('a trimmed stream makes what it held unknown', async () => {
-  // A node is cut off from the log for so long that the records it has not
-  // read are dropped. What they claimed must not be granted again.
+// Guards against a second grant of a key whose claim was trimmed before the
+// node read it.
+test('returns unknown for a key whose claim may be trimmed', async () => {
   const {log, start, stop} = createFixture();
   const request = createRequest();
   await grant(start('a'), request);
-  await log.append('claims-0', createMark('a', Date.now()));
+  await log.append('claims-0', createHeartbeat('a', Date.now()));
   log.trim('claims-0', 1);
   assert.is(await claim(start('b'), request), 'unknown');
   await stop();
 });
 
-test('a node that starts reads back no further than it must', async () => {
-  // A stream holds a week of claims. A new node must know those of the last
-  // half hour before it answers, and must not read all the rest for it.
+// Guards against a slow start caused by reading the whole stream instead of
+// the retention window and its margin.
+test('reads only the recent part of a long stream at start', async () => {
   const {log, start, stop} = createFixture();
   const nowMs = Date.now();
   const ages = Array.from({length: 3_000}, (_, index) => 3_000 - index);
   await Promise.all(
     ages.map(ageMinutes =>
-      log.append('claims-0', createMark('a', nowMs - ageMinutes * MINUTE_MS)),
+      log.append(
+        'claims-0',
+        createHeartbeat('a', nowMs - ageMinutes * MINUTE_MS),
+      ),
     ),
   );
   const node = start('b');
@@ -240,18 +240,18 @@
   await stop();
 });
 
-test('the keeper of a quiet stream marks the time', async () => {
+test('appends a heartbeat to an idle stream', async () => {
   const {log, start, stop} = createFixture({markIntervalMs: 1});
   const node = start('a');
   node.tick(() => true);
-  await until(() => node.listStatus()[0]?.isReady === true);
+  await waitUntil(() => node.listStatus()[0]?.isReady === true);
   node.tick(() => true);
-  await until(() => log.appendCount === 1);
+  await waitUntil(() => log.appendCount === 1);
   assert.is(await claim(start('b'), createRequest()), 'granted');
   await stop();
 });
 
-function createMark(author: string, writtenAtMs: number): Uint8Array {
+function createHeartbeat(author: string, writtenAtMs: number): Uint8Array {
   return encodeClaimBatch({author, writtenAtMs, records: []});
 }
 
--- a/packages/claim-keys/src/claim_keys.ts
+++ b/packages/claim-keys/src/claim_keys.ts
@@ -1,4 +1,4 @@
-/** All claims of this node, divided into partitions by a hash of the key. */
+/** Claims of idempotency keys, partitioned by key hash. */
 import {type KeptAnswer} from '@mimosatack/unrepeatable';
 import {
   ClaimPartition,
@@ -6,10 +6,10 @@
   type PartitionStatus,
 } from './claim_partition.js';
 import {type ClaimRecord} from './claim_records.js';
-import {type ClaimRequest, type ClaimResult} from './claim_standing.js';
+import {type ClaimRequest, type ClaimResult} from './key_status.js';
 import {type ClaimOptions, DEFAULT_CLAIM_OPTIONS} from './options.js';
 
-/** What the claims of a node are built from. */
+/** Dependencies and options of `ClaimKeys`. */
 export interface ClaimKeysOptions extends Omit<
   ClaimPartitionContext,
   'stream' | 'options' | 'takeClaimNumber'
@@ -21,13 +21,13 @@
 export interface ClaimCounters {
   granted: number;
   released: number;
-  /** Callers told of a key whose claimer died before it told the outcome. */
+  /** Claims of keys whose claimant exited without recording an outcome. */
   orphaned: number;
 }
 
 const STREAM_PREFIX = 'claims-';
 
-/** Claims keys and remembers what became of them. */
+/** Claims keys and records their outcomes. */
 export class ClaimKeys {
   readonly counters: ClaimCounters = {granted: 0, released: 0, orphaned: 0};
   private readonly options: ClaimOptions;
@@ -38,49 +38,49 @@
     this.options = {...DEFAULT_CLAIM_OPTIONS, ...context.options};
   }
 
-  /** The partition that a key belongs to, on every node. */
+  /** Returns the partition of a key; it is the same on all nodes. */
   partitionOf(keyHash: string): number {
     const bytes = Buffer.from(keyHash, 'base64url');
     return bytes.readUInt32BE(0) % this.options.partitionCount;
   }
 
-  /** Whether the date of a key is too far ahead of this node's clock. */
+  /** Whether a key's creation time is too far ahead of this node's clock. */
   isDatedAhead(issuedAtMs: number): boolean {
     return issuedAtMs > this.context.clock.wallMs() + this.options.aheadMs;
   }
 
-  /** Claims a key, or tells what became of it; see `ClaimPartition.claim`. */
+  /** Claims a key or returns its outcome; see `ClaimPartition.claim`. */
   async claim(
     request: ClaimRequest,
     expiresAtMs: number,
   ): Promise<ClaimResult> {
-    const partition = this.open(this.partitionOf(request.keyHash));
+    const partition = this.openPartition(this.partitionOf(request.keyHash));
     const result = await partition.claim(request, expiresAtMs);
     if (result.status === 'granted') this.counters.granted += 1;
     if (result.status === 'orphaned') this.counters.orphaned += 1;
     return result;
   }
 
-  /** Frees the key: nothing was handed over under the grant. */
+  /** Releases the key; no request was or will be dispatched under the grant. */
   release(grant: ClaimRecord): void {
     this.counters.released += 1;
-    this.open(this.partitionOf(grant.keyHash)).release(grant);
+    this.openPartition(this.partitionOf(grant.keyHash)).release(grant);
   }
 
-  /** The answer is null when it could not be kept. */
+  /** @param answer null if the response was not kept. */
   noteRan(grant: ClaimRecord, answer: KeptAnswer | null): void {
-    this.open(this.partitionOf(grant.keyHash)).noteRan(grant, answer);
+    this.openPartition(this.partitionOf(grant.keyHash)).noteRan(grant, answer);
   }
 
   noteUnknown(grant: ClaimRecord): void {
-    this.open(this.partitionOf(grant.keyHash)).noteUnknown(grant);
+    this.openPartition(this.partitionOf(grant.keyHash)).noteUnknown(grant);
   }
 
-  /** Follows the partitions this node is to keep, and closes unused ones. */
+  /** Reads the partitions assigned to this node and closes unused ones. */
   tick(isResponsible: (partition: number) => boolean): void {
     Array.from({length: this.options.partitionCount}, (_, index) => index)
       .filter(isResponsible)
-      .forEach(index => this.open(index).keepMarked());
+      .forEach(index => this.openPartition(index).heartbeatIfIdle());
     [...this.partitions]
       .filter(
         ([index, partition]) => partition.isUnused && !isResponsible(index),
@@ -98,14 +98,14 @@
     }));
   }
 
-  /** Ends all partitions; outcomes that wait are written if there is time. */
+  /** Flushes queued records for up to `flushMs`, then stops all partitions. */
   async stop(flushMs: number): Promise<void> {
     await Promise.all(
       [...this.partitions.values()].map(partition => partition.stop(flushMs)),
     );
   }
 
-  private open(index: number): ClaimPartition {
+  private openPartition(index: number): ClaimPartition {
     const known = this.partitions.get(index);
     if (known) return known;
     const partition = new ClaimPartition({
--- a/packages/claim-keys/src/claim_partition.ts
+++ b/packages/claim-keys/src/claim_partition.ts
@@ -1,4 +1,4 @@
-/** One partition of the claims: its fold, its appends and who waits for them. */
+/** One partition of the claims: its reader, its writer and waiting requests. */
 import {type Timer} from '@mimosatack/clock';
 import {type KeptAnswer} from '@mimosatack/unrepeatable';
 import {type FoldedClaim} from './claim_fold.js';
@@ -11,11 +11,11 @@
 import {
   type ClaimRequest,
   type ClaimResult,
-  type ClaimStanding,
-  makeClaimUnavailable,
-  makeTooLate,
-  readStanding,
-} from './claim_standing.js';
+  type KeyStatus,
+  createLogUnavailableError,
+  createDeadlineError,
+  resolveKeyStatus,
+} from './key_status.js';
 import {
   ClaimWriter,
   type PartitionContext,
@@ -23,43 +23,40 @@
 } from './claim_writer.js';
 import {PendingClaims} from './pending_claims.js';
 
-/** What a partition needs of the node. */
+/** Dependencies that a node provides to its partitions. */
 export interface ClaimPartitionContext extends PartitionContext {
-  /** Whether a process may still be running; a hint. */
+  /** Whether a process may still be running; the result can be out of date. */
   isAlive(incarnation: string): boolean;
-  /**
-   * Never gives a number twice in the life of the process, as the author and
-   * the number together name a claim.
-   */
+  /** Returns a number that is unique in this process. */
   takeClaimNumber(): number;
 }
 
-/** Numbers that a partition tells of itself. */
+/** Statistics of a partition. */
 export interface PartitionStatus {
   keys: number;
   nextOffset: number;
-  /** How many appends of the stream were read. */
+  /** Number of appends read from the stream. */
   foldedAppends: number;
   isReady: boolean;
   isFailing: boolean;
   counters: Readonly<WriterCounters>;
 }
 
-/** How often a claimer that others wait for is looked at again. */
-const RECHECK_MS = 250;
+/** Interval at which a waiting request checks that the claimant is alive. */
+const LIVENESS_CHECK_INTERVAL_MS = 250;
 const MIN_RETRY_AFTER_MS = 2_000;
 const MAX_RETRY_AFTER_MS = 6_000;
 
-/** The task that claims the keys of one partition. */
+/** Claims the keys of one partition. */
 export class ClaimPartition {
   private readonly stopping = new AbortController();
   private readonly reader: ClaimReader;
   private readonly writer: ClaimWriter;
   private readonly pending: PendingClaims;
-  /** Keys whose release by this node has not been read back. */
-  private readonly releasing = new Set<string>();
+  /** Keys whose release by this process has not been read back. */
+  private readonly pendingReleases = new Set<string>();
   private readonly changeWaiters = new Set<() => void>();
-  private readonly reading: Promise<void>;
+  private readonly readLoop: Promise<void>;
   private lastUsedMs: number;
 
   constructor(private readonly context: ClaimPartitionContext) {
@@ -71,10 +68,10 @@
       record => this.release(record),
     );
     this.reader = new ClaimReader(context, this.stopping.signal, {
-      onFolded: folded => this.noteFolded(folded),
-      onRestart: () => this.giveUpAll(),
+      onFolded: folded => this.handleFolded(folded),
+      onRestart: () => this.abandonPending(),
     });
-    this.reading = this.reader.run();
+    this.readLoop = this.reader.run();
   }
 
   get status(): PartitionStatus {
@@ -88,7 +85,7 @@
     };
   }
 
-  /** Whether nobody has asked for it lately and nothing waits. */
+  /** Whether the partition had no recent claims and has no pending work. */
   get isUnused(): boolean {
     const {clock, options} = this.context;
     const unusedMs = clock.monotonicMs() - this.lastUsedMs;
@@ -100,42 +97,47 @@
   }
 
   /**
-   * Claims the key, or finds out what became of it. Waits for a claimer that
-   * is alive. Rejects with `log-unavailable` when nothing can be claimed.
+   * Claims the key or returns its outcome. Waits while another live process
+   * holds the claim. Rejects with `log-unavailable` when the log fails.
    *
-   * Guards against a `not-run` that comes untrue: a caller that tries two
-   * nodes hears it from the one that claimed first and released; the other,
-   * which waited, must not claim the key then and run it after all.
+   * Guards against running a request after a `not-run` response: when another
+   * node releases a key that this request waited for, the caller may already
+   * have that response, so the request returns `released` and does not claim.
    */
   async claim(
     request: ClaimRequest,
     expiresAtMs: number,
   ): Promise<ClaimResult> {
     this.lastUsedMs = this.context.clock.monotonicMs();
-    let hasSeenOther = false;
+    let hasSeenOtherClaim = false;
     for (;;) {
-      const standing = this.findStanding(request);
-      if (standing && isFinal(standing)) return standing;
-      this.refuseIfFailing();
-      if (this.remainingMs(expiresAtMs) <= 0) throw makeTooLate(standing);
-      if (standing?.status === 'free') {
-        if (hasSeenOther) return {status: 'released'};
-        const grant = await this.append(request, standing.attempt, expiresAtMs);
+      const keyStatus = this.findKeyStatus(request);
+      if (keyStatus && isFinal(keyStatus)) return keyStatus;
+      this.throwIfFailing();
+      if (this.msUntil(expiresAtMs) <= 0) throw createDeadlineError(keyStatus);
+      if (keyStatus?.status === 'free') {
+        if (hasSeenOtherClaim) return {status: 'released'};
+        const grant = await this.append(
+          request,
+          keyStatus.attempt,
+          expiresAtMs,
+        );
         if (grant) return {status: 'granted', grant};
-        hasSeenOther ||= this.isOthers(request);
+        hasSeenOtherClaim ||= this.isClaimedByOther(request);
         continue;
       }
-      if (standing && !this.canWaitFor(standing.author, request)) {
+      if (keyStatus && !this.canStillChange(keyStatus.author, request)) {
         return {status: 'orphaned'};
       }
-      hasSeenOther ||= standing !== null && !this.isOwn(standing.author);
+      hasSeenOtherClaim ||=
+        keyStatus !== null && !this.isOwnIncarnation(keyStatus.author);
       await this.waitForChange(expiresAtMs);
     }
   }
 
-  /** Says that nothing was handed over under the grant, nor ever will be. */
+  /** Releases the key; no request was or will be dispatched under the grant. */
   release(grant: ClaimRecord): void {
-    this.releasing.add(grant.keyHash);
+    this.pendingReleases.add(grant.keyHash);
     this.push({...grant, type: 'release'});
   }
 
@@ -149,63 +151,63 @@
     this.pushOutcome(grant, 'unknown', null);
   }
 
-  /** Appends a mark of time when the stream has been quiet for long. */
-  keepMarked(): void {
+  /** Appends a heartbeat when the stream had no append for the interval. */
+  heartbeatIfIdle(): void {
     const {fold} = this.reader;
     if (!fold || !this.writer.isIdle) return;
     const {clock, options} = this.context;
-    const quietMs = clock.wallMs() - (fold.lastWrittenAtMs ?? 0);
-    if (quietMs >= options.markIntervalMs) this.writer.mark();
+    const sinceAppendMs = clock.wallMs() - (fold.lastWrittenAtMs ?? 0);
+    if (sinceAppendMs >= options.markIntervalMs) this.writer.requestHeartbeat();
   }
 
-  /** Appends what waits, as far as there is time, then ends. */
+  /** Flushes queued records for up to `flushMs`, then stops. */
   async stop(flushMs: number): Promise<void> {
     await this.writer.flush(flushMs);
     this.stopping.abort();
-    this.giveUpAll();
-    await Promise.all([this.reading, this.writer.whenStopped()]);
+    this.abandonPending();
+    await Promise.all([this.readLoop, this.writer.whenStopped()]);
   }
 
   private get isFailing(): boolean {
     return this.reader.isFailing || this.writer.isFailing;
   }
 
-  /** Whether the last claim of the key, whatever became of it, is another's. */
-  private isOthers(request: ClaimRequest): boolean {
-    const known = this.reader.fold?.find(request);
-    return known !== undefined && !this.isOwn(known.author);
+  /** Whether the last claim of the key, in any state, is by another process. */
+  private isClaimedByOther(request: ClaimRequest): boolean {
+    const entry = this.reader.fold?.find(request);
+    return entry !== undefined && !this.isOwnIncarnation(entry.author);
   }
 
-  private findStanding(request: ClaimRequest): ClaimStanding | null {
+  private findKeyStatus(request: ClaimRequest): KeyStatus | null {
     const {fold} = this.reader;
-    return fold && readStanding(fold.find(request), request, fold.floorMs);
+    return fold && resolveKeyStatus(fold.find(request), request, fold.floorMs);
   }
 
   /**
-   * A claim of this process that is not running here any more is either being
-   * released, or nobody will ever tell what became of it.
+   * Whether the claim may still change state. A claim by this process changes
+   * only if its release is on the way to the log.
    */
-  private canWaitFor(author: string, {keyHash}: ClaimRequest): boolean {
-    return this.isOwn(author)
-      ? this.releasing.has(keyHash)
+  private canStillChange(author: string, {keyHash}: ClaimRequest): boolean {
+    return this.isOwnIncarnation(author)
+      ? this.pendingReleases.has(keyHash)
       : this.context.isAlive(author);
   }
 
-  private isOwn(author: string): boolean {
+  private isOwnIncarnation(author: string): boolean {
     return author === this.context.incarnation;
   }
 
-  private refuseIfFailing(): void {
-    if (this.isFailing) throw this.makeUnavailable();
+  private throwIfFailing(): void {
+    if (this.isFailing) throw this.createUnavailableError();
   }
 
-  private makeUnavailable() {
-    return makeClaimUnavailable(
+  private createUnavailableError() {
+    return createLogUnavailableError(
       this.context.random.nextInt(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS),
     );
   }
 
-  /** Null when another claim came first. */
+  /** Resolves with null when the claim is not granted. */
   private async append(
     {keyHash, requestHash, issuedAtMs}: ClaimRequest,
     attempt: number,
@@ -220,26 +222,26 @@
       attempt,
       claimNumber: this.context.takeClaimNumber(),
     };
-    const waitMs = Math.min(claimTimeoutMs, this.remainingMs(expiresAtMs));
+    const waitMs = Math.min(claimTimeoutMs, this.msUntil(expiresAtMs));
     const verdict = await this.pending.append(record, waitMs);
-    if (verdict === null) throw this.makeUnavailable();
+    if (verdict === null) throw this.createUnavailableError();
     return verdict === 'granted' ? record : null;
   }
 
-  private giveUpAll(): void {
-    this.pending.giveUpAll();
+  private abandonPending(): void {
+    this.pending.abandonAll();
     this.wakeWaiters();
   }
 
-  private noteFolded(folded: readonly FoldedClaim[]): void {
+  private handleFolded(folded: readonly FoldedClaim[]): void {
     folded
       .filter(({author}) => author === this.context.incarnation)
-      .forEach(one => this.settleOwn(one));
+      .forEach(claim => this.settleOwn(claim));
     this.wakeWaiters();
   }
 
   private settleOwn({record, verdict}: FoldedClaim): void {
-    if (record.type === 'release') this.releasing.delete(record.keyHash);
+    if (record.type === 'release') this.pendingReleases.delete(record.keyHash);
     if (record.type === 'claim') this.pending.settle(record, verdict);
   }
 
@@ -254,13 +256,16 @@
   private push(record: ClaimStreamRecord): void {
     this.writer.push({
       record,
-      isWanted: () => true,
-      noteSent: () => undefined,
+      isNeeded: () => true,
+      onSend: () => undefined,
     });
   }
 
   private waitForChange(expiresAtMs: number): Promise<void> {
-    const waitMs = Math.min(RECHECK_MS, this.remainingMs(expiresAtMs));
+    const waitMs = Math.min(
+      LIVENESS_CHECK_INTERVAL_MS,
+      this.msUntil(expiresAtMs),
+    );
     return new Promise(resolve => {
       const timer: Timer = this.context.clock.setTimer(waitMs, () => wake());
       const wake = () => {
@@ -276,16 +281,13 @@
     [...this.changeWaiters].forEach(wake => wake());
   }
 
-  private remainingMs(expiresAtMs: number): number {
+  private msUntil(expiresAtMs: number): number {
     return expiresAtMs - this.context.clock.monotonicMs();
   }
 }
 
 function isFinal(
-  standing: ClaimStanding,
-): standing is Extract<
-  ClaimStanding,
-  {status: 'ran' | 'key-reused' | 'unknown'}
-> {
-  return standing.status !== 'free' && standing.status !== 'running';
+  keyStatus: KeyStatus,
+): keyStatus is Extract<KeyStatus, {status: 'ran' | 'key-reused' | 'unknown'}> {
+  return keyStatus.status !== 'free' && keyStatus.status !== 'running';
 }
--- a/packages/claim-keys/src/claim_reader.ts
+++ b/packages/claim-keys/src/claim_reader.ts
@@ -1,4 +1,4 @@
-/** Follows one claim stream and folds it. */
+/** Reads one claim stream continuously and folds its records. */
 import {sleep} from '@mimosatack/clock';
 import {type TypedError, toTypedError} from '@mimosatack/errors';
 import {addJitter} from '@mimosatack/random';
@@ -6,22 +6,23 @@
 import {type PartitionContext} from './claim_writer.js';
 import {findStart} from './find_start.js';
 
-/** Told of every append that was folded, and of a fold that began anew. */
 export interface ReaderListener {
+  /** Called for each folded append, and with no records at the stream's end. */
   onFolded(folded: readonly FoldedClaim[]): void;
+  /** Called when the fold is discarded because unread records were trimmed. */
   onRestart(): void;
 }
 
 const READ_LIMIT = 500;
 const RETRY_JITTER = 0.5;
-/** One lost read is no outage yet. */
-const FAILING_AFTER = 2;
+/** Consecutive failed reads after which the reader reports a failure. */
+const FAILURE_THRESHOLD = 2;
 
-/** The task that owns the reads of one partition. */
+/** Owns the reads of one partition. */
 export class ClaimReader {
-  private current: ClaimFold | null = null;
+  private activeFold: ClaimFold | null = null;
   private failures = 0;
-  private isComplete = false;
+  private isCaughtUp = false;
 
   constructor(
     private readonly context: PartitionContext,
@@ -29,28 +30,28 @@
     private readonly listener: ReaderListener,
   ) {}
 
-  /** The fold once it has reached the end of the stream, else null. */
+  /** Null until the fold has reached the end of the stream. */
   get fold(): ClaimFold | null {
-    return this.isComplete ? this.current : null;
+    return this.isCaughtUp ? this.activeFold : null;
   }
 
   get isFailing(): boolean {
-    return this.failures >= FAILING_AFTER;
+    return this.failures >= FAILURE_THRESHOLD;
   }
 
-  /** Reads until it is stopped. */
+  /** Reads until the stop signal is aborted. */
   async run(): Promise<void> {
     while (!this.stopping.aborted) {
       try {
-        await this.readOnce(this.current ?? (await this.begin()));
+        await this.readPage(this.activeFold ?? (await this.startFold()));
         this.failures = 0;
       } catch (thrown) {
-        await this.recover(toTypedError(thrown));
+        await this.handleReadError(toTypedError(thrown));
       }
     }
   }
 
-  private async begin(): Promise<ClaimFold> {
+  private async startFold(): Promise<ClaimFold> {
     const {log, stream, clock, options} = this.context;
     const start = await findStart({
       log,
@@ -58,41 +59,41 @@
       sinceMs: clock.wallMs() - options.windowMs - options.marginMs,
       signal: this.stopping,
     });
-    this.current = new ClaimFold(options, start);
-    return this.current;
+    this.activeFold = new ClaimFold(options, start);
+    return this.activeFold;
   }
 
-  private async readOnce(fold: ClaimFold): Promise<void> {
+  private async readPage(fold: ClaimFold): Promise<void> {
     const {log, stream, options} = this.context;
     const page = await log.read({
       stream,
       from: fold.nextOffset,
       limit: READ_LIMIT,
-      waitMs: this.isComplete ? options.longPollMs : 0,
+      waitMs: this.isCaughtUp ? options.longPollMs : 0,
       signal: this.stopping,
     });
     page.records.forEach(record => {
       if (record.offset !== fold.nextOffset) return;
       this.listener.onFolded(fold.foldAppend(record.data));
     });
-    if (fold.nextOffset < page.nextOffset || this.isComplete) return;
-    this.isComplete = true;
+    if (fold.nextOffset < page.nextOffset || this.isCaughtUp) return;
+    this.isCaughtUp = true;
     this.listener.onFolded([]);
   }
 
-  private async recover(error: TypedError): Promise<void> {
+  private async handleReadError(error: TypedError): Promise<void> {
     if (this.stopping.aborted) return;
-    if (error.kind === 'trimmed') this.restart();
+    if (error.kind === 'trimmed') this.discardFold();
     else this.failures += 1;
     const {clock, random, options} = this.context;
     const pauseMs = addJitter(random, options.retryDelayMs, RETRY_JITTER);
     await sleep(clock, pauseMs, this.stopping);
   }
 
-  /** The next append is gone; what it claimed must count as unknown. */
-  private restart(): void {
-    this.current = null;
-    this.isComplete = false;
+  /** Discards the fold, as trimmed records may hold claims that it lacks. */
+  private discardFold(): void {
+    this.activeFold = null;
+    this.isCaughtUp = false;
     this.listener.onRestart();
   }
 }
--- a/packages/claim-keys/src/claim_records.ts
+++ b/packages/claim-keys/src/claim_records.ts
@@ -1,72 +1,75 @@
 /**
- * The records of the claim streams. One append carries a batch by one author;
- * its claims are valid or not by their place in the stream alone.
+ * Record formats of the claim streams. One append carries a batch of records
+ * from one author; a claim's position in the stream decides if it is granted.
  */
 import {pack, unpack} from 'msgpackr';
 import {z} from 'zod';
 
-/** The form of a batch; a reader takes other forms for a gap. */
-const BATCH_FORM = 1;
+/** Format version of a batch; readers treat other versions as a gap. */
+const BATCH_FORMAT_VERSION = 1;
 
-const hash = z.string().min(1).max(64);
-const count = z.number().int().min(0);
-const bytes = z.custom<Uint8Array>(value => value instanceof Uint8Array);
+const hashSchema = z.string().min(1).max(64);
+const countSchema = z.number().int().min(0);
+const bytesSchema = z.custom<Uint8Array>(value => value instanceof Uint8Array);
 
-const keptAnswer = z.object({
-  statusCode: count,
+const keptAnswerSchema = z.object({
+  statusCode: countSchema,
   contentType: z.string().max(256),
-  body: bytes,
+  body: bytesSchema,
 });
 
-const claimShape = {
-  keyHash: hash,
-  /** Names what the key asks for. */
-  requestHash: hash,
-  /** The date in the key. */
-  issuedAtMs: count,
-  /** Together with the author, names the claim. */
-  claimNumber: count,
-  /** How many claims of the key were released before this one. */
-  attempt: count,
+const claimFields = {
+  keyHash: hashSchema,
+  /** Hash of the request that uses the key. */
+  requestHash: hashSchema,
+  /** Creation time in the key. */
+  issuedAtMs: countSchema,
+  /** Identifies the claim together with the author. */
+  claimNumber: countSchema,
+  /** Number of earlier claims of the key that were released. */
+  attempt: countSchema,
 };
 
-const claim = z.object({type: z.literal('claim'), ...claimShape});
+const claimSchema = z.object({type: z.literal('claim'), ...claimFields});
 
-/** Its author proves that nothing was handed over under the claim. */
-const release = z.object({type: z.literal('release'), ...claimShape});
+/** The author confirms that no request was dispatched under the claim. */
+const releaseSchema = z.object({type: z.literal('release'), ...claimFields});
 
-const outcome = z.object({
+const outcomeSchema = z.object({
   type: z.literal('outcome'),
-  ...claimShape,
+  ...claimFields,
   outcome: z.enum(['ran', 'unknown']),
-  /** Left out when the answer is too large for the log. */
-  answer: keptAnswer.nullable(),
+  /** Null when the response is too large for the log. */
+  answer: keptAnswerSchema.nullable(),
 });
 
-const recordSchema = z.discriminatedUnion('type', [claim, release, outcome]);
+const recordSchema = z.discriminatedUnion('type', [
+  claimSchema,
+  releaseSchema,
+  outcomeSchema,
+]);
 
 const batchSchema = z.object({
-  form: z.literal(BATCH_FORM),
-  /** The incarnation of the node that wrote the batch. */
+  form: z.literal(BATCH_FORMAT_VERSION),
+  /** Incarnation of the node that wrote the batch. */
   author: z.string().min(1).max(128),
-  /** The author's wall clock when it sent the batch. */
-  writtenAtMs: count,
-  /** Empty in a batch that only tells the time. */
+  /** Wall clock of the author when it sent the batch. */
+  writtenAtMs: countSchema,
+  /** Empty in a heartbeat batch. */
   records: z.array(recordSchema),
 });
 
-export type ClaimRecord = z.infer<typeof claim>;
-export type ReleaseRecord = z.infer<typeof release>;
-export type OutcomeRecord = z.infer<typeof outcome>;
+export type ClaimRecord = z.infer<typeof claimSchema>;
+export type ReleaseRecord = z.infer<typeof releaseSchema>;
+export type OutcomeRecord = z.infer<typeof outcomeSchema>;
 export type ClaimStreamRecord = z.infer<typeof recordSchema>;
 export type ClaimBatch = Omit<z.infer<typeof batchSchema>, 'form'>;
 
-/** Encodes a batch for one append. */
 export function encodeClaimBatch(batch: ClaimBatch): Uint8Array {
-  return pack({form: BATCH_FORM, ...batch});
+  return pack({form: BATCH_FORMAT_VERSION, ...batch});
 }
 
-/** Decodes one append; null when it is no batch of a known form. */
+/** Returns null if the data is not a batch of a known format version. */
 export function decodeClaimBatch(data: Uint8Array): ClaimBatch | null {
   const parsed = batchSchema.safeParse(unpackOrNull(data));
   return parsed.success ? parsed.data : null;
--- a/packages/claim-keys/src/claim_memory.ts
+++ b/packages/claim-keys/src/claim_table.ts
@@ -1,14 +1,13 @@
 /**
- * The remembered claims of a partition, in buckets by the date of the key. No
- * node's clock moves the floor: it follows the dates of the keys themselves.
+ * Claims of one partition, in buckets by key creation time. The floor, below
+ * which claims may have been evicted, depends on no node's clock.
  */
 import {type KeptAnswer} from '@mimosatack/unrepeatable';
 
-/** Where a claimed key stands. */
 export type ClaimState = 'claimed' | 'released' | 'ran' | 'unknown';
 
-/** A claim and what became of it. */
-export interface RememberedClaim {
+/** A claim with its state. */
+export interface ClaimEntry {
   requestHash: string;
   author: string;
   claimNumber: number;
@@ -17,7 +16,7 @@
   answer: KeptAnswer | null;
 }
 
-/** What names a key in the memory. */
+/** Lookup key of a claim. */
 export interface ClaimKey {
   keyHash: string;
   issuedAtMs: number;
@@ -25,15 +24,16 @@
 
 const BUCKET_MS = 10_000;
 /**
- * How many keys, and what share of all, must be dated so late before the
- * window moves there, so that wrongly dated keys do not push honest ones out.
+ * The retention window advances to a time only when this many keys, and this
+ * share of all keys, are newer. Guards against a few keys with a wrong creation
+ * time evicting valid ones.
  */
 const QUORUM_KEYS = 32;
 const QUORUM_SHARE = 0.25;
 
-/** Remembers the claims of the newest keys. */
-export class ClaimMemory {
-  private readonly buckets = new Map<number, Map<string, RememberedClaim>>();
+/** Keeps the claims of the newest keys and evicts older ones. */
+export class ClaimTable {
+  private readonly buckets = new Map<number, Map<string, ClaimEntry>>();
   private keyCount = 0;
   private floor = 0;
 
@@ -46,34 +46,33 @@
     return this.keyCount;
   }
 
-  /** Keys dated before this may have been forgotten. */
+  /** Keys created before this time may have been evicted. */
   get floorMs(): number {
     return this.floor;
   }
 
-  find({keyHash, issuedAtMs}: ClaimKey): RememberedClaim | undefined {
+  find({keyHash, issuedAtMs}: ClaimKey): ClaimEntry | undefined {
     return this.buckets.get(bucketOf(issuedAtMs))?.get(keyHash);
   }
 
-  put({keyHash, issuedAtMs}: ClaimKey, claim: RememberedClaim): void {
+  put({keyHash, issuedAtMs}: ClaimKey, claim: ClaimEntry): void {
     const index = bucketOf(issuedAtMs);
-    const bucket =
-      this.buckets.get(index) ?? new Map<string, RememberedClaim>();
+    const bucket = this.buckets.get(index) ?? new Map<string, ClaimEntry>();
     if (!bucket.has(keyHash)) this.keyCount += 1;
     bucket.set(keyHash, claim);
     this.buckets.set(index, bucket);
   }
 
-  /** Makes all keys dated before the given time unknown; never undone. */
+  /** Evicts buckets that end before the given time; the floor never falls. */
   raiseFloor(floorMs: number): void {
     this.floor = Math.max(this.floor, floorMs);
     [...this.buckets.keys()]
       .filter(index => (index + 1) * BUCKET_MS <= this.floor)
-      .forEach(index => this.dropBucket(index));
+      .forEach(index => this.evictBucket(index));
   }
 
-  /** Forgets what is out of the window, or too much. */
-  forgetOld(): void {
+  /** Evicts keys outside the retention window or over the maximum count. */
+  evictOld(): void {
     const newestFirst = [...this.buckets.keys()].sort((a, b) => b - a);
     const quorumIndex = this.findQuorum(newestFirst);
     if (quorumIndex !== null) {
@@ -85,7 +84,7 @@
     });
   }
 
-  /** The newest bucket such that enough keys are in it or in later ones. */
+  /** Finds the newest bucket that holds a quorum of keys with later buckets. */
   private findQuorum(newestFirst: readonly number[]): number | null {
     const quorum = Math.max(QUORUM_KEYS, this.keyCount * QUORUM_SHARE);
     let keyCount = 0;
@@ -97,7 +96,7 @@
     );
   }
 
-  private dropBucket(index: number): void {
+  private evictBucket(index: number): void {
     this.keyCount -= this.buckets.get(index)?.size ?? 0;
     this.buckets.delete(index);
   }
--- a/packages/claim-keys/src/claim_writer.ts
+++ b/packages/claim-keys/src/claim_writer.ts
@@ -1,6 +1,6 @@
 /**
- * Appends the records of one partition in groups: one append at a time, and
- * what arrives meanwhile goes into the next one.
+ * Appends the records of one partition in batches, one append at a time.
+ * Records that arrive during an append go into the next batch.
  */
 import {type Clock, sleep} from '@mimosatack/clock';
 import {type LogService} from '@mimosatack/platform';
@@ -8,50 +8,54 @@
 import {type ClaimStreamRecord, encodeClaimBatch} from './claim_records.js';
 import {type ClaimOptions} from './options.js';
 
-/** What all parts of a partition are built from. */
+/** Dependencies shared by the parts of a partition. */
 export interface PartitionContext {
   clock: Clock;
   random: RandomSource;
   log: LogService;
   stream: string;
-  /** This node, as the author of records. */
+  /** Identifies this process as the author of records. */
   incarnation: string;
   options: ClaimOptions;
 }
 
-/** A record on its way to the log. */
+/** A record queued for append. */
 export interface OutgoingRecord {
   record: ClaimStreamRecord;
-  /** Whether it is still worth appending. */
-  isWanted(): boolean;
-  /** Told before an append that carries it is begun. */
-  noteSent(): void;
+  /** Whether the record still has to be appended. */
+  isNeeded(): boolean;
+  /** Called before each append that carries the record. */
+  onSend(): void;
 }
 
-/** Totals of appends since the start. */
+/** Totals since the start. */
 export interface WriterCounters {
   appends: number;
   records: number;
-  /** Appends without an answer, whose records were appended again. */
+  /** Appends that failed and whose records were appended again. */
   failedAppends: number;
 }
 
 const RETRY_JITTER = 0.5;
-/** Outcomes of an outage; the oldest go first, and their keys are unknown. */
-const MAX_WAITING_RECORDS = 20_000;
-const FAILING_AFTER = 3;
-const FAILING_FOR_MS = 1_000;
+/**
+ * Bounds the queue during a log outage. The oldest records are dropped first;
+ * the outcome of their keys is then unknown.
+ */
+const MAX_QUEUED_RECORDS = 20_000;
+/** Consecutive failed appends after which the writer reports a failure. */
+const FAILURE_THRESHOLD = 3;
+const FAILURE_REPORT_MS = 1_000;
 
-/** The task that owns the appends of one partition. */
+/** Owns the appends of one partition. */
 export class ClaimWriter {
   readonly counters: WriterCounters = {
     appends: 0,
     records: 0,
     failedAppends: 0,
   };
-  private waiting: OutgoingRecord[] = [];
-  private isMarkDue = false;
-  private loop: Promise<void> | null = null;
+  private queue: OutgoingRecord[] = [];
+  private isHeartbeatDue = false;
+  private appendLoop: Promise<void> | null = null;
   private nextAppendMs = 0;
   private failures = 0;
   private lastFailureMs = 0;
@@ -61,59 +65,59 @@
     private readonly stopping: AbortSignal,
   ) {}
 
-  /** Whether appends have failed lately; it turns false to be tried again. */
+  /** True for a time after repeated failures; then false, so that claims resume. */
   get isFailing(): boolean {
     const sinceMs = this.context.clock.monotonicMs() - this.lastFailureMs;
-    return this.failures >= FAILING_AFTER && sinceMs < FAILING_FOR_MS;
+    return this.failures >= FAILURE_THRESHOLD && sinceMs < FAILURE_REPORT_MS;
   }
 
   get isIdle(): boolean {
-    return this.loop === null;
+    return this.appendLoop === null;
   }
 
   push(outgoing: OutgoingRecord): void {
-    this.waiting.push(outgoing);
-    this.waiting.splice(0, this.waiting.length - MAX_WAITING_RECORDS);
-    this.run();
+    this.queue.push(outgoing);
+    this.queue.splice(0, this.queue.length - MAX_QUEUED_RECORDS);
+    this.ensureRunning();
   }
 
-  /** Appends an empty batch, which tells later readers the time. */
-  mark(): void {
-    this.isMarkDue = true;
-    this.run();
+  /** Appends an empty batch, which gives later readers a recent write time. */
+  requestHeartbeat(): void {
+    this.isHeartbeatDue = true;
+    this.ensureRunning();
   }
 
   async whenStopped(): Promise<void> {
-    await this.loop;
+    await this.appendLoop;
   }
 
-  /** Resolves once all that waits is appended, or the time is over. */
+  /** Resolves when the queue is empty, or after the timeout. */
   async flush(timeoutMs: number): Promise<void> {
-    await Promise.race([this.loop, sleep(this.context.clock, timeoutMs)]);
+    await Promise.race([this.appendLoop, sleep(this.context.clock, timeoutMs)]);
   }
 
-  private run(): void {
-    this.loop ??= this.appendAll().finally(() => {
-      this.loop = null;
-      // A record may have come after the loop looked for the last time.
-      if (this.hasWork() && !this.stopping.aborted) this.run();
+  private ensureRunning(): void {
+    this.appendLoop ??= this.appendAll().finally(() => {
+      this.appendLoop = null;
+      // A record may have been queued after the loop's last check.
+      if (this.hasWork() && !this.stopping.aborted) this.ensureRunning();
     });
   }
 
   private async appendAll(): Promise<void> {
-    // Lets all that is claimed in this turn go into the first append.
+    // Batches all records that are pushed in the current tick.
     await Promise.resolve();
     while (!this.stopping.aborted && this.hasWork()) {
-      await this.waitForTurn();
+      await this.waitForAppendSlot();
       await this.appendBatch(this.takeBatch());
     }
   }
 
   private hasWork(): boolean {
-    return this.waiting.length > 0 || this.isMarkDue;
+    return this.queue.length > 0 || this.isHeartbeatDue;
   }
 
-  private async waitForTurn(): Promise<void> {
+  private async waitForAppendSlot(): Promise<void> {
     const {clock, options} = this.context;
     const waitMs = this.nextAppendMs - clock.monotonicMs();
     if (waitMs > 0) await sleep(clock, waitMs, this.stopping);
@@ -121,29 +125,29 @@
   }
 
   private takeBatch(): OutgoingRecord[] {
-    return this.waiting
+    return this.queue
       .splice(0, this.context.options.maxBatchRecords)
-      .filter(outgoing => outgoing.isWanted());
+      .filter(outgoing => outgoing.isNeeded());
   }
 
   /**
-   * Guards against an answer that is lost after the append took effect: the
-   * same records are appended again; the fold passes over second copies. The
-   * time is told anew, as it bounds how old the records can be.
+   * Guards against a response lost after the append took effect: the records
+   * are appended again, and the fold ignores duplicates. Each retry carries a
+   * new write time, as that time bounds the age of the records.
    */
   private async appendBatch(batch: OutgoingRecord[]): Promise<void> {
-    if (batch.length === 0 && !this.isMarkDue) return;
+    if (batch.length === 0 && !this.isHeartbeatDue) return;
     const {log, stream} = this.context;
-    batch.forEach(outgoing => outgoing.noteSent());
+    batch.forEach(outgoing => outgoing.onSend());
     try {
       await log.append(stream, this.encode(batch));
-      this.isMarkDue = false;
+      this.isHeartbeatDue = false;
       this.failures = 0;
       this.counters.appends += 1;
       this.counters.records += batch.length;
     } catch {
-      this.waiting.unshift(...batch);
-      await this.noteFailure();
+      this.queue.unshift(...batch);
+      await this.handleFailure();
     }
   }
 
@@ -155,7 +159,7 @@
     });
   }
 
-  private async noteFailure(): Promise<void> {
+  private async handleFailure(): Promise<void> {
     const {clock, random, options} = this.context;
     this.failures += 1;
     this.lastFailureMs = clock.monotonicMs();
--- a/packages/claim-keys/src/dated_key.ts
+++ b/packages/claim-keys/src/dated_key.ts
@@ -1,24 +1,23 @@
 /**
- * Keys of the caller's own carry their date, so that memory can be bounded: a
- * key older than all that is remembered is refused, not run again. The date
- * has to be part of the key, as one sent beside it could change on a repeat.
+ * Parses UUIDv7 idempotency keys. The creation time is part of the key, so it
+ * cannot change on a retry, and keys older than the claim table are refused.
  */
 
-/** A key that says when it was made. */
+/** An idempotency key with its creation time. */
 export interface DatedKey {
-  /** The same text for every way of writing the key. */
+  /** The key in lower case. */
   key: string;
   issuedAtMs: number;
 }
 
 const UUID_V7 =
   /^[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}$/;
-const DATE_HEX_CHARS = 12;
+const TIMESTAMP_HEX_CHARS = 12;
 
-/** Reads a UUID of version 7; null for any other text. */
+/** Returns null if the text is not a UUID of version 7. */
 export function readDatedKey(text: string): DatedKey | null {
   const key = text.toLowerCase();
   if (!UUID_V7.test(key)) return null;
-  const dateHex = key.replace('-', '').slice(0, DATE_HEX_CHARS);
-  return {key, issuedAtMs: parseInt(dateHex, 16)};
+  const timestampHex = key.replace('-', '').slice(0, TIMESTAMP_HEX_CHARS);
+  return {key, issuedAtMs: parseInt(timestampHex, 16)};
 }
--- a/packages/claim-keys/src/find_start.ts
+++ b/packages/claim-keys/src/find_start.ts
@@ -1,4 +1,4 @@
-/** Where in a claim stream a node must begin to read. */
+/** Finds the offset at which a node starts to read a claim stream. */
 import {type LogService} from '@mimosatack/platform';
 import {TypedError} from '@mimosatack/errors';
 import {type LogOffset} from '@mimosatack/types';
@@ -6,7 +6,6 @@
 
 const PAGE_APPENDS = 500;
 
-/** What to look through. */
 export interface StartSearch {
   log: LogService;
   stream: string;
@@ -16,19 +15,19 @@
 }
 
 /**
- * Looks back from the end, twice as far each time, for a page that was written
- * entirely before `sinceMs`, or for the oldest append that is kept. It does
- * not look at single appends, as a late one would mislead it.
+ * Searches back from the end of the stream in doubling steps for a page written
+ * entirely before `sinceMs`, or the first retained append. The search compares
+ * whole pages, as a single append may have been delayed.
  */
 export async function findStart(search: StartSearch): Promise<LogOffset> {
   const bounds = await readBounds(search);
   const {firstOffset, nextOffset} = bounds;
-  let reach = PAGE_APPENDS;
-  while (nextOffset - reach > firstOffset) {
-    if (!(await isPageNeeded(search, nextOffset - reach))) break;
-    reach *= 2;
+  let lookback = PAGE_APPENDS;
+  while (nextOffset - lookback > firstOffset) {
+    if (!(await isPageNeeded(search, nextOffset - lookback))) break;
+    lookback *= 2;
   }
-  return Math.max(firstOffset, nextOffset - reach);
+  return Math.max(firstOffset, nextOffset - lookback);
 }
 
 async function isPageNeeded(
--- a/packages/claim-keys/src/index.ts
+++ b/packages/claim-keys/src/index.ts
@@ -5,6 +5,6 @@
 } from './claim_keys.js';
 export {type PartitionStatus} from './claim_partition.js';
 export {type ClaimRecord as ClaimGrant} from './claim_records.js';
-export {type ClaimRequest, type ClaimResult} from './claim_standing.js';
+export {type ClaimRequest, type ClaimResult} from './key_status.js';
 export {type DatedKey, readDatedKey} from './dated_key.js';
 export {type ClaimOptions, DEFAULT_CLAIM_OPTIONS} from './options.js';
--- a/packages/claim-keys/src/claim_standing.ts
+++ b/packages/claim-keys/src/key_status.ts
@@ -1,59 +1,59 @@
-/** Where a key stands for a request that wants to run under it. */
+/** Determines the status of a key for a request. */
 import {TypedError} from '@mimosatack/errors';
 import {type KeptAnswer, makeStillRunning} from '@mimosatack/unrepeatable';
-import {type ClaimKey, type RememberedClaim} from './claim_memory.js';
+import {type ClaimKey, type ClaimEntry} from './claim_table.js';
 import {type ClaimRecord} from './claim_records.js';
 
-/** A request that wants to run under a key. */
+/** A request for the right to run under a key. */
 export interface ClaimRequest extends ClaimKey {
   requestHash: string;
 }
 
-/** Where a key stands. */
-export type ClaimStanding =
+/** Status of a key for one request. */
+export type KeyStatus =
   | {status: 'free'; attempt: number}
   | {status: 'running'; author: string}
   | {status: 'ran'; answer: KeptAnswer | null}
   | {status: 'key-reused'}
   | {status: 'unknown'};
 
-/** What became of a wish to claim; the claimer alone gets `granted`. */
+/** Result of a claim; `granted` goes to one node only. */
 export type ClaimResult =
   | {status: 'granted'; grant: ClaimRecord}
-  /** Its claimer is gone and has not told the outcome. */
+  /** The claiming process exited without recording an outcome. */
   | {status: 'orphaned'}
-  /** Another claimed it first, handed nothing over and let it go. */
+  /** Another node claimed the key and released it without dispatching. */
   | {status: 'released'}
-  | Extract<ClaimStanding, {status: 'ran' | 'key-reused' | 'unknown'}>;
+  | Extract<KeyStatus, {status: 'ran' | 'key-reused' | 'unknown'}>;
 
-/** Reads the standing of a key from a fold's memory. */
-export function readStanding(
-  known: RememberedClaim | undefined,
+/** Returns the status of a key from its claim and the fold's floor. */
+export function resolveKeyStatus(
+  entry: ClaimEntry | undefined,
   request: ClaimRequest,
   floorMs: number,
-): ClaimStanding {
-  if (known && known.requestHash !== request.requestHash) {
+): KeyStatus {
+  if (entry && entry.requestHash !== request.requestHash) {
     return {status: 'key-reused'};
   }
-  if (known?.state === 'ran') return {status: 'ran', answer: known.answer};
+  if (entry?.state === 'ran') return {status: 'ran', answer: entry.answer};
   if (request.issuedAtMs < floorMs) return {status: 'unknown'};
-  switch (known?.state) {
+  switch (entry?.state) {
     case undefined:
       return {status: 'free', attempt: 0};
     case 'released':
-      return {status: 'free', attempt: known.attempt + 1};
+      return {status: 'free', attempt: entry.attempt + 1};
     case 'claimed':
-      return {status: 'running', author: known.author};
+      return {status: 'running', author: entry.author};
     case 'unknown':
       return {status: 'unknown'};
   }
 }
 
 /**
- * The refusal while nothing can be claimed. Another node may have run the key
- * for an earlier attempt of the caller, so it does not say `not-run`.
+ * Creates the error for an unavailable log. `run` is `unknown`, as another node
+ * may have run the key for an earlier attempt of the caller.
  */
-export function makeClaimUnavailable(retryAfterMs: number): TypedError {
+export function createLogUnavailableError(retryAfterMs: number): TypedError {
   return new TypedError(
     'log-unavailable',
     'The log service does not answer, so the key could not be claimed.',
@@ -68,9 +68,9 @@
   );
 }
 
-/** The refusal of a request whose deadline passed before it had the key. */
-export function makeTooLate(standing: ClaimStanding | null): TypedError {
-  if (standing?.status === 'running') return makeStillRunning();
+/** Creates the error for a request whose deadline passed without a grant. */
+export function createDeadlineError(keyStatus: KeyStatus | null): TypedError {
+  if (keyStatus?.status === 'running') return makeStillRunning();
   return new TypedError(
     'deadline-exceeded',
     'There was no time left to claim the key.',
--- a/packages/claim-keys/src/memory_log.ts
+++ b/packages/claim-keys/src/memory_log.ts
@@ -1,4 +1,4 @@
-/** A log service in memory, with the faults that claims must bear. */
+/** In-memory log service with fault injection for tests. */
 import {type Clock, sleep} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
 import {
@@ -8,51 +8,56 @@
 } from '@mimosatack/platform';
 import {type LogOffset} from '@mimosatack/types';
 
-/** Streams that every node of a test reads and writes. */
+/** Log service shared by all nodes of a test. */
 export class MemoryLog implements LogService {
   isDown = false;
-  /** Next so many appends take effect and are answered by an error. */
-  answersToLose = 0;
-  /** When set, appends wait for it before they take effect. */
-  gate: Promise<void> | null = null;
-  /** How long an append and each read of new records takes. */
+  /** Number of next appends that take effect but fail with an error. */
+  responsesToDrop = 0;
+  /** When set, appends wait for this promise before they take effect. */
+  appendGate: Promise<void> | null = null;
+  /** Latency of appends and reads. */
   delayMs = 0;
   appendCount = 0;
   readCount = 0;
   private readonly streams = new Map<string, Uint8Array[]>();
   private readonly firstOffsets = new Map<string, LogOffset>();
-  private waiting: Array<() => void> = [];
+  private waitingReaders: Array<() => void> = [];
 
   constructor(private readonly clock: Clock) {}
 
   async append(stream: string, data: Uint8Array): Promise<LogOffset> {
-    await this.gate;
+    await this.appendGate;
     if (this.delayMs > 0) await sleep(this.clock, this.delayMs);
-    this.refuseWhenDown();
+    this.throwIfDown();
     const records = this.streams.get(stream) ?? [];
     this.streams.set(stream, records);
     const offset = records.push(data) - 1;
     this.appendCount += 1;
-    this.wake();
-    if (this.answersToLose > 0) {
-      this.answersToLose -= 1;
-      throw new TypedError('platform-unavailable', 'The answer was lost.');
+    this.wakeReaders();
+    if (this.responsesToDrop > 0) {
+      this.responsesToDrop -= 1;
+      throw new TypedError(
+        'platform-unavailable',
+        'The append response was lost.',
+      );
     }
     return offset;
   }
 
   async read(request: LogReadRequest): Promise<LogPage> {
     this.readCount += 1;
-    this.refuseWhenDown();
+    this.throwIfDown();
     const {stream, from, limit} = request;
     const isNew = () => (this.streams.get(stream)?.length ?? 0) > from;
     if (!isNew() && request.waitMs > 0) await this.waitForChange(request);
     if (this.delayMs > 0) await sleep(this.clock, this.delayMs);
-    this.refuseWhenDown();
+    this.throwIfDown();
     const records = this.streams.get(stream) ?? [];
     const firstOffset = this.firstOffsets.get(stream) ?? 0;
     if (from < firstOffset) {
-      throw new TypedError('trimmed', 'gone', {info: {firstOffset}});
+      throw new TypedError('trimmed', 'The offset was trimmed.', {
+        info: {firstOffset},
+      });
     }
     return {
       firstOffset,
@@ -65,7 +70,7 @@
 
   setDown(isDown: boolean): void {
     this.isDown = isDown;
-    this.wake();
+    this.wakeReaders();
   }
 
   trim(stream: string, firstOffset: LogOffset): void {
@@ -77,22 +82,24 @@
   }
 
   private async waitForChange({waitMs, signal}: LogReadRequest) {
-    const ended = new AbortController();
-    const end = () => ended.abort();
-    this.waiting.push(end);
-    signal?.addEventListener('abort', end, {once: true});
-    await sleep(this.clock, waitMs, ended.signal);
-    signal?.removeEventListener('abort', end);
-    this.waiting = this.waiting.filter(other => other !== end);
+    const waitController = new AbortController();
+    const endWait = () => waitController.abort();
+    this.waitingReaders.push(endWait);
+    signal?.addEventListener('abort', endWait, {once: true});
+    await sleep(this.clock, waitMs, waitController.signal);
+    signal?.removeEventListener('abort', endWait);
+    this.waitingReaders = this.waitingReaders.filter(
+      other => other !== endWait,
+    );
   }
 
-  private wake(): void {
-    const waiting = this.waiting;
-    this.waiting = [];
+  private wakeReaders(): void {
+    const waiting = this.waitingReaders;
+    this.waitingReaders = [];
     waiting.forEach(resolve => resolve());
   }
 
-  private refuseWhenDown(): void {
+  private throwIfDown(): void {
     if (!this.isDown) return;
     throw new TypedError('platform-unavailable', 'The log service is down.');
   }
--- a/packages/claim-keys/src/options.ts
+++ b/packages/claim-keys/src/options.ts
@@ -1,41 +1,39 @@
-/** Numbers that decide what claims cost and how long they are remembered. */
-
-/** How claims are written and remembered. */
+/** Options for writing and retaining claims. */
 export interface ClaimOptions {
   /**
-   * How many streams share the claims. All nodes must use the same number,
-   * and it must not change while keys of the old number are remembered.
+   * Number of claim streams. All nodes must use the same number, and it must
+   * not change while claims made under the old number are retained.
    */
   partitionCount: number;
-  /** How far behind the newest keys a key is still remembered. */
+  /** Retention window, measured back from the newest keys. */
   windowMs: number;
   /**
-   * How far the date of a key may be above the author's clock when another
-   * append was written: skew of clocks, plus dates ahead, plus late appends.
+   * Upper bound of a key's creation time over the write time of any later
+   * append: clock skew, plus `aheadMs`, plus delayed appends.
    */
   marginMs: number;
-  /** How far ahead of the author's clock a key may be dated. */
+  /** How far a key's creation time may be ahead of the author's clock. */
   aheadMs: number;
-  /** Most keys that one partition remembers. */
+  /** Maximum number of retained keys per partition. */
   maxKeys: number;
-  /** Least time between the starts of two appends to one partition. */
+  /** Minimum interval between the starts of two appends to a partition. */
   appendGapMs: number;
   maxBatchRecords: number;
-  /** Larger answers are not written to the log. */
+  /** Larger responses are not written to the log. */
   maxAnswerBytes: number;
-  /** How long a claim waits to be read back at most. */
+  /** How long a node waits to read its own claim back from the log. */
   claimTimeoutMs: number;
-  /** A quiet stream gets an empty batch this often, as a mark of time. */
+  /** Interval of the heartbeat batches on a stream without other appends. */
   markIntervalMs: number;
-  /** A partition that is not this node's to keep is closed after this. */
+  /** An unused partition that is not assigned to this node closes after this. */
   idleMs: number;
   longPollMs: number;
   retryDelayMs: number;
 }
 
 /**
- * 16 streams with 50 ms between appends are 320 appends a second at the very
- * most, which the log service bears. The window is as long as tickets last.
+ * 16 partitions with 50 ms between appends limit each node to 320 appends per
+ * second. Claims are retained about as long as tickets.
  */
 export const DEFAULT_CLAIM_OPTIONS: ClaimOptions = {
   partitionCount: 16,
--- a/packages/claim-keys/src/pending_claims.ts
+++ b/packages/claim-keys/src/pending_claims.ts
@@ -1,4 +1,4 @@
-/** Claims of this node that wait to be read back. */
+/** Tracks this node's claims until they are read back from the log. */
 import {type Clock} from '@mimosatack/clock';
 import {type FoldVerdict} from './claim_fold.js';
 import {type ClaimRecord} from './claim_records.js';
@@ -7,17 +7,17 @@
 interface PendingClaim {
   record: ClaimRecord;
   wasSent: boolean;
-  /** Null when it is given up. */
+  /** Called with null when the wait for the verdict is abandoned. */
   settle(verdict: FoldVerdict | null): void;
 }
 
-/** Appends claims and tells their authors what became of them. */
+/** Appends claims and resolves each with its verdict. */
 export class PendingClaims {
   private readonly pending = new Map<number, PendingClaim>();
 
   /**
-   * @param push appends a record.
-   * @param release takes back a claim that may still arrive.
+   * @param push queues a record for append.
+   * @param release releases an abandoned claim that may still be appended.
    */
   constructor(
     private readonly clock: Clock,
@@ -29,11 +29,11 @@
     return this.pending.size;
   }
 
-  /** Resolves with the verdict, or with null when it does not come in time. */
+  /** Resolves with the verdict, or with null after `waitMs`. */
   append(record: ClaimRecord, waitMs: number): Promise<FoldVerdict | null> {
     return new Promise(resolve => {
       const timer = this.clock.setTimer(waitMs, () =>
-        this.giveUp(record.claimNumber),
+        this.abandon(record.claimNumber),
       );
       const claim: PendingClaim = {
         record,
@@ -46,8 +46,8 @@
       this.pending.set(record.claimNumber, claim);
       this.push({
         record,
-        isWanted: () => this.pending.has(record.claimNumber),
-        noteSent: () => {
+        isNeeded: () => this.pending.has(record.claimNumber),
+        onSend: () => {
           claim.wasSent = true;
         },
       });
@@ -61,15 +61,15 @@
     claim.settle(verdict);
   }
 
-  giveUpAll(): void {
-    [...this.pending.keys()].forEach(number => this.giveUp(number));
+  abandonAll(): void {
+    [...this.pending.keys()].forEach(number => this.abandon(number));
   }
 
   /**
-   * Guards against a key that nobody holds and nobody can have: a claim that
-   * was given up may be granted when it arrives, so it is released.
+   * Guards against a key blocked by an abandoned claim: the claim may still be
+   * granted once its append takes effect, so the node releases it.
    */
-  private giveUp(claimNumber: number): void {
+  private abandon(claimNumber: number): void {
     const claim = this.pending.get(claimNumber);
     if (!claim) return;
     this.pending.delete(claimNumber);
