--- a/packages/backend-connections/src/backend_call.ts
+++ b/packages/backend-connections/src/backend_call.ts
@@ -1,52 +1,52 @@
-/** One call to a backend server and what is told of its answer. */
+/** Types of an HTTP call to a backend server and of its response. */
 import {type TypedError} from '@mimosatack/errors';
 import {type SocketAddress} from '@mimosatack/types';
 
-/** A call, ready to be written. */
+/** An HTTP request to a backend server. */
 export interface BackendCall {
   address: SocketAddress;
   method: string;
-  /** Path and query, passed on unchanged. */
+  /** Path and query, sent unchanged. */
   path: string;
-  /** Names and values by turns, in the order in which they are written. */
+  /** Alternating names and values, in the order in which they are sent. */
   headers: readonly string[];
   body: Uint8Array | null;
   /**
-   * A call that must not run twice goes on a new connection when the only
-   * kept ones have been idle for so long that the other side may close them.
+   * Maximum idle time of a reused connection. Guards a call that must not run
+   * twice against a connection that the backend server is about to close.
    */
   maxIdleMs: number;
   connectTimeoutMs: number;
 }
 
-/** The head of an answer as it came. */
+/** Status and headers of a response. */
 export interface AnswerHead {
   status: number;
-  /** Names and values by turns. */
+  /** Alternating names and values. */
   headers: readonly string[];
 }
 
 /**
- * Told how a call goes: `onHead` once, `onData` for each piece, then either
- * `onEnd` or `onFailure`, and nothing after that.
+ * Receives a response: `onHead` once, `onData` for each chunk, and finally
+ * `onEnd` or `onFailure`. A call can fail before `onHead`.
  */
 export interface AnswerReceiver {
   onHead(head: AnswerHead): void;
-  /** False pauses the answer until `CallHandle.resume`. */
-  onData(piece: Uint8Array): boolean;
-  /** The answer is whole as far as its framing tells. */
+  /** Returns false to pause the response until `CallHandle.resume`. */
+  onData(chunk: Uint8Array): boolean;
+  /** Called when the response is complete according to its framing. */
   onEnd(): void;
   /**
-   * The call failed. `error.run` is `not-run` only when no byte of the call
-   * was handed to a connection.
+   * Called when the call failed. `error.run` is `not-run` only if no byte of
+   * the call was written to a connection.
    */
   onFailure(error: TypedError): void;
 }
 
-/** Holds on to a call that is under way. */
+/** Controls a call in progress. */
 export interface CallHandle {
-  /** Reads on after `onData` returned false. */
+  /** Resumes reading after `onData` returned false. */
   resume(): void;
-  /** Closes the connection; the receiver is told nothing more. */
+  /** Closes the connection; the receiver gets no further calls. */
   abort(): void;
 }
--- a/packages/backend-connections/src/backend_connection.ts
+++ b/packages/backend-connections/src/backend_connection.ts
@@ -1,7 +1,6 @@
 /**
- * One connection to a backend server, for one call at a time. The connection
- * is made here and handed to the HTTP library, which is refused a second one:
- * a library that connects again by itself would send a call twice.
+ * A connection to a backend server that carries one call at a time. Guards
+ * against a call that is sent twice: the HTTP client may not reconnect.
  */
 import {type Socket} from 'node:net';
 import {type Clock, type Timer} from '@mimosatack/clock';
@@ -15,37 +14,36 @@
   type CallHandle,
 } from './backend_call.js';
 
-/** Keeps the library from closing an idle connection; see `expiresAtMs`. */
-const LIBRARY_KEEP_ALIVE_MS = 600_000;
+/** Keeps the HTTP client from closing idle connections; see `expiresAtMs`. */
+const CLIENT_KEEP_ALIVE_MS = 600_000;
 /**
- * A kept connection is dropped this long before the time that the other side
- * announced, for the way there and a late timer. Whole seconds are announced,
- * so the margin is a fraction of the least of them.
+ * An idle connection expires this long before the server's keep-alive timeout,
+ * to allow for network latency and timer delay. Servers announce whole seconds,
+ * so the margin is below 1 s.
  */
 const EXPIRY_MARGIN_MS = 400;
 const MS_PER_SECOND = 1_000;
 const KEEP_ALIVE_TIMEOUT = /timeout=(\d+)/;
 
-/** Called when a connection is free again, or gone for good. */
-export interface ConnectionOwner {
-  onFree(connection: BackendConnection): void;
+/** Receives the state changes of a connection. */
+export interface ConnectionListener {
+  onIdle(connection: BackendConnection): void;
   onClosed(connection: BackendConnection): void;
 }
 
-/** What a connection is made from. */
 export interface ConnectionOptions {
   clock: Clock;
   address: SocketAddress;
-  owner: ConnectionOwner;
-  /** How long an idle connection is kept when the other side names no time. */
+  listener: ConnectionListener;
+  /** Keep-alive time when the server announces no timeout. */
   idleLimitMs: number;
 }
 
-/** A made connection. */
+/** An established connection. */
 export class BackendConnection {
-  /** The address, as a key. */
+  /** Formatted address. */
   readonly key: string;
-  /** After this time the other side may close the connection. */
+  /** Time after which the server may close the idle connection. */
   expiresAtMs = Infinity;
   idleSinceMs: number;
   private readonly client: Client;
@@ -60,19 +58,18 @@
     this.keepAliveMs = options.idleLimitMs;
     this.idleSinceMs = options.clock.monotonicMs();
     this.client = makeSingleUseClient(options.address, socket);
-    socket.once('close', () => this.noteClosed());
+    socket.once('close', () => this.markClosed());
   }
 
-  /** Whether a call may be written to it. */
   get isUsable(): boolean {
     return !this.isClosed && !this.socket.destroyed && this.socket.writable;
   }
 
-  /** Writes a call; its answer goes to `receiver`. */
+  /** Sends a call; the connection has to be idle. */
   send(call: BackendCall, receiver: AnswerReceiver): CallHandle {
     const exchange = new Exchange(this.socket, receiver, {
       onKeepAlive: keepAliveMs => (this.keepAliveMs = keepAliveMs),
-      onDone: () => this.becomeFree(),
+      onDone: () => this.release(),
     });
     this.client.dispatch(
       {
@@ -88,45 +85,46 @@
 
   close(): void {
     if (this.isClosed) return;
-    this.noteClosed();
+    this.markClosed();
     this.socket.destroy();
     void this.client.destroy().catch(() => undefined);
   }
 
-  private becomeFree(): void {
+  private release(): void {
     const nowMs = this.options.clock.monotonicMs();
     this.idleSinceMs = nowMs;
     this.expiresAtMs = nowMs + this.keepAliveMs - EXPIRY_MARGIN_MS;
-    // The library closes a connection that it may not use again a bit later.
+    // The HTTP client closes a connection that is not reusable only after
+    // `onComplete` has returned.
     setImmediate(() => {
       if (this.isUsable && this.expiresAtMs > nowMs) {
-        this.options.owner.onFree(this);
+        this.options.listener.onIdle(this);
       } else {
         this.close();
       }
     });
   }
 
-  private noteClosed(): void {
+  private markClosed(): void {
     if (this.isClosed) return;
     this.isClosed = true;
-    this.options.owner.onClosed(this);
+    this.options.listener.onClosed(this);
   }
 }
 
-/** What an exchange tells its connection. */
+/** Receives the events of an exchange. */
 interface ExchangeEvents {
   onKeepAlive: (keepAliveMs: number) => void;
   onDone: () => void;
 }
 
-/** One call and its answer, as the HTTP library tells of it. */
+/** Passes one call's events from the HTTP client to the receiver. */
 class Exchange implements CallHandle {
   private abortCall: (() => void) | null = null;
   private resumeReading: (() => void) | null = null;
   private isAborted = false;
   private isPaused = false;
-  private bytesBefore = 0;
+  private initialBytesWritten = 0;
 
   constructor(
     private readonly socket: Socket,
@@ -149,7 +147,7 @@
 
   onConnect(abort: () => void): void {
     this.abortCall = abort;
-    this.bytesBefore = this.socket.bytesWritten;
+    this.initialBytesWritten = this.socket.bytesWritten;
     if (this.isAborted) abort();
   }
 
@@ -159,7 +157,7 @@
     resume: () => void,
   ): boolean {
     this.resumeReading = resume;
-    // An interim answer is not the answer.
+    // Ignores informational responses.
     if (status < 200) return true;
     const headers = rawHeaders.map(part => part.toString('latin1'));
     const keepAliveMs = readKeepAliveMs(headers);
@@ -168,9 +166,9 @@
     return true;
   }
 
-  onData(piece: Buffer): boolean {
+  onData(chunk: Buffer): boolean {
     if (this.isAborted) return true;
-    this.isPaused = !this.receiver.onData(piece);
+    this.isPaused = !this.receiver.onData(chunk);
     return !this.isPaused;
   }
 
@@ -181,38 +179,43 @@
   }
 
   onError(cause: Error): void {
-    const isUntouched = this.socket.bytesWritten === this.bytesBefore;
+    const isUnwritten = this.socket.bytesWritten === this.initialBytesWritten;
     this.socket.destroy();
     if (this.isAborted) return;
     this.isAborted = true;
-    this.receiver.onFailure(describeFailure(isUntouched, cause));
+    this.receiver.onFailure(createFailureError(isUnwritten, cause));
   }
 }
 
 /**
- * The count of written bytes holds all that the socket was ever given, also
- * what has not left the machine. Where it has not grown the call can't have
- * run; where it has, nobody can tell.
+ * `bytesWritten` includes bytes that are still in the socket's buffer, so a call
+ * cannot have run if the count is unchanged. Otherwise it may have run.
  */
-function describeFailure(isUntouched: boolean, cause: Error): TypedError {
-  return isUntouched
-    ? makeUnreachable('The connection broke before it was used.', cause)
+function createFailureError(isUnwritten: boolean, cause: Error): TypedError {
+  return isUnwritten
+    ? createUnreachableError(
+        'The connection failed before the call was written.',
+        cause,
+      )
     : new TypedError(
         'backend-failed',
-        'The connection broke after the call was begun.',
+        'The connection failed after part of the call was written.',
         {run: 'unknown', cause},
       );
 }
 
-/** An error for a call of which nothing was written. */
-export function makeUnreachable(message: string, cause?: Error): TypedError {
+/** Creates the error for a call of which no byte was written. */
+export function createUnreachableError(
+  message: string,
+  cause?: Error,
+): TypedError {
   return new TypedError('backend-unreachable', message, {
     run: 'not-run',
     cause,
   });
 }
 
-/** Opens a socket; rejects with `backend-unreachable`. */
+/** Rejects with `backend-unreachable` if no connection is established. */
 export function openSocket(
   clock: Clock,
   address: SocketAddress,
@@ -225,10 +228,12 @@
     const fail = (cause: Error) => {
       timer?.cancel();
       socket.destroy();
-      reject(makeUnreachable('No connection could be made.', cause));
+      reject(
+        createUnreachableError('The connection was not established.', cause),
+      );
     };
     timer = clock.setTimer(timeoutMs, () =>
-      fail(new Error('Connecting took too long.')),
+      fail(new Error('The connection attempt timed out.')),
     );
     socket.once('error', fail);
     socket.once('connect', () => {
@@ -245,26 +250,26 @@
     pipelining: 1,
     headersTimeout: 0,
     bodyTimeout: 0,
-    keepAliveTimeout: LIBRARY_KEEP_ALIVE_MS,
-    keepAliveMaxTimeout: LIBRARY_KEEP_ALIVE_MS,
+    keepAliveTimeout: CLIENT_KEEP_ALIVE_MS,
+    keepAliveMaxTimeout: CLIENT_KEEP_ALIVE_MS,
     keepAliveTimeoutThreshold: 0,
     connect: (_options, callback) => {
       if (isUsed || socket.destroyed) {
-        callback(new Error('The connection is used up.'), null);
+        callback(new Error('The client must not reconnect.'), null);
         return;
       }
       isUsed = true;
-      // The client expects its connector to answer later, never at once.
+      // The client requires an asynchronous connector callback.
       setImmediate(() => callback(null, socket));
     },
   });
 }
 
 function readKeepAliveMs(headers: readonly string[]): number | null {
-  const at = headers.findIndex(
+  const nameIndex = headers.findIndex(
     (part, index) => index % 2 === 0 && part.toLowerCase() === 'keep-alive',
   );
-  if (at < 0) return null;
-  const seconds = KEEP_ALIVE_TIMEOUT.exec(headers[at + 1] ?? '')?.[1];
+  if (nameIndex < 0) return null;
+  const seconds = KEEP_ALIVE_TIMEOUT.exec(headers[nameIndex + 1] ?? '')?.[1];
   return seconds === undefined ? null : Number(seconds) * MS_PER_SECOND;
 }
--- a/packages/backend-connections/src/backend_connections.test.ts
+++ b/packages/backend-connections/src/backend_connections.test.ts
@@ -14,17 +14,16 @@
 
 const test = suite('connections to backend servers');
 
-const HEAD = 'HTTP/1.1 200 OK\r\n';
-const WHOLE = `${HEAD}Content-Length: 2\r\n\r\nok`;
+const STATUS_LINE = 'HTTP/1.1 200 OK\r\n';
+const FULL_RESPONSE = `${STATUS_LINE}Content-Length: 2\r\n\r\nok`;
 
-/** What became of a call. */
-interface Result {
+interface CallResult {
   body: string;
-  /** Null for a whole answer. */
+  /** Null for a complete response. */
   error: TypedError | null;
 }
 
-/** A server whose connections a test answers byte by byte. */
+/** A TCP server that lets a test write raw responses. */
 interface RawServer {
   port: number;
   connectionCount: () => number;
@@ -60,7 +59,7 @@
 
 function makeCall(
   port: number,
-  change: Partial<BackendCall> = {},
+  overrides: Partial<BackendCall> = {},
 ): BackendCall {
   return {
     address: {ip: '127.0.0.1', port},
@@ -70,22 +69,22 @@
     body: Buffer.from('body'),
     maxIdleMs: Infinity,
     connectTimeoutMs: 2_000,
-    ...change,
+    ...overrides,
   };
 }
 
 function send(
   connections: BackendConnections,
   call: BackendCall,
-): Promise<Result> {
+): Promise<CallResult> {
   return new Promise(resolve => {
-    const pieces: Uint8Array[] = [];
+    const chunks: Uint8Array[] = [];
     const finish = (error: TypedError | null) =>
-      resolve({body: Buffer.concat(pieces).toString(), error});
+      resolve({body: Buffer.concat(chunks).toString(), error});
     const receiver: AnswerReceiver = {
       onHead: () => undefined,
-      onData: piece => {
-        pieces.push(piece);
+      onData: chunk => {
+        chunks.push(chunk);
         return true;
       },
       onEnd: () => finish(null),
@@ -112,20 +111,17 @@
   }
 }
 
-/** Lets a freed connection come back to the idle ones. */
-function settle(): Promise<void> {
+/** Waits until a released connection is idle again. */
+function waitForRelease(): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, 20));
 }
 
-/*
- * A member loads a map tile; its server crashes halfway through an answer that
- * has no length. The member would see half a tile that claims to be whole,
- * since the HTTP library takes the reset for the end of the answer.
- */
-test('an answer without a length that is reset is not whole', async () => {
+// Guards against a response without a length that is cut off by a reset and
+// reported as complete.
+test('fails a response without a length on a connection reset', async () => {
   await withServer(
     socket => {
-      socket.write(`${HEAD}\r\nhalf`);
+      socket.write(`${STATUS_LINE}\r\nhalf`);
       setTimeout(() => socket.resetAndDestroy(), 20);
     },
     async (connections, {port}) => {
@@ -136,15 +132,12 @@
   );
 });
 
-/*
- * The same, with the reset right behind the last bytes: a busy node finds both
- * at once, and the runtime then reports the end of the stream in place of the
- * reset. A push ping cut short would count as delivered.
- */
-test('a reset that comes with the bytes is no end either', async () => {
+// Guards against a reset reported as the end of the stream when the reset comes
+// in the same poll as the last bytes.
+test('fails a response when a reset follows the last bytes', async () => {
   await withServer(
     socket => {
-      socket.write(`${HEAD}\r\nhalf`);
+      socket.write(`${STATUS_LINE}\r\nhalf`);
       setImmediate(() => socket.resetAndDestroy());
     },
     async (connections, {port}) => {
@@ -154,9 +147,9 @@
   );
 });
 
-test('an answer without a length ends with its connection', async () => {
+test('ends a response without a length when its connection ends', async () => {
   await withServer(
-    socket => socket.end(`${HEAD}\r\nall of it`),
+    socket => socket.end(`${STATUS_LINE}\r\nall of it`),
     async (connections, {port}) => {
       const {body, error} = await send(connections, makeCall(port));
       assert.is(body, 'all of it');
@@ -165,32 +158,29 @@
   );
 });
 
-test('a kept connection carries the next call', async () => {
+test('reuses an idle connection for the next call', async () => {
   await withServer(
-    socket => socket.write(WHOLE),
+    socket => socket.write(FULL_RESPONSE),
     async (connections, {port, connectionCount}) => {
       await send(connections, makeCall(port));
-      await settle();
+      await waitForRelease();
       await send(connections, makeCall(port));
       assert.is(connectionCount(), 1);
     },
   );
 });
 
-/*
- * A hamper is ordered on a kept connection that its server closes at the same
- * moment. Nobody can tell whether the order was read, so it must not be said
- * that it was not, and it must not be sent again.
- */
-test('a call on a connection that closes may have run', async () => {
+// Guards against a retry, or a `not-run` error, for a call that was written to a
+// connection while its server closed it.
+test('reports an unknown run when a reused connection closes', async () => {
   await withServer(
     (socket, requestNumber) => {
-      if (requestNumber === 1) socket.write(WHOLE);
+      if (requestNumber === 1) socket.write(FULL_RESPONSE);
       else socket.resetAndDestroy();
     },
     async (connections, {port, connectionCount}) => {
       await send(connections, makeCall(port));
-      await settle();
+      await waitForRelease();
       const {error} = await send(connections, makeCall(port));
       assert.is(error?.run, 'unknown');
       assert.is(connectionCount(), 1);
@@ -198,7 +188,7 @@
   );
 });
 
-test('a call that finds nobody has not run', async () => {
+test('reports not-run when no server accepts the connection', async () => {
   const server = await startServer(() => undefined);
   server.close();
   const connections = new BackendConnections({
@@ -210,17 +200,17 @@
   assert.is(error?.kind, 'backend-unreachable');
 });
 
-/*
- * A faulty server answers twice. The second answer waits on the kept
- * connection and would be taken for the answer to somebody else's request.
- */
-test('a connection with bytes that nobody asked for is not used again', async () => {
+// Guards against a surplus response of a faulty server being matched to the next
+// call on the connection.
+test('does not reuse a connection that has unexpected bytes', async () => {
   await withServer(
     (socket, requestNumber) =>
-      socket.write(requestNumber === 1 ? WHOLE + WHOLE : WHOLE),
+      socket.write(
+        requestNumber === 1 ? FULL_RESPONSE + FULL_RESPONSE : FULL_RESPONSE,
+      ),
     async (connections, {port, connectionCount}) => {
       await send(connections, makeCall(port));
-      await settle();
+      await waitForRelease();
       const {body, error} = await send(connections, makeCall(port));
       assert.is(error, null);
       assert.is(body, 'ok');
@@ -229,27 +219,27 @@
   );
 });
 
-test('a connection is not used when the server may be closing it', async () => {
+test('does not reuse a connection after its keep-alive timeout', async () => {
   await withServer(
     socket =>
       socket.write(
-        `${HEAD}Keep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok`,
+        `${STATUS_LINE}Keep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok`,
       ),
     async (connections, {port, connectionCount}) => {
       await send(connections, makeCall(port));
-      await settle();
+      await waitForRelease();
       await send(connections, makeCall(port));
       assert.is(connectionCount(), 2);
     },
   );
 });
 
-test('a call that must not run twice passes over a connection long idle', async () => {
+test('does not reuse a connection that was idle for over maxIdleMs', async () => {
   await withServer(
-    socket => socket.write(WHOLE),
+    socket => socket.write(FULL_RESPONSE),
     async (connections, {port, connectionCount}) => {
       await send(connections, makeCall(port));
-      await settle();
+      await waitForRelease();
       await send(connections, makeCall(port, {maxIdleMs: 0}));
       assert.is(connectionCount(), 2);
     },
--- a/packages/backend-connections/src/backend_connections.ts
+++ b/packages/backend-connections/src/backend_connections.ts
@@ -1,4 +1,4 @@
-/** The kept connections to all backend servers. */
+/** Connection pool for all backend servers. */
 import {type Clock} from '@mimosatack/clock';
 import {toTypedError} from '@mimosatack/errors';
 import {type SocketAddress, formatAddress} from '@mimosatack/types';
@@ -9,49 +9,51 @@
 } from './backend_call.js';
 import {BackendConnection, openSocket} from './backend_connection.js';
 
-/** What the connections are made with. */
 export interface BackendConnectionsOptions {
   clock: Clock;
-  /** How long an idle connection is kept when the server names no time. */
+  /** Keep-alive time when the server announces no timeout. */
   idleLimitMs: number;
 }
 
-/** Kept connections, by the address of the backend server. */
+/** Pools connections by the address of the backend server. */
 export class BackendConnections {
-  private readonly idle = new Map<string, BackendConnection[]>();
-  private readonly open = new Map<string, Set<BackendConnection>>();
-  private readonly opening = new Map<string, number>();
+  private readonly idleByAddress = new Map<string, BackendConnection[]>();
+  private readonly openByAddress = new Map<string, Set<BackendConnection>>();
+  private readonly connectingCounts = new Map<string, number>();
   private isStopped = false;
 
   constructor(private readonly options: BackendConnectionsOptions) {}
 
-  /** Connections to one address, also those that are being made. */
+  /** Counts the open connections and connection attempts to an address. */
   countConnections(address: SocketAddress): number {
     const key = formatAddress(address);
-    return (this.open.get(key)?.size ?? 0) + (this.opening.get(key) ?? 0);
+    return (
+      (this.openByAddress.get(key)?.size ?? 0) +
+      (this.connectingCounts.get(key) ?? 0)
+    );
   }
 
-  /** Sends a call on a kept connection or on a new one. */
+  /** Sends a call on an idle connection or on a new one. */
   send(call: BackendCall, receiver: AnswerReceiver): CallHandle {
-    const kept = this.takeIdle(call);
-    if (kept) return kept.send(call, receiver);
+    const idleConnection = this.takeIdle(call);
+    if (idleConnection) return idleConnection.send(call, receiver);
     const pending = new PendingCall();
-    void this.sendOnNew(call, receiver, pending);
+    void this.sendOnNewConnection(call, receiver, pending);
     return pending;
   }
 
-  /** Closes what is idle to an address whose server is gone. */
+  /** Closes the idle connections to a server that was removed. */
   forget(address: SocketAddress): void {
     const key = formatAddress(address);
-    const idle = this.idle.get(key) ?? [];
-    this.idle.delete(key);
+    const idle = this.idleByAddress.get(key) ?? [];
+    this.idleByAddress.delete(key);
     idle.forEach(connection => connection.close());
   }
 
-  /** Closes connections that the other side is about to close. */
+  /** Closes idle connections that the server may be about to close. */
   closeExpired(): void {
     const nowMs = this.options.clock.monotonicMs();
-    this.idle.forEach(connections =>
+    this.idleByAddress.forEach(connections =>
       connections
         .filter(connection => connection.expiresAtMs <= nowMs)
         .forEach(connection => connection.close()),
@@ -60,12 +62,12 @@
 
   stop(): void {
     this.isStopped = true;
-    this.open.forEach(connections =>
+    this.openByAddress.forEach(connections =>
       [...connections].forEach(connection => connection.close()),
     );
   }
 
-  private async sendOnNew(
+  private async sendOnNewConnection(
     call: BackendCall,
     receiver: AnswerReceiver,
     pending: PendingCall,
@@ -73,10 +75,10 @@
     try {
       const connection = await this.connect(call);
       if (pending.isAborted) {
-        this.noteFree(connection);
+        this.addIdle(connection);
         return;
       }
-      pending.follow(connection.send(call, receiver));
+      pending.attach(connection.send(call, receiver));
     } catch (thrown) {
       if (!pending.isAborted) receiver.onFailure(toTypedError(thrown));
     }
@@ -86,61 +88,61 @@
     const {clock, idleLimitMs} = this.options;
     const {address} = call;
     const key = formatAddress(address);
-    this.opening.set(key, (this.opening.get(key) ?? 0) + 1);
+    this.connectingCounts.set(key, (this.connectingCounts.get(key) ?? 0) + 1);
     try {
       const socket = await openSocket(clock, address, call.connectTimeoutMs);
       const connection = new BackendConnection(
         {
           ...{clock, address, idleLimitMs},
-          owner: {
-            onFree: freed => this.noteFree(freed),
-            onClosed: closed => this.noteClosed(key, closed),
+          listener: {
+            onIdle: released => this.addIdle(released),
+            onClosed: closed => this.removeConnection(key, closed),
           },
         },
         socket,
       );
-      this.addTo(this.open, key).add(connection);
+      this.getOrCreateSet(this.openByAddress, key).add(connection);
       return connection;
     } finally {
-      this.opening.set(key, (this.opening.get(key) ?? 1) - 1);
+      this.connectingCounts.set(key, (this.connectingCounts.get(key) ?? 1) - 1);
     }
   }
 
-  /** The connection that was used last, since it is the surest to be open. */
+  /** Takes the most recently used connection, as it is most likely open. */
   private takeIdle(call: BackendCall): BackendConnection | undefined {
     const nowMs = this.options.clock.monotonicMs();
-    const idle = this.idle.get(formatAddress(call.address)) ?? [];
-    for (let at = idle.length - 1; at >= 0; at -= 1) {
-      const connection = idle[at] as BackendConnection;
+    const idle = this.idleByAddress.get(formatAddress(call.address)) ?? [];
+    for (let index = idle.length - 1; index >= 0; index -= 1) {
+      const connection = idle[index] as BackendConnection;
       const isFresh =
         connection.expiresAtMs > nowMs &&
         nowMs - connection.idleSinceMs <= call.maxIdleMs;
       if (isFresh && connection.isUsable) {
-        idle.splice(at, 1);
+        idle.splice(index, 1);
         return connection;
       }
     }
     return undefined;
   }
 
-  private noteFree(connection: BackendConnection): void {
+  private addIdle(connection: BackendConnection): void {
     if (this.isStopped) return connection.close();
     const key = connection.key;
-    const idle = this.idle.get(key);
+    const idle = this.idleByAddress.get(key);
     if (idle) idle.push(connection);
-    else this.idle.set(key, [connection]);
+    else this.idleByAddress.set(key, [connection]);
   }
 
-  private noteClosed(key: string, closed: BackendConnection): void {
-    this.open.get(key)?.delete(closed);
-    const idle = this.idle.get(key);
+  private removeConnection(key: string, closed: BackendConnection): void {
+    this.openByAddress.get(key)?.delete(closed);
+    const idle = this.idleByAddress.get(key);
     if (!idle) return;
-    const at = idle.indexOf(closed);
-    if (at >= 0) idle.splice(at, 1);
-    if (idle.length === 0) this.idle.delete(key);
+    const index = idle.indexOf(closed);
+    if (index >= 0) idle.splice(index, 1);
+    if (idle.length === 0) this.idleByAddress.delete(key);
   }
 
-  private addTo(
+  private getOrCreateSet(
     sets: Map<string, Set<BackendConnection>>,
     key: string,
   ): Set<BackendConnection> {
@@ -152,12 +154,12 @@
   }
 }
 
-/** A call that waits for its connection. */
+/** A call that waits for a new connection. */
 class PendingCall implements CallHandle {
   isAborted = false;
   private handle: CallHandle | null = null;
 
-  follow(handle: CallHandle): void {
+  attach(handle: CallHandle): void {
     this.handle = handle;
   }
 
--- a/packages/backend-connections/src/backend_socket.ts
+++ b/packages/backend-connections/src/backend_socket.ts
@@ -1,31 +1,32 @@
-/** A socket that tells a reset from the end of an answer. */
+/** A socket that distinguishes a connection reset from the end of a response. */
 import {Socket} from 'node:net';
 
-const CODE_RESET = 'ECONNRESET';
-/** The code under which a reset is passed on; see `BackendSocket`. */
-const CODE_BROKEN = 'ECONNABORTED';
+const RESET_CODE = 'ECONNRESET';
+/** Replaces the error code of a reset; see `BackendSocket`. */
+const ABORTED_CODE = 'ECONNABORTED';
 
 /**
- * Guards against an answer that was cut short and looks whole. An answer
- * without a length ends with its connection, and a server that crashes resets
- * the connection instead. Two things would take that reset for an end:
+ * Guards against a truncated response that is taken for a complete one. A
+ * response without a length ends when the connection closes, and a server that
+ * crashes resets the connection instead. The reset is lost in two ways:
  *
- * - The event loop reports an end without looking when a hang-up comes in one
- *   poll with the last bytes, but only while it is asked to read on. This
- *   socket stops reading with every piece and goes on after the poll, so that
- *   the next read asks the kernel, which knows.
- * - The HTTP library forgives a reset by its code, so it gets another code.
+ * - The event loop reports end-of-file without a read when a hang-up comes in
+ *   the same poll as the last bytes and the socket is reading. This socket stops
+ *   reading after each chunk and resumes after the poll, so that the next read
+ *   returns the error.
+ * - The HTTP client ignores an error with the code `ECONNRESET`, so this socket
+ *   changes the code.
  *
- * Costs two system calls a piece of an answer.
+ * Costs two system calls per chunk.
  */
 export class BackendSocket extends Socket {
   constructor() {
-    // The types leave out the options of streams, which sockets take as well.
+    // The type of the socket options lacks the stream options.
     super({readableHighWaterMark: 1} as object);
     this.setNoDelay(true);
-    // Unheard, an error of an idle socket would end the process.
+    // Guards against a process exit on an unhandled error of an idle socket.
     this.on('error', (error: NodeJS.ErrnoException) => {
-      if (error.code === CODE_RESET) error.code = CODE_BROKEN;
+      if (error.code === RESET_CODE) error.code = ABORTED_CODE;
     });
   }
 
--- a/packages/backend-connections/src/collect_answer.ts
+++ b/packages/backend-connections/src/collect_answer.ts
@@ -1,26 +1,25 @@
-/** Short calls whose answer is wanted as a whole. */
+/** Sends a call and buffers its response. */
 import {type Clock} from '@mimosatack/clock';
 import {type TypedError} from '@mimosatack/errors';
 import {type BackendCall, type AnswerHead} from './backend_call.js';
 import {type BackendConnections} from './backend_connections.js';
-import {makeUnreachable} from './backend_connection.js';
+import {createUnreachableError} from './backend_connection.js';
 
-/** An answer as it came. */
+/** A buffered response. */
 export interface CollectedAnswer extends AnswerHead {
   body: Uint8Array;
 }
 
-/** How long an answer is waited for. */
 export interface CollectLimits {
   timeoutMs: number;
-  /** Ends the wait early; the promise rejects. */
+  /** Aborts the call; the promise rejects. */
   signal?: AbortSignal;
 }
 
-/** A page of the store has a megabyte, and half as much again as text. */
-const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+/** A page of the key-value store is up to 1.5 MB in its text encoding. */
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
-/** Sends a call and reads its whole answer; rejects when it takes too long. */
+/** Resolves with the whole response; rejects after the timeout. */
 export function collectAnswer(
   connections: BackendConnections,
   call: BackendCall,
@@ -30,7 +29,7 @@
   const {timeoutMs, signal} = limits;
   return new Promise((resolve, reject) => {
     let head: AnswerHead | null = null;
-    const pieces: Uint8Array[] = [];
+    const chunks: Uint8Array[] = [];
     let byteCount = 0;
     const fail = (error: TypedError) => {
       timer.cancel();
@@ -39,30 +38,30 @@
     };
     const handle = connections.send(call, {
       onHead: received => (head = received),
-      onData: piece => {
-        pieces.push(piece);
-        byteCount += piece.length;
-        if (byteCount > MAX_ANSWER_BYTES) {
+      onData: chunk => {
+        chunks.push(chunk);
+        byteCount += chunk.length;
+        if (byteCount > MAX_RESPONSE_BYTES) {
           handle.abort();
-          fail(makeUnreachable('The answer is too large.'));
+          fail(createUnreachableError('The response is too large.'));
         }
         return true;
       },
       onEnd: () => {
         timer.cancel();
         signal?.removeEventListener('abort', onAbort);
-        if (head) resolve({...head, body: Buffer.concat(pieces)});
+        if (head) resolve({...head, body: Buffer.concat(chunks)});
       },
       onFailure: fail,
     });
-    const giveUp = (message: string) => {
+    const abort = (message: string) => {
       handle.abort();
-      fail(makeUnreachable(message));
+      fail(createUnreachableError(message));
     };
     const timer = clock.setTimer(timeoutMs, () =>
-      giveUp('No answer came in time.'),
+      abort('The response timed out.'),
     );
-    const onAbort = () => giveUp('The answer is no longer wanted.');
+    const onAbort = () => abort('The call was aborted.');
     signal?.addEventListener('abort', onAbort, {once: true});
   });
 }
