--- a/packages/peer-transport/src/authentication.ts
+++ b/packages/peer-transport/src/authentication.ts
@@ -1,4 +1,4 @@
-/** Signs and checks connections between nodes. */
+/** Signs and verifies connections between nodes. */
 import {createHmac, randomBytes, timingSafeEqual} from 'node:crypto';
 import {type IncomingHttpHeaders} from 'node:http';
 import {type Clock} from '@mimosatack/clock';
@@ -9,34 +9,34 @@
 const NAME_HEADER = 'x-peer-node';
 const SIGNATURE_HEADER = 'x-peer-signature';
 const NONCE_BYTES = 12;
-/** How far the clocks of two nodes may differ, delays included. */
+/** Maximum age of a signature, including the clock skew between two nodes. */
 const MAX_AGE_MS = 60_000;
-/** Bounds the nonces kept, also if a peer connects over and over. */
+/** Bounds the memory for nonces when a peer connects repeatedly. */
 const MAX_NONCES = 10_000;
 
-/** Signs the connections a node opens. */
-export function signConnection(
+/** Returns the headers that authenticate a connection of this node. */
+export function createAuthHeaders(
   origin: PeerOrigin,
   clusterSecret: string,
   clock: Clock,
 ): Record<string, string> {
   const timeMs = String(Math.round(clock.wallMs()));
   const nonce = randomBytes(NONCE_BYTES).toString('hex');
-  const code = computeCode(clusterSecret, timeMs, nonce, origin);
+  const mac = computeMac(clusterSecret, timeMs, nonce, origin);
   return {
     [ADDRESS_HEADER]: origin.address,
-    ...writeNodeName(origin.nodeName),
-    [SIGNATURE_HEADER]: [timeMs, nonce, code.toString('hex')].join('.'),
+    ...createNodeNameHeader(origin.nodeName),
+    [SIGNATURE_HEADER]: [timeMs, nonce, mac.toString('hex')].join('.'),
   };
 }
 
-/** The header in which either side names itself. */
-export function writeNodeName(nodeName: string): Record<string, string> {
+/** Returns the header that carries the node name of the sender. */
+export function createNodeNameHeader(nodeName: string): Record<string, string> {
   return {[NAME_HEADER]: encodeURIComponent(nodeName)};
 }
 
-/** The name in that header; a header that can't be decoded is taken as is. */
-export function readNodeName(headers: IncomingHttpHeaders): string {
+/** Returns the node name, undecoded if its percent-encoding is invalid. */
+export function parseNodeName(headers: IncomingHttpHeaders): string {
   const encodedName = readHeader(headers, NAME_HEADER);
   try {
     return decodeURIComponent(encodedName);
@@ -45,9 +45,9 @@
   }
 }
 
-/** Checks the connections a node accepts. */
+/** Verifies the signatures of incoming connections. */
 export class ConnectionVerifier {
-  /** Nonces in use, oldest first, with the time they stop to matter. */
+  /** Used nonces, oldest first, with their expiry times. */
   private readonly nonces = new Map<string, number>();
 
   constructor(
@@ -55,19 +55,19 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Returns who connects; throws `unauthorized` if that is not proven. */
+  /** Returns the peer; throws `unauthorized` if its signature is invalid. */
   verify(headers: IncomingHttpHeaders): PeerOrigin {
     const origin = readOrigin(headers);
-    const [timeMs = '', nonce = '', code = ''] = readHeader(
+    const [timeMs = '', nonce = '', mac = ''] = readHeader(
       headers,
       SIGNATURE_HEADER,
     ).split('.');
-    const expected = computeCode(this.clusterSecret, timeMs, nonce, origin);
-    if (!isSame(Buffer.from(code, 'hex'), expected)) {
-      throw makeRefusal(
+    const expected = computeMac(this.clusterSecret, timeMs, nonce, origin);
+    if (!isEqual(Buffer.from(mac, 'hex'), expected)) {
+      throw createUnauthorizedError(
         origin,
         'the signature does not match',
-        'Give all nodes the same cluster secret.',
+        'Set the same cluster secret on all nodes.',
       );
     }
     this.checkAge(Number(timeMs), origin);
@@ -77,16 +77,16 @@
 
   private checkAge(timeMs: number, origin: PeerOrigin): void {
     if (Math.abs(this.clock.wallMs() - timeMs) <= MAX_AGE_MS) return;
-    throw makeRefusal(
+    throw createUnauthorizedError(
       origin,
       'the signature is too old',
-      'Set the clocks of all hosts by one time service.',
+      'Synchronize the clocks of all hosts.',
     );
   }
 
   /**
-   * Guards against a recorded handshake being played back: within the time
-   * for which its signature holds, its nonce is known here.
+   * Guards against replay of a recorded handshake: a nonce is kept for as long
+   * as its signature is valid.
    */
   private checkNonce(nonce: string, origin: PeerOrigin): void {
     const nowMs = this.clock.monotonicMs();
@@ -94,13 +94,17 @@
       .filter(([, untilMs]) => untilMs <= nowMs)
       .forEach(([old]) => this.nonces.delete(old));
     if (this.nonces.has(nonce) || this.nonces.size >= MAX_NONCES) {
-      throw makeRefusal(origin, 'the nonce was used', 'Connect again.');
+      throw createUnauthorizedError(
+        origin,
+        'the nonce was used before',
+        'Connect again.',
+      );
     }
     this.nonces.set(nonce, nowMs + 2 * MAX_AGE_MS);
   }
 }
 
-function computeCode(
+function computeMac(
   clusterSecret: string,
   timeMs: string,
   nonce: string,
@@ -111,15 +115,15 @@
     .digest();
 }
 
-/** Compares in constant time, so that the time taken tells nothing. */
-function isSame(given: Buffer, expected: Buffer): boolean {
+/** Compares in constant time, as a guard against timing attacks. */
+function isEqual(given: Buffer, expected: Buffer): boolean {
   return given.length === expected.length && timingSafeEqual(given, expected);
 }
 
 function readOrigin(headers: IncomingHttpHeaders): PeerOrigin {
   return {
     address: readHeader(headers, ADDRESS_HEADER),
-    nodeName: readNodeName(headers),
+    nodeName: parseNodeName(headers),
   };
 }
 
@@ -128,7 +132,7 @@
   return typeof value === 'string' ? value : '';
 }
 
-function makeRefusal(
+function createUnauthorizedError(
   {address, nodeName}: PeerOrigin,
   reason: string,
   remedy: string,
--- a/packages/peer-transport/src/frame_codec.ts
+++ b/packages/peer-transport/src/frame_codec.ts
@@ -1,9 +1,9 @@
-/** What goes over a connection, and its form in bytes. */
+/** Frames between nodes and their wire format. */
 import {ERROR_KINDS, TypedError, toTypedError} from '@mimosatack/errors';
 import {Packr} from 'msgpackr';
 import * as z from 'zod';
 
-/** Why a request failed at the node that handled it. */
+/** Error of the node that handled a request. */
 const failureSchema = z.object({
   kind: z.enum(ERROR_KINDS).catch('internal'),
   message: z.string(),
@@ -12,7 +12,7 @@
   retryAfterMs: z.number().nonnegative().optional(),
 });
 
-/** The form in bytes: fields that do not apply are left out. */
+/** Wire format of a frame; fields that do not apply are absent. */
 const wireSchema = z.strictObject({
   id: z.int().nonnegative().optional(),
   replyTo: z.int().nonnegative().optional(),
@@ -20,17 +20,16 @@
   failure: failureSchema.optional(),
 });
 
-/** Why a request failed, in the form that travels. */
+/** Wire format of an error. */
 export type Failure = z.infer<typeof failureSchema>;
 
-/** One message with its role. */
 export type Frame<M> =
   | {kind: 'message'; body: M}
   | {kind: 'request'; id: number; body: M}
   | {kind: 'reply'; replyTo: number; body: M}
   | {kind: 'failure'; replyTo: number; failure: Failure};
 
-/** Turns frames into bytes and back; every frame stands for itself. */
+/** Encodes and decodes frames; the codec keeps no state between frames. */
 export class FrameCodec<M> {
   private readonly packr = new Packr();
 
@@ -39,26 +38,26 @@
     private readonly maxMessageBytes: number,
   ) {}
 
-  /** Throws `peer-message-invalid` if the frame would be too large. */
+  /** Throws `peer-message-invalid` if the encoded frame is too large. */
   encode(frame: Frame<M>): Uint8Array {
     const {kind: _, ...wire} = frame;
     const bytes = this.packr.pack(wire);
     if (bytes.length <= this.maxMessageBytes) return bytes;
     throw new TypedError(
       'peer-message-invalid',
-      `A message of ${bytes.length} bytes is over the limit of ${this.maxMessageBytes}.`,
-      {remedy: 'Send it in pages, or raise the limit on all nodes.'},
+      `A message of ${bytes.length} bytes exceeds the limit of ${this.maxMessageBytes}.`,
+      {remedy: 'Split the message, or raise the limit on all nodes.'},
     );
   }
 
-  /** Throws `peer-message-invalid` if the bytes are no known frame. */
+  /** Throws `peer-message-invalid` if the bytes are not a valid frame. */
   decode(bytes: Uint8Array): Frame<M> {
     try {
       return this.toFrame(wireSchema.parse(this.packr.unpack(bytes)));
     } catch (thrown) {
       throw new TypedError(
         'peer-message-invalid',
-        'A message from a peer has no known form.',
+        'A message from a peer has an invalid format.',
         {cause: toTypedError(thrown)},
       );
     }
@@ -80,8 +79,8 @@
   }
 }
 
-/** Puts an error into the form that travels. */
-export function toFailure(error: TypedError): Failure {
+/** Converts an error to its wire format. */
+export function encodeError(error: TypedError): Failure {
   const {kind, message, remedy, run, retryAfterMs} = error;
   return {
     kind,
@@ -92,8 +91,8 @@
   };
 }
 
-/** Makes the error of the other node into one of this node. */
-export function fromFailure(failure: Failure): TypedError {
+/** Converts the wire format of an error back to an error. */
+export function decodeError(failure: Failure): TypedError {
   const {kind, message, remedy, run, retryAfterMs} = failure;
   return new TypedError(kind, message, {remedy, run, retryAfterMs});
 }
--- a/packages/peer-transport/src/frame_codec_fuzz.test.ts
+++ b/packages/peer-transport/src/frame_codec_fuzz.test.ts
@@ -6,15 +6,15 @@
 import * as z from 'zod';
 import {FrameCodec} from './frame_codec.js';
 
-const test = suite('frames of any bytes');
+const test = suite('frame codec fuzzing');
 
-const RUNS = {numRuns: 400, seed: 11};
+const FUZZ_OPTIONS = {numRuns: 400, seed: 11};
 const bodySchema = z.object({type: z.literal('hint'), count: z.number()});
 const codec = new FrameCodec(bodySchema, 10_000);
 const packr = new Packr();
 
-/** Decodes, or tells that the bytes were refused as they should be. */
-function decodeOrRefuse(bytes: Uint8Array): unknown {
+/** Returns null if decoding throws `peer-message-invalid`. */
+function decodeOrNull(bytes: Uint8Array): unknown {
   try {
     return codec.decode(bytes);
   } catch (thrown) {
@@ -24,36 +24,34 @@
   }
 }
 
-/*
- * A node of another release, or a fault on the way, sends what nobody knows. The
- * process that hears it would end, and with it all requests that it serves.
- */
-test('bytes of no known form are refused with a typed error', () => {
+// Guards against a process crash on a frame from another release or on corrupt
+// bytes.
+test('refuses arbitrary bytes with a typed error', () => {
   fc.assert(
     fc.property(fc.uint8Array({maxLength: 200}), bytes => {
-      decodeOrRefuse(bytes);
+      decodeOrNull(bytes);
     }),
-    RUNS,
+    FUZZ_OPTIONS,
   );
 });
 
-test('values of another form are refused', () => {
+test('refuses arbitrary encoded values with a typed error', () => {
   fc.assert(
     fc.property(fc.anything({maxDepth: 3}), value => {
       let bytes: Uint8Array;
       try {
         bytes = packr.pack(value);
       } catch {
-        // Not every value has a form in bytes.
+        // msgpackr cannot encode every value.
         return;
       }
-      decodeOrRefuse(bytes);
+      decodeOrNull(bytes);
     }),
-    RUNS,
+    FUZZ_OPTIONS,
   );
 });
 
-test('a frame with some bytes changed is refused or still of a known form', () => {
+test('refuses a corrupted frame or decodes it to a valid message', () => {
   const change = fc.tuple(fc.nat({max: 60}), fc.nat({max: 255}));
   fc.assert(
     fc.property(fc.array(change, {minLength: 1, maxLength: 3}), changes => {
@@ -61,10 +59,10 @@
         codec.encode({kind: 'message', body: {type: 'hint', count: 7}}),
       );
       changes.forEach(([at, value]) => (bytes[at % bytes.length] = value));
-      const frame = decodeOrRefuse(bytes) as {body?: unknown} | null;
+      const frame = decodeOrNull(bytes) as {body?: unknown} | null;
       if (frame?.body) assert.ok(bodySchema.safeParse(frame.body).success);
     }),
-    RUNS,
+    FUZZ_OPTIONS,
   );
 });
 
--- a/packages/peer-transport/src/open_connection.ts
+++ b/packages/peer-transport/src/open_connection.ts
@@ -1,28 +1,27 @@
 /** Opens a connection to a peer. */
 import {TypedError} from '@mimosatack/errors';
 import {WebSocket} from 'ws';
-import {readNodeName} from './authentication.js';
+import {parseNodeName} from './authentication.js';
 import {PEER_UNREACHABLE} from './options.js';
 
 const CONNECT_TIMEOUT_MS = 3_000;
 const STATUS_UNAUTHORIZED = 401;
 
-/** How a connection is opened. */
 export interface ConnectionRequest<T> {
   address: string;
   headers: Record<string, string>;
   maxMessageBytes: number;
   signal: AbortSignal;
   /**
-   * Takes over the socket in the very moment it opens, as the peer's first
-   * message may come in the same packet; told the name of the peer.
+   * Called synchronously when the socket opens, with the peer's node name, as
+   * the peer's first message may be in the same packet as the handshake.
    */
   onOpen: (socket: WebSocket, nodeName: string) => T;
 }
 
 /**
- * Resolves with what `onOpen` made of the open socket. Rejects with `unauthorized` if the peer
- * refuses the signature, else with the kind for unreachable peers.
+ * Resolves with the result of `onOpen`. Rejects with `unauthorized` if the peer
+ * refuses the signature, else with `peer-unreachable`.
  */
 export function openConnection<T>({
   address,
@@ -40,19 +39,23 @@
       handshakeTimeout: CONNECT_TIMEOUT_MS,
     });
     const abort = () => socket.terminate();
-    const onError = (cause: Error) => reject(makeUnreachable(address, cause));
+    const onError = (cause: Error) =>
+      reject(createUnreachableError(address, cause));
     signal.addEventListener('abort', abort, {once: true});
     socket.on('error', onError);
     socket.once('unexpected-response', (request, {statusCode}) => {
       request.destroy();
       reject(
         statusCode === STATUS_UNAUTHORIZED
-          ? makeUnauthorized(address)
-          : makeUnreachable(address, new Error(`HTTP status ${statusCode}`)),
+          ? createUnauthorizedError(address)
+          : createUnreachableError(
+              address,
+              new Error(`HTTP status ${statusCode}`),
+            ),
       );
     });
     socket.once('upgrade', response => {
-      nodeName = readNodeName(response.headers);
+      nodeName = parseNodeName(response.headers);
     });
     socket.once('open', () => {
       signal.removeEventListener('abort', abort);
@@ -63,18 +66,21 @@
   });
 }
 
-function makeUnreachable(address: string, cause: Error): TypedError {
+function createUnreachableError(address: string, cause: Error): TypedError {
   return new TypedError(
     PEER_UNREACHABLE,
-    `The peer ${address} can't be reached: ${cause.message}.`,
+    `The connection to the peer ${address} failed: ${cause.message}.`,
     {cause},
   );
 }
 
-function makeUnauthorized(address: string): TypedError {
+function createUnauthorizedError(address: string): TypedError {
   return new TypedError(
     'unauthorized',
     `The peer ${address} refused this node's signature.`,
-    {remedy: 'Give all nodes the same cluster secret and right clocks.'},
+    {
+      remedy:
+        'Set the same cluster secret on all nodes and synchronize their clocks.',
+    },
   );
 }
--- a/packages/peer-transport/src/options.ts
+++ b/packages/peer-transport/src/options.ts
@@ -1,59 +1,58 @@
-/** What a transport is built from, and what it tells of itself. */
+/** Options and counters of a transport. */
 import {type Clock} from '@mimosatack/clock';
 import {type ErrorKind, type TypedError} from '@mimosatack/errors';
 import type * as z from 'zod';
 
-/** The kind of error for a peer that can't be reached or does not answer. */
+/** Error kind for a failed connection or a missing reply. */
 export const PEER_UNREACHABLE: ErrorKind = 'peer-unreachable';
 
-/** The node that a message came from, as its connection was signed. */
+/** Identity of a peer. */
 export interface PeerOrigin {
-  /** Where the node takes connections itself. */
+  /** Address on which the peer accepts connections. */
   address: string;
   nodeName: string;
 }
 
-/** What a transport is built from; `M` is the type of all messages. */
+/** Dependencies and options of a transport; `M` is the message type. */
 export interface PeerTransportOptions<M> {
   listenHost: string;
-  /** 0 lets the machine choose a free port. */
+  /** 0 selects a free port. */
   listenPort: number;
-  /** Where peers reach this node; the listening address when left out. */
+  /** Address that peers connect to. Default: the listening address. */
   selfAddress?: string;
   nodeName: string;
-  /** Shared by all nodes; connections are signed with it. */
+  /** Key shared by all nodes that signs connections. */
   clusterSecret: string;
   clock: Clock;
   maxConnections: number;
   maxMessageBytes: number;
-  /** How long a request waits for its reply when the caller does not say. */
+  /** Default timeout of a request. */
   requestTimeoutMs: number;
-  /** How long an unused connection is kept; a minute when left out. */
+  /** Time after which an unused connection is closed. Default: 1 minute. */
   idleTimeoutMs?: number;
-  /** How many messages wait for one peer; 256 when left out. */
+  /** Maximum number of queued messages per peer. Default: 256. */
   maxQueuedMessages?: number;
-  /** Refuses messages that have no known form. */
+  /** Validates incoming messages. */
   schema: z.ZodType<M>;
-  /** Handles a message; what it returns is the reply to a request. */
+  /** Handles a message; the result is the reply if the message is a request. */
   onMessage(from: PeerOrigin, message: M): Promise<M | void> | M | void;
-  /** Told of what should not happen between nodes that are set up alike. */
+  /** Receives errors that indicate a wrong configuration or a faulty node. */
   onFault(error: TypedError): void;
 }
 
-/** Totals since the start. Bytes are those of WebSocket frames. */
+/** Totals since the start. Byte counts are sizes of WebSocket frames. */
 export interface PeerCounters {
   bytesSent: number;
   bytesReceived: number;
   messagesSent: number;
   messagesReceived: number;
-  /** Messages without a reply that were given up before they were sent. */
+  /** One-way messages that were dropped before they were sent. */
   messagesDropped: number;
   connectionsOpened: number;
   connectFailures: number;
   faults: number;
 }
 
-/** Counters that all stand at zero. */
 export function createCounters(): PeerCounters {
   return {
     bytesSent: 0,
--- a/packages/peer-transport/src/peer_channel.ts
+++ b/packages/peer-transport/src/peer_channel.ts
@@ -1,34 +1,33 @@
-/** Everything this node sends to one peer: its queue and its connection. */
+/** Send queue and connection for one peer. */
 import {type Clock} from '@mimosatack/clock';
 import {TypedError, toTypedError} from '@mimosatack/errors';
 import {type Frame} from './frame_codec.js';
 import {PEER_UNREACHABLE} from './options.js';
 import {type PeerLink} from './peer_link.js';
 
-/** Frames wait here, not in the socket, while this much is on its way. */
+/** Frames stay in the queue while the socket buffers more than this. */
 const MAX_BUFFERED_BYTES = 256 * 1024;
 const FIRST_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 2_000;
 
-/** What a node sends by itself; replies go out on the link they belong to. */
+/** Frames that a channel sends; a reply goes to the link of its request. */
 export type OutgoingFrame<M> = Extract<
   Frame<M>,
   {kind: 'message'} | {kind: 'request'}
 >;
 
-/** What a channel needs of the transport. */
+/** Dependencies and callbacks of a channel. */
 export interface ChannelContext<M> {
   clock: Clock;
   maxQueuedMessages: number;
-  /** Opens a connection to the address. */
   connect(address: string): Promise<PeerLink<M>>;
-  /** Whether a queued frame is still worth sending. */
-  isWanted(frame: OutgoingFrame<M>): boolean;
+  /** Whether a queued frame still has to be sent. */
+  isNeeded(frame: OutgoingFrame<M>): boolean;
   onWritten(frame: OutgoingFrame<M>, link: PeerLink<M>): void;
-  onGivenUp(frame: OutgoingFrame<M>, error: TypedError): void;
+  onDropped(frame: OutgoingFrame<M>, error: TypedError): void;
 }
 
-/** Connects on demand; keeps a bounded queue while it does. */
+/** Connects on demand and queues a bounded number of frames meanwhile. */
 export class PeerChannel<M> {
   private queue: Array<OutgoingFrame<M>> = [];
   private link: PeerLink<M> | null = null;
@@ -41,7 +40,7 @@
     private readonly context: ChannelContext<M>,
   ) {}
 
-  /** Whether nothing of the peer has to be remembered. */
+  /** Whether the channel has no connection and no backoff state to keep. */
   get isUnused(): boolean {
     const nowMs = this.context.clock.monotonicMs();
     return (
@@ -52,17 +51,17 @@
   }
 
   send(frame: OutgoingFrame<M>): void {
-    if (!this.canProceed && this.isBackingOff()) {
-      this.context.onGivenUp(frame, this.makeUnreachable());
+    if (!this.hasConnection && this.isBackingOff()) {
+      this.context.onDropped(frame, this.createUnreachableError());
       return;
     }
     this.queue.push(frame);
-    this.shedLoad();
+    this.enforceQueueLimit();
     this.flush();
-    if (!this.canProceed) void this.connect();
+    if (!this.hasConnection) void this.connect();
   }
 
-  /** Sends on the newest connection, as older ones may be dead unnoticed. */
+  /** Switches to the newest connection, as older ones may be half-open. */
   attach(link: PeerLink<M>): void {
     this.link = link;
     this.failureCount = 0;
@@ -70,30 +69,30 @@
     this.flush();
   }
 
-  /** Forgets a connection that has closed. */
+  /** Removes a closed connection. */
   detach(link: PeerLink<M>): void {
     if (this.link !== link) return;
     this.link = null;
-    if (this.queue.length > 0 && !this.canProceed) void this.connect();
+    if (this.queue.length > 0 && !this.hasConnection) void this.connect();
   }
 
   flush(): void {
     while (this.link?.isOpen && this.queue.length > 0) {
       if (this.link.bufferedBytes > MAX_BUFFERED_BYTES) return;
       const frame = this.queue.shift()!;
-      if (this.context.isWanted(frame)) this.write(frame, this.link);
+      if (this.context.isNeeded(frame)) this.write(frame, this.link);
     }
   }
 
-  /** Gives up everything that waits. */
-  giveUpAll(error: TypedError): void {
-    const waiting = this.queue;
+  /** Drops all queued frames. */
+  dropAll(error: TypedError): void {
+    const dropped = this.queue;
     this.queue = [];
-    waiting.forEach(frame => this.context.onGivenUp(frame, error));
+    dropped.forEach(frame => this.context.onDropped(frame, error));
   }
 
-  /** Whether what is queued goes out without another connection. */
-  private get canProceed(): boolean {
+  /** Whether a connection is open or in progress. */
+  private get hasConnection(): boolean {
     return this.isConnecting || this.link?.isOpen === true;
   }
 
@@ -102,7 +101,7 @@
       link.write(frame);
       this.context.onWritten(frame, link);
     } catch (thrown) {
-      this.context.onGivenUp(frame, toTypedError(thrown));
+      this.context.onDropped(frame, toTypedError(thrown));
     }
   }
 
@@ -112,11 +111,11 @@
       const link = await this.context.connect(this.address);
       this.isConnecting = false;
       if (link.isOpen) this.attach(link);
-      else throw this.makeUnreachable();
+      else throw this.createUnreachableError();
     } catch (thrown) {
       this.isConnecting = false;
       this.startBackoff();
-      if (!this.canProceed) this.giveUpAll(toTypedError(thrown));
+      if (!this.hasConnection) this.dropAll(toTypedError(thrown));
     }
   }
 
@@ -132,27 +131,27 @@
   }
 
   /**
-   * Guards against a slow peer filling this node's memory: over the bound the
-   * oldest message without a reply goes first, as a newer one replaces what
-   * it said; if all are requests, the newest is refused.
+   * Guards against unbounded memory use for a slow peer. Over the limit, the
+   * oldest one-way message is dropped, as newer messages supersede it; if the
+   * queue holds only requests, the newest one is refused.
    */
-  private shedLoad(): void {
+  private enforceQueueLimit(): void {
     if (this.queue.length <= this.context.maxQueuedMessages) return;
     const index = this.queue.findIndex(frame => frame.kind === 'message');
     const [frame] = this.queue.splice(index, 1);
-    this.context.onGivenUp(
+    this.context.onDropped(
       frame!,
       new TypedError(
         'overloaded',
-        `Too many messages wait for the peer ${this.address}.`,
+        `The send queue for the peer ${this.address} is full.`,
       ),
     );
   }
 
-  private makeUnreachable(): TypedError {
+  private createUnreachableError(): TypedError {
     return new TypedError(
       PEER_UNREACHABLE,
-      `The peer ${this.address} could not be reached a moment ago.`,
+      `A recent connection attempt to the peer ${this.address} failed.`,
     );
   }
 }
--- a/packages/peer-transport/src/peer_failures.test.ts
+++ b/packages/peer-transport/src/peer_failures.test.ts
@@ -3,12 +3,12 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
 import {WebSocket, WebSocketServer} from 'ws';
-import {signConnection} from './authentication.js';
+import {createAuthHeaders} from './authentication.js';
 import {PEER_UNREACHABLE} from './index.js';
 import {
   HOST,
   MAX_MESSAGE_BYTES,
-  PATIENCE_MS,
+  TIMEOUT_MS,
   SECRET,
   type TestMessage,
   catchError,
@@ -18,10 +18,10 @@
   waitFor,
 } from './peer_fixture.js';
 
-/** A connection that is signed as a peer's and then misbehaves. */
+/** Opens an authenticated connection for arbitrary data. */
 function openRawSocket(
   address: string,
-  headers = signConnection(
+  headers = createAuthHeaders(
     {address: '127.0.0.1:1', nodeName: 'raw'},
     SECRET,
     clock,
@@ -34,7 +34,7 @@
   });
 }
 
-/** The code with which the other side closes after it got the data. */
+/** Sends data and resolves with the close code of the peer. */
 function sendAndAwaitClose(
   socket: WebSocket,
   data: Buffer | string,
@@ -45,12 +45,11 @@
   });
 }
 
-const failures = suite('peers that fail');
+const failures = suite('peer failures');
 failures.after.each(stopAll);
 
-failures('a lost reply ends in a typed error', async () => {
-  // A request would wait for ever for an answer that does not come.
-  // The peer takes the request and never replies.
+// Guards against a request that waits forever for a peer that never replies.
+failures('rejects a request without a reply after its timeout', async () => {
   const a = await startPeer('a');
   const b = await startPeer('b', {onMessage: () => new Promise(() => {})});
   const error = await catchError(
@@ -60,9 +59,8 @@
   assert.is(error.run, 'unknown');
 });
 
-failures('a connection that closes ends its requests', async () => {
-  // A request waits out its whole timeout though the peer is gone.
-  // The peer stops after it has read the request.
+// Guards against a request that waits for its timeout after the peer stopped.
+failures('rejects requests when their connection closes', async () => {
   const a = await startPeer('a');
   const b = await startPeer('b', {
     onMessage: () => {
@@ -78,38 +76,41 @@
   assert.match(error.message, 'closed');
 });
 
-failures('a connection whose other end vanished is cut', async () => {
-  // Requests to a peer time out one after the other though it is back.
-  // Its host vanished without closing: the socket stays open and silent, and
-  // after a first timeout the ping stays unanswered too.
-  const manual = new ManualClock(clock.wallMs());
-  const a = await startPeer('a', {clock: manual});
+// Guards against repeated request timeouts on a half-open connection to a host
+// that disappeared without closing it.
+failures('destroys a connection that answers no ping', async () => {
+  const manualClock = new ManualClock(clock.wallMs());
+  const a = await startPeer('a', {clock: manualClock});
   const events: string[] = [];
-  const mute = new WebSocketServer({port: 0, host: HOST, autoPong: false});
-  mute.on('connection', socket => {
+  const silentServer = new WebSocketServer({
+    port: 0,
+    host: HOST,
+    autoPong: false,
+  });
+  silentServer.on('connection', socket => {
     socket.on('message', () => events.push('message'));
     socket.on('ping', () => events.push('ping'));
   });
-  await new Promise(resolve => mute.once('listening', resolve));
-  const {port} = mute.address() as AddressInfo;
+  await new Promise(resolve => silentServer.once('listening', resolve));
+  const {port} = silentServer.address() as AddressInfo;
   const reply = catchError(
     a.transport.request(`${HOST}:${port}`, {text: 'hello'}, 50),
   );
   await waitFor(() => events.includes('message'));
-  manual.advance(50);
+  manualClock.advance(50);
   assert.is((await reply).kind, PEER_UNREACHABLE);
   await waitFor(() => events.includes('ping'));
   assert.is(a.transport.connectionCount, 1);
-  manual.advance(PATIENCE_MS);
+  manualClock.advance(TIMEOUT_MS);
   await waitFor(() => a.transport.connectionCount === 0);
-  mute.close();
+  silentServer.close();
 });
 
-failures('a slow handler does not cost the connection', async () => {
-  // A long request fails because a short one beside it timed out.
-  // Both wait at handlers, but the peer's host still answers pings.
-  const manual = new ManualClock(clock.wallMs());
-  const a = await startPeer('a', {clock: manual});
+// Guards against a long request that fails because another request on the same
+// connection timed out.
+failures('keeps a connection that answers pings after a timeout', async () => {
+  const manualClock = new ManualClock(clock.wallMs());
+  const a = await startPeer('a', {clock: manualClock});
   const waiting: Array<(reply: TestMessage) => void> = [];
   const b = await startPeer('b', {
     onMessage: () => new Promise(resolve => waiting.push(resolve)),
@@ -117,20 +118,20 @@
   const long = a.transport.request(b.address, {text: 'long'}, 60_000);
   const short = catchError(a.transport.request(b.address, {text: 'short'}, 50));
   await waitFor(() => waiting.length === 2);
-  manual.advance(50);
+  manualClock.advance(50);
   assert.is((await short).kind, PEER_UNREACHABLE);
   const next = a.transport.request(b.address, {text: 'next'}, 60_000);
   await waitFor(() => waiting.length === 3);
   waiting[2]!({text: 'after the pong'});
   assert.is((await next).text, 'after the pong');
-  manual.advance(PATIENCE_MS);
+  manualClock.advance(TIMEOUT_MS);
   waiting[0]!({text: 'at last'});
   assert.is((await long).text, 'at last');
 });
 
-failures('a peer that restarts is reached again', async () => {
-  // After a node was replaced at its address, others no longer reach it.
-  // It stops, requests fail as not run, and a new process takes the port.
+// Guards against permanent failure of requests to an address whose node was
+// replaced.
+failures('reconnects to a peer that restarted', async () => {
   const a = await startPeer('a');
   const first = await startPeer('b');
   await a.transport.request(first.address, {text: 'one'});
@@ -153,9 +154,8 @@
   assert.equal(replies, ['b again got three']);
 });
 
-failures('a wrong secret is refused and reported by both', async () => {
-  // A stranger, or a node set up wrongly, takes part in the cluster.
-  // It signs its connection with another secret.
+// Guards against an unauthorized or misconfigured node that joins the cluster.
+failures('refuses a wrong secret and reports it on both sides', async () => {
   const a = await startPeer('a', {clusterSecret: 'another'});
   const b = await startPeer('b');
   const error = await catchError(
@@ -171,16 +171,16 @@
   );
 });
 
-failures('an old signature and a used one are refused', async () => {
+failures('refuses expired, replayed and missing signatures', async () => {
   const b = await startPeer('b');
   const origin = {address: '127.0.0.1:1', nodeName: 'raw'};
-  const hourAgo = {
+  const hourOldClock = {
     wallMs: () => clock.wallMs() - 3_600_000,
     monotonicMs: () => 0,
     setTimer: () => ({cancel: () => {}}),
   };
-  const old = signConnection(origin, SECRET, hourAgo);
-  const fresh = signConnection(origin, SECRET, clock);
+  const old = createAuthHeaders(origin, SECRET, hourOldClock);
+  const fresh = createAuthHeaders(origin, SECRET, clock);
   const first = await openRawSocket(b.address, fresh);
   const attempts = await Promise.allSettled(
     [old, fresh, {}].map(headers => openRawSocket(b.address, headers)),
@@ -190,9 +190,8 @@
   first.terminate();
 });
 
-failures('malformed and too large frames end only their link', async () => {
-  // One faulty peer takes a node down for all the others.
-  // It sends noise, text, a message of no known type, and far too much.
+// Guards against a faulty peer that crashes a node or disturbs other peers.
+failures('closes only the connection of an invalid frame', async () => {
   const [a, b] = [await startPeer('a'), await startPeer('b')];
   const unknownType = Buffer.from([0x81, 0xa4, 0x62, 0x6f, 0x64, 0x79, 0x07]);
   const cases: Array<{data: Buffer | string; code: number}> = [
@@ -219,7 +218,7 @@
   assert.is(reply.text, 'b got still here');
 });
 
-failures('a message that is too large is refused before it goes', async () => {
+failures('refuses an oversized message before sending it', async () => {
   const [a, b] = [await startPeer('a'), await startPeer('b')];
   const text = 'x'.repeat(MAX_MESSAGE_BYTES);
   const error = await catchError(a.transport.request(b.address, {text}));
--- a/packages/peer-transport/src/peer_fixture.ts
+++ b/packages/peer-transport/src/peer_fixture.ts
@@ -1,4 +1,4 @@
-/** Transports on loopback, for the tests of this package. */
+/** Test fixture that runs transports on the loopback interface. */
 import {SystemClock, sleep} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
 import * as assert from 'uvu/assert';
@@ -12,7 +12,7 @@
 export const HOST = '127.0.0.1';
 export const SECRET = 'cluster-secret';
 export const MAX_MESSAGE_BYTES = 10_000;
-export const PATIENCE_MS = 10_000;
+export const TIMEOUT_MS = 10_000;
 
 const messageSchema = z.object({text: z.string()});
 export type TestMessage = z.infer<typeof messageSchema>;
@@ -20,7 +20,7 @@
 export const clock = new SystemClock();
 const running: Array<PeerTransport<TestMessage>> = [];
 
-/** A running transport and what it has seen. */
+/** A running transport with its received messages and reported errors. */
 export interface TestPeer {
   transport: PeerTransport<TestMessage>;
   address: string;
@@ -28,10 +28,10 @@
   faults: TypedError[];
 }
 
-/** Starts a transport that answers with what it got. */
+/** Starts a transport that echoes requests. */
 export async function startPeer(
   nodeName: string,
-  change: Partial<PeerTransportOptions<TestMessage>> = {},
+  overrides: Partial<PeerTransportOptions<TestMessage>> = {},
 ): Promise<TestPeer> {
   const received: TestPeer['received'] = [];
   const faults: TypedError[] = [];
@@ -43,30 +43,33 @@
     clock,
     maxConnections: 10,
     maxMessageBytes: MAX_MESSAGE_BYTES,
-    requestTimeoutMs: PATIENCE_MS,
+    requestTimeoutMs: TIMEOUT_MS,
     schema: messageSchema,
     onMessage: (from, {text}) => {
       received.push({from, text});
       return {text: `${nodeName} got ${text}`};
     },
     onFault: error => faults.push(error),
-    ...change,
+    ...overrides,
   });
   running.push(transport);
   const {port} = await transport.start();
   return {transport, address: `${HOST}:${port}`, received, faults};
 }
 
-/** Waits until it is so, for a generous while. */
-export async function waitFor(isSo: () => boolean): Promise<void> {
-  const limitMs = clock.monotonicMs() + PATIENCE_MS;
-  while (!isSo()) {
-    assert.ok(clock.monotonicMs() < limitMs, 'the condition came to hold');
+/** Polls until the condition holds; fails after `TIMEOUT_MS`. */
+export async function waitFor(condition: () => boolean): Promise<void> {
+  const limitMs = clock.monotonicMs() + TIMEOUT_MS;
+  while (!condition()) {
+    assert.ok(
+      clock.monotonicMs() < limitMs,
+      'the condition did not hold in time',
+    );
     await sleep(clock, 5);
   }
 }
 
-/** The typed error that a promise rejects with. */
+/** Returns the typed error that a promise rejects with. */
 export async function catchError(
   promise: Promise<unknown>,
 ): Promise<TypedError> {
@@ -79,7 +82,7 @@
   throw new Error('The promise did not reject.');
 }
 
-/** Stops all transports that were started. */
+/** Stops all transports that `startPeer` started. */
 export async function stopAll(): Promise<void> {
   await Promise.all(running.splice(0).map(transport => transport.stop()));
 }
--- a/packages/peer-transport/src/peer_link.ts
+++ b/packages/peer-transport/src/peer_link.ts
@@ -1,4 +1,4 @@
-/** One open connection to a peer, whoever opened it. */
+/** A WebSocket connection to a peer, opened by either side. */
 import {type Clock, type Timer} from '@mimosatack/clock';
 import {TypedError, toTypedError} from '@mimosatack/errors';
 import {type RawData, type WebSocket} from 'ws';
@@ -8,16 +8,16 @@
 /** Close codes of RFC 6455. */
 const CLOSE_NORMAL = 1000;
 const CLOSE_INVALID_DATA = 1007;
-/** How long a peer has to answer a close before the socket is cut. */
-const CLOSE_GRACE_MS = 1_000;
-/** How long a peer has to answer a ping. */
+/** Time for the peer to answer a close frame before the socket is destroyed. */
+const CLOSE_TIMEOUT_MS = 1_000;
+/** Time for the peer to answer a ping. */
 const PONG_TIMEOUT_MS = 3_000;
 
-const MAX_TINY_PAYLOAD = 125;
-const MAX_SMALL_PAYLOAD = 0xffff;
+const MAX_7_BIT_PAYLOAD = 125;
+const MAX_16_BIT_PAYLOAD = 0xffff;
 const MASK_BYTES = 4;
 
-/** What links have in common and whom they tell. */
+/** Dependencies and callbacks shared by all links. */
 export interface LinkContext<M> {
   codec: FrameCodec<M>;
   clock: Clock;
@@ -25,11 +25,11 @@
   onFrame(link: PeerLink<M>, frame: Frame<M>): void;
   onFault(error: TypedError): void;
   onClose(link: PeerLink<M>): void;
-  /** Called when bytes that waited in the socket have gone out. */
+  /** Called when the socket has written a frame. */
   onDrain(link: PeerLink<M>): void;
 }
 
-/** Owns the socket of one connection. */
+/** Owns the WebSocket of one connection. */
 export class PeerLink<M> {
   lastUsedMs: number;
   private pongTimer: Timer | null = null;
@@ -42,10 +42,10 @@
   ) {
     this.lastUsedMs = context.clock.monotonicMs();
     socket.on('message', (data, isBinary) => this.receive(data, isBinary));
-    socket.on('pong', () => this.endCheck());
+    socket.on('pong', () => this.cancelPongTimer());
     socket.on('error', error => this.reportSocketError(error));
     socket.on('close', () => {
-      this.endCheck();
+      this.cancelPongTimer();
       context.onClose(this);
     });
   }
@@ -54,7 +54,7 @@
     return this.socket.readyState === this.socket.OPEN;
   }
 
-  /** Bytes handed over that have not gone out yet. */
+  /** Bytes in the send buffer of the socket. */
   get bufferedBytes(): number {
     return this.socket.bufferedAmount;
   }
@@ -65,26 +65,25 @@
     const {counters, clock} = this.context;
     this.lastUsedMs = clock.monotonicMs();
     counters.messagesSent++;
-    counters.bytesSent += frameBytes(bytes.length, this.side === 'client');
+    counters.bytesSent += frameSize(bytes.length, this.side === 'client');
     this.socket.send(bytes, () => this.context.onDrain(this));
   }
 
-  /** Closes in good order, and cuts the socket if the peer is silent. */
+  /** Starts the close handshake; destroys the socket if the peer is silent. */
   close(code = CLOSE_NORMAL): void {
     this.socket.close(code);
-    const timer = this.context.clock.setTimer(CLOSE_GRACE_MS, () =>
+    const timer = this.context.clock.setTimer(CLOSE_TIMEOUT_MS, () =>
       this.socket.terminate(),
     );
     this.socket.once('close', () => timer.cancel());
   }
 
   /**
-   * Guards against a connection whose other end vanished without a word: it
-   * stays open here and swallows all that is sent. A live peer's library
-   * answers a ping whatever its handlers do; without an answer the socket is
-   * cut, and the next message opens another connection.
+   * Guards against a half-open connection, whose messages are lost. The peer's
+   * WebSocket library answers a ping even while handlers are busy; without a
+   * pong the socket is destroyed, and the next message opens a new connection.
    */
-  checkPeer(): void {
+  pingPeer(): void {
     if (this.pongTimer !== null || !this.isOpen) return;
     this.socket.ping();
     this.pongTimer = this.context.clock.setTimer(PONG_TIMEOUT_MS, () =>
@@ -92,7 +91,7 @@
     );
   }
 
-  private endCheck(): void {
+  private cancelPongTimer(): void {
     this.pongTimer?.cancel();
     this.pongTimer = null;
   }
@@ -102,42 +101,44 @@
     const bytes = toBytes(data);
     const {counters, clock} = this.context;
     this.lastUsedMs = clock.monotonicMs();
-    this.endCheck();
+    this.cancelPongTimer();
     counters.messagesReceived++;
-    counters.bytesReceived += frameBytes(bytes.length, this.side === 'server');
+    counters.bytesReceived += frameSize(bytes.length, this.side === 'server');
     const frame = this.decode(bytes, isBinary);
     if (frame) this.context.onFrame(this, frame);
   }
 
   /**
-   * Guards against a peer of another release, or a fault on the way, taking
-   * the process down: a frame of no known form is reported and ends only the
-   * connection it came on.
+   * Guards against a process crash on an invalid frame, for example from another
+   * release: the frame is reported and closes only its own connection.
    */
   private decode(bytes: Uint8Array, isBinary: boolean): Frame<M> | null {
     try {
       if (!isBinary) {
-        throw new TypedError('peer-message-invalid', 'A text frame came.');
+        throw new TypedError(
+          'peer-message-invalid',
+          'The frame is not binary.',
+        );
       }
       return this.context.codec.decode(bytes);
     } catch (thrown) {
-      this.context.onFault(this.describe(toTypedError(thrown)));
+      this.context.onFault(this.withPeerInfo(toTypedError(thrown)));
       this.close(CLOSE_INVALID_DATA);
       return null;
     }
   }
 
-  /** `ws` closes by itself on frames it refuses, such as too large ones. */
+  /** `ws` itself closes the connection on a frame that it refuses. */
   private reportSocketError(error: Error): void {
     if (!('code' in error) || !String(error.code).startsWith('WS_ERR_')) return;
     this.context.onFault(
-      this.describe(
+      this.withPeerInfo(
         new TypedError('peer-message-invalid', error.message, {cause: error}),
       ),
     );
   }
 
-  private describe(error: TypedError): TypedError {
+  private withPeerInfo(error: TypedError): TypedError {
     const {kind, summary, details} = error;
     const info = {address: this.peer.address, nodeName: this.peer.nodeName};
     return new TypedError(kind, summary, {...details, info});
@@ -149,12 +150,12 @@
   return data instanceof ArrayBuffer ? new Uint8Array(data) : data;
 }
 
-/** The size of a frame with its header; only clients mask theirs. */
-function frameBytes(payloadBytes: number, isMasked: boolean): number {
+/** Returns the frame size with its header; only clients mask their frames. */
+function frameSize(payloadBytes: number, isMasked: boolean): number {
   const lengthBytes =
-    payloadBytes <= MAX_TINY_PAYLOAD
+    payloadBytes <= MAX_7_BIT_PAYLOAD
       ? 2
-      : payloadBytes <= MAX_SMALL_PAYLOAD
+      : payloadBytes <= MAX_16_BIT_PAYLOAD
         ? 4
         : 10;
   return payloadBytes + lengthBytes + (isMasked ? MASK_BYTES : 0);
--- a/packages/peer-transport/src/peer_server.ts
+++ b/packages/peer-transport/src/peer_server.ts
@@ -1,4 +1,4 @@
-/** Takes the connections of peers that prove who they are. */
+/** Accepts authenticated connections of peers. */
 import {
   type IncomingMessage,
   type Server,
@@ -9,10 +9,12 @@
 import {type Duplex} from 'node:stream';
 import {type TypedError, toTypedError} from '@mimosatack/errors';
 import {type WebSocket, WebSocketServer} from 'ws';
-import {type ConnectionVerifier, writeNodeName} from './authentication.js';
+import {
+  type ConnectionVerifier,
+  createNodeNameHeader,
+} from './authentication.js';
 import {type PeerOrigin} from './options.js';
 
-/** What a server is built from. */
 export interface PeerServerOptions {
   listenHost: string;
   listenPort: number;
@@ -27,7 +29,7 @@
 const UNAUTHORIZED_RESPONSE =
   'HTTP/1.1 401 Unauthorized\r\nConnection: close\r\nContent-Length: 0\r\n\r\n';
 
-/** Owns the listening socket. */
+/** WebSocket server for peers. */
 export class PeerServer {
   private readonly httpServer: Server;
   private readonly webSocketServer: WebSocketServer;
@@ -39,7 +41,7 @@
       maxPayload: options.maxMessageBytes,
       perMessageDeflate: false,
     });
-    const [nameHeader] = Object.entries(writeNodeName(options.nodeName));
+    const [nameHeader] = Object.entries(createNodeNameHeader(options.nodeName));
     this.webSocketServer.on('headers', headers =>
       headers.push(nameHeader!.join(': ')),
     );
@@ -48,7 +50,7 @@
     );
   }
 
-  /** Listens; resolves with the port. */
+  /** Starts listening; resolves with the port. */
   start(): Promise<number> {
     const {listenHost, listenPort} = this.options;
     return new Promise((resolve, reject) => {
@@ -63,7 +65,7 @@
     });
   }
 
-  /** Stops to listen; open connections are the transport's to close. */
+  /** Stops listening; the transport closes open WebSocket connections. */
   stop(): Promise<void> {
     return new Promise(resolve => {
       this.httpServer.close(() => resolve());
@@ -72,7 +74,7 @@
   }
 
   private upgrade(request: IncomingMessage, socket: Duplex, head: Buffer) {
-    /** Without a listener, a reset by the peer would end the process. */
+    // Guards against a process exit on an unhandled socket error.
     socket.on('error', () => socket.destroy());
     try {
       const peer = this.options.verifier.verify(request.headers);
--- a/packages/peer-transport/src/peer_transport.test.ts
+++ b/packages/peer-transport/src/peer_transport.test.ts
@@ -3,10 +3,10 @@
 import * as assert from 'uvu/assert';
 import {catchError, startPeer, stopAll, waitFor} from './peer_fixture.js';
 
-const exchange = suite('messages between two transports');
+const exchange = suite('peer transport');
 exchange.after.each(stopAll);
 
-exchange('a request gets its own reply, in either direction', async () => {
+exchange('matches replies to requests in both directions', async () => {
   const [a, b] = [await startPeer('a'), await startPeer('b')];
   const texts = Array.from({length: 50}, (_, index) => `text ${index}`);
   const replies = await Promise.all(
@@ -25,7 +25,7 @@
   assert.is(a.transport.counters.bytesReceived, b.transport.counters.bytesSent);
 });
 
-exchange('messages without a reply keep their order', async () => {
+exchange('keeps the order of one-way messages', async () => {
   const [a, b] = [await startPeer('a'), await startPeer('b')];
   const texts = Array.from({length: 100}, (_, index) => `text ${index}`);
   texts.forEach(text => a.transport.send(b.address, {text}));
@@ -36,27 +36,26 @@
   );
 });
 
-exchange('over the bound the oldest hints go, never a request', async () => {
-  // A node's memory grows without bound while a peer is slow to connect.
-  // Hints and a request are queued before the connection is open.
+// Guards against unbounded memory use while a peer is slow to connect.
+exchange('drops the oldest one-way messages from a full queue', async () => {
   const [a, b] = [
     await startPeer('a', {maxQueuedMessages: 5}),
     await startPeer('b'),
   ];
   const reply = a.transport.request(b.address, {text: 'request'});
   Array.from({length: 10}, (_, index) =>
-    a.transport.send(b.address, {text: `hint ${index}`}),
+    a.transport.send(b.address, {text: `message ${index}`}),
   );
   assert.is((await reply).text, 'b got request');
   await waitFor(() => b.received.length === 5);
   assert.equal(
     b.received.map(({text}) => text),
-    ['request', 'hint 6', 'hint 7', 'hint 8', 'hint 9'],
+    ['request', 'message 6', 'message 7', 'message 8', 'message 9'],
   );
   assert.is(a.transport.counters.messagesDropped, 6);
 });
 
-exchange('connections stay within the bound', async () => {
+exchange('limits the number of connections', async () => {
   const a = await startPeer('a', {maxConnections: 2});
   const others = await Promise.all(
     ['b', 'c', 'd', 'e'].map(name => startPeer(name)),
@@ -70,7 +69,7 @@
   assert.is(again.text, 'b got again');
 });
 
-exchange('an unused connection is closed', async () => {
+exchange('closes an unused connection', async () => {
   const a = await startPeer('a', {idleTimeoutMs: 20});
   const b = await startPeer('b');
   await a.transport.request(b.address, {text: 'hello'});
@@ -78,7 +77,7 @@
   await waitFor(() => b.transport.connectionCount === 0);
 });
 
-exchange('the error of a handler comes back with its kind', async () => {
+exchange('returns the error of a handler to the requester', async () => {
   const a = await startPeer('a');
   const b = await startPeer('b', {
     onMessage: () => {
--- a/packages/peer-transport/src/peer_transport.ts
+++ b/packages/peer-transport/src/peer_transport.ts
@@ -5,8 +5,13 @@
 import {type Timer} from '@mimosatack/clock';
 import {TypedError, toTypedError} from '@mimosatack/errors';
 import {type WebSocket} from 'ws';
-import {ConnectionVerifier, signConnection} from './authentication.js';
-import {type Frame, FrameCodec, fromFailure, toFailure} from './frame_codec.js';
+import {ConnectionVerifier, createAuthHeaders} from './authentication.js';
+import {
+  type Frame,
+  FrameCodec,
+  decodeError,
+  encodeError,
+} from './frame_codec.js';
 import {openConnection} from './open_connection.js';
 import {
   type PeerCounters,
@@ -23,7 +28,7 @@
 const DEFAULT_MAX_QUEUED_MESSAGES = 256;
 const CLOSE_GOING_AWAY = 1001;
 
-/** The task that owns the connections between this node and its peers. */
+/** Owns the connections between this node and its peers. */
 export class PeerTransport<M> {
   readonly counters: PeerCounters = createCounters();
   private readonly server: PeerServer;
@@ -40,7 +45,7 @@
     const {listenHost, listenPort, clusterSecret, clock} = options;
     this.selfAddress = options.selfAddress ?? `${listenHost}:${listenPort}`;
     this.codec = new FrameCodec(options.schema, options.maxMessageBytes);
-    this.requests = new PendingRequests(clock, link => link.checkPeer());
+    this.requests = new PendingRequests(clock, link => link.pingPeer());
     this.server = new PeerServer({
       listenHost,
       listenPort,
@@ -54,19 +59,19 @@
       codec: this.codec,
       clock,
       counters: this.counters,
-      onFrame: (link, frame) => this.receive(link, frame),
+      onFrame: (link, frame) => this.handleFrame(link, frame),
       onFault: error => this.reportFault(error),
-      onClose: link => this.forgetLink(link),
+      onClose: link => this.removeLink(link),
       onDrain: link => this.channels.get(link.peer.address)?.flush(),
     };
   }
 
-  /** How many connections are open. */
+  /** Number of open connections. */
   get connectionCount(): number {
     return this.links.size;
   }
 
-  /** Listens for peers; resolves with the port. */
+  /** Starts listening for peers; resolves with the port. */
   async start(): Promise<{port: number}> {
     const {listenHost, selfAddress} = this.options;
     const port = await this.server.start();
@@ -75,32 +80,32 @@
     return {port};
   }
 
-  /** Sends a hint: best effort, and nobody learns if it is lost. */
+  /** Sends a one-way message, best effort; a lost message is not reported. */
   send(address: string, message: M): void {
     if (this.stopping.signal.aborted) return;
     this.channelTo(address).send({kind: 'message', body: message});
   }
 
   /**
-   * Sends a message and resolves with its reply. The error it rejects with
-   * says by `run` whether any of the request was handed to a connection.
+   * Sends a request and resolves with its reply. On rejection, `run` of the
+   * error tells whether the request was written to a connection.
    */
   request(
     address: string,
     message: M,
     timeoutMs = this.options.requestTimeoutMs,
   ): Promise<M> {
-    if (this.stopping.signal.aborted) return Promise.reject(makeStopped());
-    return this.requests.open(address, timeoutMs, id =>
+    if (this.stopping.signal.aborted) return Promise.reject(shutdownError());
+    return this.requests.register(address, timeoutMs, id =>
       this.channelTo(address).send({kind: 'request', id, body: message}),
     );
   }
 
-  /** Closes all connections; requests that wait are rejected. */
+  /** Closes all connections and rejects pending requests. */
   async stop(): Promise<void> {
     this.stopping.abort();
     this.sweepTimer?.cancel();
-    this.channels.forEach(channel => channel.giveUpAll(makeStopped()));
+    this.channels.forEach(channel => channel.dropAll(shutdownError()));
     this.links.forEach(link => link.close(CLOSE_GOING_AWAY));
     await this.server.stop();
   }
@@ -113,18 +118,18 @@
       clock,
       maxQueuedMessages: maxQueuedMessages ?? DEFAULT_MAX_QUEUED_MESSAGES,
       connect: () => this.connect(address),
-      isWanted: frame =>
-        frame.kind === 'message' || this.requests.isOpen(frame.id),
+      isNeeded: frame =>
+        frame.kind === 'message' || this.requests.isPending(frame.id),
       onWritten: (frame, link) => {
         if (frame.kind === 'request') this.requests.markWritten(frame.id, link);
       },
-      onGivenUp: (frame, error) => this.giveUp(frame, error),
+      onDropped: (frame, error) => this.handleDropped(frame, error),
     });
     this.channels.set(address, channel);
     return channel;
   }
 
-  private giveUp(frame: OutgoingFrame<M>, error: TypedError): void {
+  private handleDropped(frame: OutgoingFrame<M>, error: TypedError): void {
     if (frame.kind === 'request') {
       this.requests.rejectUnwritten(frame.id, error);
       return;
@@ -139,11 +144,11 @@
     try {
       return await openConnection({
         address,
-        headers: signConnection(self, clusterSecret, clock),
+        headers: createAuthHeaders(self, clusterSecret, clock),
         maxMessageBytes,
         signal: this.stopping.signal,
         onOpen: (socket, peerName) =>
-          this.adopt({address, nodeName: peerName}, socket, 'client'),
+          this.registerLink({address, nodeName: peerName}, socket, 'client'),
       });
     } catch (thrown) {
       const error = toTypedError(thrown);
@@ -154,11 +159,11 @@
   }
 
   private accept(peer: PeerOrigin, socket: WebSocket): void {
-    const link = this.adopt(peer, socket, 'server');
+    const link = this.registerLink(peer, socket, 'server');
     this.channelTo(peer.address).attach(link);
   }
 
-  private adopt(
+  private registerLink(
     peer: PeerOrigin,
     socket: WebSocket,
     side: 'client' | 'server',
@@ -167,47 +172,49 @@
     this.counters.connectionsOpened++;
     this.links.add(link);
     if (this.stopping.signal.aborted) link.close(CLOSE_GOING_AWAY);
-    if (this.links.size > this.options.maxConnections) this.evictFor(link);
+    if (this.links.size > this.options.maxConnections) this.evictOldest(link);
     return link;
   }
 
-  /** Closes the least recently used connection, if possible an idle one. */
-  private evictFor(newLink: PeerLink<M>): void {
-    const byUse = [...this.links]
+  /** Closes the least recently used connection, idle connections first. */
+  private evictOldest(newLink: PeerLink<M>): void {
+    const leastRecentlyUsed = [...this.links]
       .filter(link => link !== newLink && link.isOpen)
       .sort((first, second) => first.lastUsedMs - second.lastUsedMs);
-    const idle = byUse.find(link => !this.requests.isAwaiting(link));
-    (idle ?? byUse[0])?.close();
+    const idle = leastRecentlyUsed.find(
+      link => !this.requests.hasPending(link),
+    );
+    (idle ?? leastRecentlyUsed[0])?.close();
   }
 
-  private forgetLink(link: PeerLink<M>): void {
+  private removeLink(link: PeerLink<M>): void {
     this.links.delete(link);
     this.requests.rejectAllOn(link);
     this.channels.get(link.peer.address)?.detach(link);
   }
 
-  private receive(link: PeerLink<M>, frame: Frame<M>): void {
+  private handleFrame(link: PeerLink<M>, frame: Frame<M>): void {
     switch (frame.kind) {
       case 'message':
-        void this.handle(link, frame.body);
+        void this.handleMessage(link, frame.body);
         return;
       case 'request':
-        void this.answer(link, frame.id, frame.body);
+        void this.handleRequest(link, frame.id, frame.body);
         return;
       case 'reply':
         this.requests.resolve(frame.replyTo, link, frame.body);
         return;
       case 'failure':
-        this.requests.rejectFrom(
+        this.requests.rejectWithPeerError(
           frame.replyTo,
           link,
-          fromFailure(frame.failure),
+          decodeError(frame.failure),
         );
         return;
     }
   }
 
-  private async handle(link: PeerLink<M>, message: M): Promise<void> {
+  private async handleMessage(link: PeerLink<M>, message: M): Promise<void> {
     try {
       await this.options.onMessage(link.peer, message);
     } catch (thrown) {
@@ -215,22 +222,22 @@
     }
   }
 
-  private async answer(
+  private async handleRequest(
     link: PeerLink<M>,
     id: number,
     message: M,
   ): Promise<void> {
     try {
       const body = await this.options.onMessage(link.peer, message);
-      if (body === undefined) throw makeNoReply();
+      if (body === undefined) throw noReplyError();
       this.reply(link, {kind: 'reply', replyTo: id, body});
     } catch (thrown) {
-      const failure = toFailure(toTypedError(thrown));
+      const failure = encodeError(toTypedError(thrown));
       this.reply(link, {kind: 'failure', replyTo: id, failure});
     }
   }
 
-  /** A connection that closed meanwhile has told the requester already. */
+  /** Skips a closed connection, as the requester has already seen the close. */
   private reply(link: PeerLink<M>, frame: Frame<M>): void {
     if (link.isOpen) link.write(frame);
   }
@@ -247,7 +254,7 @@
     const oldestMs = this.options.clock.monotonicMs() - idleTimeoutMs;
     [...this.links]
       .filter(link => link.lastUsedMs <= oldestMs)
-      .filter(link => !this.requests.isAwaiting(link))
+      .filter(link => !this.requests.hasPending(link))
       .forEach(link => link.close());
     [...this.channels]
       .filter(([, channel]) => channel.isUnused)
@@ -260,12 +267,15 @@
   }
 }
 
-function makeStopped(): TypedError {
+function shutdownError(): TypedError {
   return new TypedError('shutting-down', 'This node is shutting down.', {
     run: 'not-run',
   });
 }
 
-function makeNoReply(): TypedError {
-  return new TypedError('peer-message-invalid', 'The request has no reply.');
+function noReplyError(): TypedError {
+  return new TypedError(
+    'peer-message-invalid',
+    'The handler returned no reply to the request.',
+  );
 }
--- a/packages/peer-transport/src/pending_requests.ts
+++ b/packages/peer-transport/src/pending_requests.ts
@@ -1,31 +1,31 @@
-/** Requests of this node that wait for their reply. */
+/** Tracks requests of this node until their replies arrive. */
 import {type Clock, type Timer} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
 import {PEER_UNREACHABLE} from './options.js';
 
-/** One request that waits. `L` is the connection it was written to. */
+/** A request without a reply; `L` is the type of its connection. */
 interface PendingRequest<M, L> {
   address: string;
-  /** Null while nothing of the request has been handed to a connection. */
+  /** Null until the request is written to a connection. */
   link: L | null;
   timer: Timer;
   resolve(reply: M): void;
   reject(error: TypedError): void;
 }
 
-/** Numbers requests, finds their replies and ends those that wait too long. */
+/** Assigns request IDs, matches replies and enforces timeouts. */
 export class PendingRequests<M, L> {
   private nextId = 0;
   private readonly pending = new Map<number, PendingRequest<M, L>>();
 
-  /** @param onTimeout told which connection did not answer in time. */
+  /** @param onTimeout called with the connection of a timed-out request. */
   constructor(
     private readonly clock: Clock,
     private readonly onTimeout: (link: L) => void,
   ) {}
 
-  /** Opens a request; `write` is called once with its id. */
-  open(
+  /** Registers a request and calls `write` once with its ID. */
+  register(
     address: string,
     timeoutMs: number,
     write: (id: number) => void,
@@ -40,12 +40,12 @@
     });
   }
 
-  isOpen(id: number): boolean {
+  isPending(id: number): boolean {
     return this.pending.has(id);
   }
 
-  /** Whether any request waits for a reply on the connection. */
-  isAwaiting(link: L): boolean {
+  /** Whether any request on the connection has no reply yet. */
+  hasPending(link: L): boolean {
     return [...this.pending.values()].some(request => request.link === link);
   }
 
@@ -54,30 +54,30 @@
     if (request) request.link = link;
   }
 
-  /** Settles with a reply; one that comes too late is passed over. */
+  /** Resolves a request with its reply; ignores a late reply. */
   resolve(id: number, link: L, reply: M): void {
-    if (this.pending.get(id)?.link === link) this.take(id)?.resolve(reply);
+    if (this.pending.get(id)?.link === link) this.remove(id)?.resolve(reply);
   }
 
-  /** Settles with the failure that the other node told. */
-  rejectFrom(id: number, link: L, error: TypedError): void {
-    if (this.pending.get(id)?.link === link) this.take(id)?.reject(error);
+  /** Rejects a request with the error that the peer returned. */
+  rejectWithPeerError(id: number, link: L, error: TypedError): void {
+    if (this.pending.get(id)?.link === link) this.remove(id)?.reject(error);
   }
 
-  /** Settles a request that was not written to any connection. */
+  /** Rejects a request that was not written to a connection. */
   rejectUnwritten(id: number, error: TypedError): void {
-    this.take(id)?.reject(error.withRun('not-run'));
+    this.remove(id)?.reject(error.withRun('not-run'));
   }
 
-  /** Settles all requests that were written to a connection now closed. */
+  /** Rejects all requests that were written to a closed connection. */
   rejectAllOn(link: L): void {
     [...this.pending]
       .filter(([, request]) => request.link === link)
       .forEach(([id, {address}]) =>
-        this.take(id)?.reject(
+        this.remove(id)?.reject(
           new TypedError(
             PEER_UNREACHABLE,
-            `The connection to ${address} closed before the reply came.`,
+            `The connection to ${address} closed before the reply.`,
             {run: 'unknown'},
           ),
         ),
@@ -85,7 +85,7 @@
   }
 
   private expire(id: number, timeoutMs: number): void {
-    const request = this.take(id);
+    const request = this.remove(id);
     if (!request) return;
     const {address, link} = request;
     request.reject(
@@ -98,7 +98,7 @@
     if (link !== null) this.onTimeout(link);
   }
 
-  private take(id: number): PendingRequest<M, L> | undefined {
+  private remove(id: number): PendingRequest<M, L> | undefined {
     const request = this.pending.get(id);
     this.pending.delete(id);
     request?.timer.cancel();
