--- a/packages/backend-connections/src/backend_connection.ts
+++ b/packages/backend-connections/src/backend_connection.ts
@@ -193,13 +193,10 @@
  */
 function createFailureError(isUnwritten: boolean, cause: Error): TypedError {
   return isUnwritten
-    ? createUnreachableError(
-        'The connection failed before the call was written.',
-        cause,
-      )
+    ? createUnreachableError('The connection broke before it was used.', cause)
     : new TypedError(
         'backend-failed',
-        'The connection failed after part of the call was written.',
+        'The connection broke after the call was begun.',
         {run: 'unknown', cause},
       );
 }
@@ -228,12 +225,10 @@
     const fail = (cause: Error) => {
       timer?.cancel();
       socket.destroy();
-      reject(
-        createUnreachableError('The connection was not established.', cause),
-      );
+      reject(createUnreachableError('No connection could be made.', cause));
     };
     timer = clock.setTimer(timeoutMs, () =>
-      fail(new Error('The connection attempt timed out.')),
+      fail(new Error('Connecting took too long.')),
     );
     socket.once('error', fail);
     socket.once('connect', () => {
@@ -255,7 +250,7 @@
     keepAliveTimeoutThreshold: 0,
     connect: (_options, callback) => {
       if (isUsed || socket.destroyed) {
-        callback(new Error('The client must not reconnect.'), null);
+        callback(new Error('The connection is used up.'), null);
         return;
       }
       isUsed = true;
--- a/packages/backend-connections/src/collect_answer.ts
+++ b/packages/backend-connections/src/collect_answer.ts
@@ -43,7 +43,7 @@
         byteCount += chunk.length;
         if (byteCount > MAX_RESPONSE_BYTES) {
           handle.abort();
-          fail(createUnreachableError('The response is too large.'));
+          fail(createUnreachableError('The answer is too large.'));
         }
         return true;
       },
@@ -59,9 +59,9 @@
       fail(createUnreachableError(message));
     };
     const timer = clock.setTimer(timeoutMs, () =>
-      abort('The response timed out.'),
+      abort('No answer came in time.'),
     );
-    const onAbort = () => abort('The call was aborted.');
+    const onAbort = () => abort('The answer is no longer wanted.');
     signal?.addEventListener('abort', onAbort, {once: true});
   });
 }
--- a/packages/claim-keys/src/memory_log.ts
+++ b/packages/claim-keys/src/memory_log.ts
@@ -36,10 +36,7 @@
     this.wakeReaders();
     if (this.responsesToDrop > 0) {
       this.responsesToDrop -= 1;
-      throw new TypedError(
-        'platform-unavailable',
-        'The append response was lost.',
-      );
+      throw new TypedError('platform-unavailable', 'The answer was lost.');
     }
     return offset;
   }
@@ -55,7 +52,7 @@
     const records = this.streams.get(stream) ?? [];
     const firstOffset = this.firstOffsets.get(stream) ?? 0;
     if (from < firstOffset) {
-      throw new TypedError('trimmed', 'The offset was trimmed.', {
+      throw new TypedError('trimmed', 'gone', {
         info: {firstOffset},
       });
     }
--- a/packages/peer-transport/src/authentication.ts
+++ b/packages/peer-transport/src/authentication.ts
@@ -67,7 +67,7 @@
       throw createUnauthorizedError(
         origin,
         'the signature does not match',
-        'Set the same cluster secret on all nodes.',
+        'Give all nodes the same cluster secret.',
       );
     }
     this.checkAge(Number(timeMs), origin);
@@ -80,7 +80,7 @@
     throw createUnauthorizedError(
       origin,
       'the signature is too old',
-      'Synchronize the clocks of all hosts.',
+      'Set the clocks of all hosts by one time service.',
     );
   }
 
@@ -96,7 +96,7 @@
     if (this.nonces.has(nonce) || this.nonces.size >= MAX_NONCES) {
       throw createUnauthorizedError(
         origin,
-        'the nonce was used before',
+        'the nonce was used',
         'Connect again.',
       );
     }
--- a/packages/peer-transport/src/frame_codec.ts
+++ b/packages/peer-transport/src/frame_codec.ts
@@ -45,8 +45,8 @@
     if (bytes.length <= this.maxMessageBytes) return bytes;
     throw new TypedError(
       'peer-message-invalid',
-      `A message of ${bytes.length} bytes exceeds the limit of ${this.maxMessageBytes}.`,
-      {remedy: 'Split the message, or raise the limit on all nodes.'},
+      `A message of ${bytes.length} bytes is over the limit of ${this.maxMessageBytes}.`,
+      {remedy: 'Send it in pages, or raise the limit on all nodes.'},
     );
   }
 
@@ -57,7 +57,7 @@
     } catch (thrown) {
       throw new TypedError(
         'peer-message-invalid',
-        'A message from a peer has an invalid format.',
+        'A message from a peer has no known form.',
         {cause: toTypedError(thrown)},
       );
     }
--- a/packages/peer-transport/src/open_connection.ts
+++ b/packages/peer-transport/src/open_connection.ts
@@ -69,7 +69,7 @@
 function createUnreachableError(address: string, cause: Error): TypedError {
   return new TypedError(
     PEER_UNREACHABLE,
-    `The connection to the peer ${address} failed: ${cause.message}.`,
+    `The peer ${address} can't be reached: ${cause.message}.`,
     {cause},
   );
 }
@@ -79,8 +79,7 @@
     'unauthorized',
     `The peer ${address} refused this node's signature.`,
     {
-      remedy:
-        'Set the same cluster secret on all nodes and synchronize their clocks.',
+      remedy: 'Give all nodes the same cluster secret and right clocks.',
     },
   );
 }
--- a/packages/peer-transport/src/peer_channel.ts
+++ b/packages/peer-transport/src/peer_channel.ts
@@ -143,7 +143,7 @@
       frame!,
       new TypedError(
         'overloaded',
-        `The send queue for the peer ${this.address} is full.`,
+        `Too many messages wait for the peer ${this.address}.`,
       ),
     );
   }
@@ -151,7 +151,7 @@
   private createUnreachableError(): TypedError {
     return new TypedError(
       PEER_UNREACHABLE,
-      `A recent connection attempt to the peer ${this.address} failed.`,
+      `The peer ${this.address} could not be reached a moment ago.`,
     );
   }
 }
--- a/packages/peer-transport/src/peer_link.ts
+++ b/packages/peer-transport/src/peer_link.ts
@@ -115,10 +115,7 @@
   private decode(bytes: Uint8Array, isBinary: boolean): Frame<M> | null {
     try {
       if (!isBinary) {
-        throw new TypedError(
-          'peer-message-invalid',
-          'The frame is not binary.',
-        );
+        throw new TypedError('peer-message-invalid', 'A text frame came.');
       }
       return this.context.codec.decode(bytes);
     } catch (thrown) {
--- a/packages/peer-transport/src/peer_transport.ts
+++ b/packages/peer-transport/src/peer_transport.ts
@@ -274,8 +274,5 @@
 }
 
 function noReplyError(): TypedError {
-  return new TypedError(
-    'peer-message-invalid',
-    'The handler returned no reply to the request.',
-  );
+  return new TypedError('peer-message-invalid', 'The request has no reply.');
 }
--- a/packages/peer-transport/src/pending_requests.ts
+++ b/packages/peer-transport/src/pending_requests.ts
@@ -77,7 +77,7 @@
         this.remove(id)?.reject(
           new TypedError(
             PEER_UNREACHABLE,
-            `The connection to ${address} closed before the reply.`,
+            `The connection to ${address} closed before the reply came.`,
             {run: 'unknown'},
           ),
         ),
