--- a/packages/keyed-store/src/keyed_follower.test.ts
+++ b/packages/keyed-store/src/keyed_follower.test.ts
@@ -7,14 +7,14 @@
 import {KeyedTable} from './keyed_table.js';
 import {MemoryKeyedTopic} from './memory_keyed_topic.js';
 
-const test = suite('following a topic');
+const test = suite('keyed follower');
 
 function startFollower(change: Partial<KeyedFollowerOptions> = {}) {
   const clock = new ManualClock();
   const topic = new MemoryKeyedTopic();
   const table = new KeyedTable();
-  const seen: string[] = [];
-  const dependency: string[] = [];
+  const changesSeen: string[] = [];
+  const connectionEvents: string[] = [];
   const follower = new KeyedFollower({
     ...{clock, topic, table, random: new SeededRandom(1)},
     waitMs: () => 20_000,
@@ -22,26 +22,26 @@
     retryDelayMs: 200,
     onChanges: changes =>
       changes.forEach(({key, value}) =>
-        seen.push(
+        changesSeen.push(
           `${key}=${value === null ? '-' : Buffer.from(value).toString()}`,
         ),
       ),
-    onLost: () => dependency.push('lost'),
-    onRegained: () => dependency.push('regained'),
+    onLost: () => connectionEvents.push('lost'),
+    onRegained: () => connectionEvents.push('regained'),
     ...change,
   });
-  /** Moves time on in small steps, as timers and answers take turns. */
+  /** Advances the clock in small steps, so that pending reads settle. */
   const pass = async (ms: number) => {
-    for (let passed = 0; passed < ms; passed += 50) {
+    for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += 50) {
       clock.advance(50);
       await settle();
     }
   };
-  return {clock, topic, table, follower, seen, dependency, pass};
+  return {clock, topic, table, follower, changesSeen, connectionEvents, pass};
 }
 
-test('reads all that stands there, then each change', async () => {
-  const {topic, follower, seen, pass} = startFollower();
+test('reads the existing records, then each change', async () => {
+  const {topic, follower, changesSeen, pass} = startFollower();
   topic.put('config', '1');
   follower.start();
   await pass(100);
@@ -49,12 +49,12 @@
   await pass(100);
   topic.put('config', null);
   await pass(100);
-  assert.equal(seen, ['config=1', 'config=2', 'config=-']);
+  assert.equal(changesSeen, ['config=1', 'config=2', 'config=-']);
   follower.stop();
 });
 
-test('a store that is down is told once, and found again', async () => {
-  const {topic, follower, seen, dependency, pass} = startFollower({
+test('an outage is reported once, and so is the recovery', async () => {
+  const {topic, follower, changesSeen, connectionEvents, pass} = startFollower({
     waitMs: () => 0,
   });
   topic.put('a', '1');
@@ -62,22 +62,19 @@
   await pass(100);
   topic.isDown = true;
   await pass(2_000);
-  assert.equal(dependency, ['regained', 'lost']);
+  assert.equal(connectionEvents, ['regained', 'lost']);
   topic.isDown = false;
   topic.put('a', '2');
   await pass(1_000);
-  assert.equal(dependency, ['regained', 'lost', 'regained']);
-  assert.equal(seen, ['a=1', 'a=2']);
+  assert.equal(connectionEvents, ['regained', 'lost', 'regained']);
+  assert.equal(changesSeen, ['a=1', 'a=2']);
   follower.stop();
 });
 
-/*
- * The store forgets its history while this node was cut off. The offset it
- * reads from is gone, and a server that left meanwhile would stay in the list
- * for ever: the newest record of each key is read again instead.
- */
-test('history that is gone is made up for by a snapshot', async () => {
-  const {topic, follower, seen, pass} = startFollower({waitMs: () => 0});
+// Guards against keys that stay after their deletion records have expired in
+// the store.
+test('a snapshot is read when the offset has expired', async () => {
+  const {topic, follower, changesSeen, pass} = startFollower({waitMs: () => 0});
   topic.put('a', '1');
   topic.put('b', '1');
   follower.start();
@@ -88,26 +85,23 @@
   topic.firstOffset = 4;
   topic.isDown = false;
   await pass(1_000);
-  assert.equal(seen, ['a=1', 'b=1', 'c=1', 'a=-']);
+  assert.equal(changesSeen, ['a=1', 'b=1', 'c=1', 'a=-']);
   follower.stop();
 });
 
-/*
- * A connection falls silent for good while a read waits on it. The change that
- * was made meanwhile is not noticed until the read is given up; a peer that
- * knows of the change makes the node read at once.
- */
-test('a read that waits in vain can be ended', async () => {
-  const {topic, follower, seen, pass} = startFollower();
+// Guards against a dead connection that delays a change until the waiting read
+// times out.
+test('refresh aborts a waiting read and reads at once', async () => {
+  const {topic, follower, changesSeen, pass} = startFollower();
   follower.start();
   await pass(100);
-  // The read under way hears nothing; the next one is answered.
+  // Bypasses `put`, so that the waiting read is not notified.
   topic.records.push({key: 'a', value: Buffer.from('1'), offset: 0});
   await pass(1_000);
-  assert.equal(seen, []);
+  assert.equal(changesSeen, []);
   follower.refresh();
   await pass(100);
-  assert.equal(seen, ['a=1']);
+  assert.equal(changesSeen, ['a=1']);
   follower.stop();
 });
 
@@ -127,13 +121,10 @@
   follower.stop();
 });
 
-/*
- * Story: the store is away for ten seconds, and the operators pay more for the
- * calls of these than of the rest of the day. Each of hundreds of nodes went on
- * calling three times a second for each topic.
- */
-test('a store that is away is called less and less, and found again soon', async () => {
-  const {topic, follower, seen, pass} = startFollower({
+// Guards against an outage in which the retries of all nodes multiply the billed
+// calls to the store.
+test('the retry delay grows during an outage, and recovery stays fast', async () => {
+  const {topic, follower, changesSeen, pass} = startFollower({
     waitMs: () => 0,
     maxRetryDelayMs: () => 2_000,
   });
@@ -148,12 +139,12 @@
   topic.isDown = false;
   topic.put('a', '2');
   await pass(3_100);
-  assert.equal(seen, ['a=1', 'a=2']);
+  assert.equal(changesSeen, ['a=1', 'a=2']);
   follower.stop();
 });
 
-test('a node that has never read is back within the second', async () => {
-  const {topic, follower, seen, pass} = startFollower({
+test('a node that has never read recovers within a second', async () => {
+  const {topic, follower, changesSeen, pass} = startFollower({
     waitMs: () => 0,
     maxRetryDelayMs: () => 2_000,
   });
@@ -163,11 +154,11 @@
   await pass(10_000);
   topic.isDown = false;
   await pass(800);
-  assert.equal(seen, ['a=1']);
+  assert.equal(changesSeen, ['a=1']);
   follower.stop();
 });
 
-test('whoever reads for others goes on calling as often', async () => {
+test('the retry delay is constant when its limit is the initial delay', async () => {
   const {topic, follower, pass} = startFollower({
     waitMs: () => 0,
     maxRetryDelayMs: () => 200,
@@ -181,9 +172,9 @@
   follower.stop();
 });
 
-// Guards against a read of a large record that is begun anew until it never ends.
+// Guards against a large read that `refresh` restarts until it never completes.
 test('a read that does not wait goes on when others are asked for', async () => {
-  const {clock, topic, follower, seen, pass} = startFollower({
+  const {clock, topic, follower, changesSeen, pass} = startFollower({
     waitMs: () => 0,
   });
   topic.put('config', '1');
@@ -192,21 +183,21 @@
   const readFrom = topic.readFrom.bind(topic);
   topic.readFrom = async (offset, waitMs, signal) => {
     await sleep(clock, 600, signal);
-    if (signal?.aborted) throw new Error('The read was ended.');
+    if (signal?.aborted) throw new Error('The read was aborted.');
     return readFrom(offset, waitMs);
   };
   topic.put('config', '2');
-  for (let passed = 0; passed < 2_000; passed += 250) {
+  for (let elapsedMs = 0; elapsedMs < 2_000; elapsedMs += 250) {
     follower.refresh();
     await pass(250);
   }
-  assert.equal(seen, ['config=1', 'config=2']);
+  assert.equal(changesSeen, ['config=1', 'config=2']);
   follower.stop();
 });
 
-// Guards against an outage that costs twice the calls, since others were asked for.
-test('what is asked for during an outage adds no calls', async () => {
-  const play = async (refreshes: boolean) => {
+// Guards against `refresh` calls that bypass the retry delay during an outage.
+test('refresh adds no reads during an outage', async () => {
+  const countReads = async (callsRefresh: boolean) => {
     const {topic, follower, pass} = startFollower({
       ...{waitMs: () => 0, maxRetryDelayMs: () => 2_000},
     });
@@ -215,14 +206,14 @@
     await pass(100);
     topic.isDown = true;
     const before = topic.readCount;
-    for (let passed = 0; passed < 10_000; passed += 250) {
-      if (refreshes) follower.refresh();
+    for (let elapsedMs = 0; elapsedMs < 10_000; elapsedMs += 250) {
+      if (callsRefresh) follower.refresh();
       await pass(250);
     }
     follower.stop();
     return topic.readCount - before;
   };
-  assert.is(await play(true), await play(false));
+  assert.is(await countReads(true), await countReads(false));
 });
 
 test.run();
--- a/packages/keyed-store/src/keyed_follower.ts
+++ b/packages/keyed-store/src/keyed_follower.ts
@@ -1,4 +1,4 @@
-/** The task that keeps a table in step with its topic in the store. */
+/** Keeps a table up to date with its topic in the store. */
 import {type Clock, sleep} from '@mimosatack/clock';
 import {type TypedError, toTypedError} from '@mimosatack/errors';
 import {type RandomSource, addJitter} from '@mimosatack/random';
@@ -9,74 +9,75 @@
   type ReadOutcome,
 } from './keyed_topic.js';
 
-/** What a follower is built from. */
 export interface KeyedFollowerOptions {
   clock: Clock;
   random: RandomSource;
   topic: KeyedTopic;
   table: KeyedTable;
-  /** How long the store holds a read back while there is nothing new. */
+  /** How long a read waits in the store for a new record. */
   waitMs: () => number;
-  /** The least time between the begins of two reads, so that a topic with
-   * many changes is read in batches. */
+  /**
+   * The minimum time between the starts of two reads, so that frequent changes
+   * are read in batches.
+   */
   minIntervalMs: number;
   /**
-   * A table that was read longer ago than this is read as a whole: where all
-   * keys change again and again, that is less than all that was written since.
+   * After this time without a successful read, a snapshot is read: if keys
+   * change often, the snapshot is smaller than the records written since.
    */
   snapshotAfterMs?: number;
-  /** The wait after a failed read. */
+  /** The delay after the first failed read. */
   retryDelayMs: number;
   /**
-   * It doubles with each failure in a row, up to this; without it, it stays.
-   *
-   * Guards against an outage that costs more calls than a day without: hundreds
-   * of nodes call nearly four times a second for each of four topics, and a
-   * refused call counts as any other. In ten seconds, 37 calls become 7.
+   * The upper limit of the retry delay, which doubles with each consecutive
+   * failure; if unset, the delay is constant. Guards against retries of many
+   * nodes that multiply the billed calls to the store during an outage.
    */
   maxRetryDelayMs?: () => number;
-  /** False while the table is kept in step in another way. */
+  /** False while the table is kept up to date by other means. */
   isNeeded?: () => boolean;
   onChanges: (changes: readonly KeyedChange[]) => void;
-  /** Told of the first failure in a row. */
+  /** Called on the first of consecutive failures. */
   onLost: (error: TypedError) => void;
-  /** Told of the first success after a failure, and of the first of all. */
+  /** Called on the first success, and on the first after a failure. */
   onRegained: () => void;
 }
 
-const RETRY_SPREAD = 0.5;
-/** A node that has never read the topic may know nobody who has. */
+const RETRY_JITTER = 0.5;
+/**
+ * The limit of the retry delay before the first successful read, while the node
+ * may know no peer that has the records.
+ */
 const MAX_FIRST_RETRY_MS = 500;
 
 /** Reads a topic until it is stopped. */
 export class KeyedFollower {
   private readonly stopping = new AbortController();
-  /** Of the read that waits, while there is one. */
-  private waiting: AbortController | null = null;
-  private isInStep = false;
+  private longPollController: AbortController | null = null;
+  private isLastReadOk = false;
   private hasSnapshot = false;
   private succeededAtMs = -Infinity;
-  private inStepAsOfMs = -Infinity;
-  private failures = 0;
+  private lastSuccessStartedAtMs = -Infinity;
+  private consecutiveFailures = 0;
 
   constructor(private readonly options: KeyedFollowerOptions) {}
 
   /** Whether the last read succeeded. */
   get isReachable(): boolean {
-    return this.isInStep;
+    return this.isLastReadOk;
   }
 
-  /** When the last read succeeded, on the monotonic clock. */
+  /** When the last successful read finished, on the monotonic clock. */
   get lastSuccessMs(): number {
     return this.succeededAtMs;
   }
 
   /**
-   * When the last read that succeeded was begun, on the monotonic clock: what the
-   * store took before then is known.
+   * When the last successful read started, on the monotonic clock. The table
+   * holds all records that the store accepted before then.
    */
   get asOfMs(): number {
-    return this.inStepAsOfMs;
+    return this.lastSuccessStartedAtMs;
   }
 
   start(): void {
@@ -84,20 +85,18 @@
   }
 
   /**
-   * Ends a read that waits and reads at once. A read that does not wait goes on:
-   * its answer may be large and its link slow, and one that is begun anew again
-   * and again never ends. Guards against a connection that
-   * has gone silent for good, which a read that waits long can't tell from a
-   * topic without changes; whoever learns that it has missed one calls this.
+   * Aborts a waiting read and reads at once. Guards against a dead connection,
+   * which a waiting read can't tell from a topic without changes; call this on
+   * evidence of a missed change. A read that does not wait continues, because
+   * repeated restarts would keep a large or slow response from completing.
    */
   refresh(): void {
-    this.waiting?.abort();
+    this.longPollController?.abort();
   }
 
-  /** Takes no more changes. */
   stop(): void {
     this.stopping.abort();
-    this.waiting?.abort();
+    this.longPollController?.abort();
   }
 
   private async run(): Promise<void> {
@@ -105,17 +104,17 @@
     const {signal} = this.stopping;
     while (!signal.aborted) {
       const startedAtMs = clock.monotonicMs();
-      if (this.isNeeded) await this.readOnce(signal);
-      const restMs = startedAtMs + minIntervalMs - clock.monotonicMs();
-      if (restMs > 0) await sleep(clock, restMs, signal);
+      if (this.shouldRead) await this.readOnce(signal);
+      const remainingMs = startedAtMs + minIntervalMs - clock.monotonicMs();
+      if (remainingMs > 0) await sleep(clock, remainingMs, signal);
     }
   }
 
-  private get isNeeded(): boolean {
+  private get shouldRead(): boolean {
     return !this.hasSnapshot || (this.options.isNeeded?.() ?? true);
   }
 
-  private get canReadOn(): boolean {
+  private get canReadIncrementally(): boolean {
     const {clock, snapshotAfterMs = Infinity} = this.options;
     const ageMs = clock.monotonicMs() - this.succeededAtMs;
     return this.hasSnapshot && ageMs <= snapshotAfterMs;
@@ -124,37 +123,41 @@
   private async readOnce(signal: AbortSignal): Promise<void> {
     const startedAtMs = this.options.clock.monotonicMs();
     try {
-      const changes = this.canReadOn
-        ? await this.readOn()
-        : await this.readAll();
+      const changes = this.canReadIncrementally
+        ? await this.loadIncrement()
+        : await this.loadSnapshot();
       if (signal.aborted) return;
-      this.noteSuccess();
-      if (this.hasSnapshot) this.inStepAsOfMs = startedAtMs;
+      this.recordSuccess();
+      if (this.hasSnapshot) this.lastSuccessStartedAtMs = startedAtMs;
       if (changes.length > 0) this.options.onChanges(changes);
     } catch (thrown) {
       if (signal.aborted) return;
-      if (thrown instanceof RefreshedRead) return;
-      this.noteFailure(toTypedError(thrown));
+      if (thrown instanceof ReadAbortedByRefresh) return;
+      this.recordFailure(toTypedError(thrown));
       const {clock, random} = this.options;
-      const delayMs = addJitter(random, this.findRetryDelayMs(), RETRY_SPREAD);
+      const delayMs = addJitter(
+        random,
+        this.computeRetryDelayMs(),
+        RETRY_JITTER,
+      );
       await sleep(clock, delayMs, signal);
     }
   }
 
-  private async readAll(): Promise<KeyedChange[]> {
+  private async loadSnapshot(): Promise<KeyedChange[]> {
     const {topic, table} = this.options;
     const snapshot = await topic.readNewest();
     this.hasSnapshot = true;
     return table.applySnapshot(snapshot);
   }
 
-  private async readOn(): Promise<KeyedChange[]> {
+  private async loadIncrement(): Promise<KeyedChange[]> {
     const {topic, table} = this.options;
     const fromOffset = table.endOffset;
     const waitMs = this.options.waitMs();
     const outcome =
       waitMs > 0
-        ? await this.waitFrom(fromOffset, waitMs)
+        ? await this.longPollFrom(fromOffset, waitMs)
         : await topic.readFrom(fromOffset, waitMs);
     if (outcome.status === 'expired') {
       this.hasSnapshot = false;
@@ -163,47 +166,52 @@
     return table.applyRecords(fromOffset, outcome.records, outcome.endOffset);
   }
 
-  /** Throws `RefreshedRead` when `refresh` has ended it. */
-  private async waitFrom(
+  /** Throws `ReadAbortedByRefresh` if `refresh` aborted the read. */
+  private async longPollFrom(
     fromOffset: number,
     waitMs: number,
   ): Promise<ReadOutcome> {
-    const waiting = new AbortController();
-    this.waiting = waiting;
+    const longPollController = new AbortController();
+    this.longPollController = longPollController;
     try {
       const {topic} = this.options;
-      return await topic.readFrom(fromOffset, waitMs, waiting.signal);
+      return await topic.readFrom(
+        fromOffset,
+        waitMs,
+        longPollController.signal,
+      );
     } catch (thrown) {
-      throw waiting.signal.aborted ? new RefreshedRead() : thrown;
+      throw longPollController.signal.aborted
+        ? new ReadAbortedByRefresh()
+        : thrown;
     } finally {
-      this.waiting = null;
+      this.longPollController = null;
     }
   }
 
-  private findRetryDelayMs(): number {
+  private computeRetryDelayMs(): number {
     const {retryDelayMs, maxRetryDelayMs} = this.options;
-    const grownMs = retryDelayMs * 2 ** (this.failures - 1);
-    const mostMs = maxRetryDelayMs?.() ?? retryDelayMs;
-    const isFirst = this.succeededAtMs === -Infinity;
-    const cappedMs = Math.min(grownMs, Math.max(mostMs, retryDelayMs));
-    return isFirst ? Math.min(cappedMs, MAX_FIRST_RETRY_MS) : cappedMs;
+    const backoffMs = retryDelayMs * 2 ** (this.consecutiveFailures - 1);
+    const limitMs = maxRetryDelayMs?.() ?? retryDelayMs;
+    const hasNeverRead = this.succeededAtMs === -Infinity;
+    const cappedMs = Math.min(backoffMs, Math.max(limitMs, retryDelayMs));
+    return hasNeverRead ? Math.min(cappedMs, MAX_FIRST_RETRY_MS) : cappedMs;
   }
 
-  private noteSuccess(): void {
-    this.failures = 0;
+  private recordSuccess(): void {
+    this.consecutiveFailures = 0;
     this.succeededAtMs = this.options.clock.monotonicMs();
-    if (this.isInStep) return;
-    this.isInStep = true;
+    if (this.isLastReadOk) return;
+    this.isLastReadOk = true;
     this.options.onRegained();
   }
 
-  private noteFailure(error: TypedError): void {
-    this.failures += 1;
-    if (!this.isInStep) return;
-    this.isInStep = false;
+  private recordFailure(error: TypedError): void {
+    this.consecutiveFailures += 1;
+    if (!this.isLastReadOk) return;
+    this.isLastReadOk = false;
     this.options.onLost(error);
   }
 }
 
-/** A read that waited was ended, so as to read at once. */
-class RefreshedRead extends Error {}
+class ReadAbortedByRefresh extends Error {}
--- a/packages/keyed-store/src/keyed_table.test.ts
+++ b/packages/keyed-store/src/keyed_table.test.ts
@@ -16,11 +16,8 @@
     .sort();
 }
 
-/*
- * A node learns of a new configuration from a peer, and its own slow read of
- * the store then brings the one before. Callers would see the change taken
- * back; the offset tells which one is newer.
- */
+// Guards against a slow read of the store that reverts a newer configuration
+// received from a peer.
 test('an older record never replaces a newer one', () => {
   const table = new KeyedTable();
   table.applyRecords(0, [makeRecord('config', 5)], 6);
@@ -29,7 +26,7 @@
   assert.equal(listKeys(table), ['config5']);
 });
 
-test('a dropped key stays dropped when an old record of it comes', () => {
+test('an older record does not restore a deleted key', () => {
   const table = new KeyedTable();
   table.applyRecords(0, [makeRecord('a', 1)], 2);
   table.applyRecords(2, [{key: 'a', value: null, offset: 2}], 3);
@@ -38,12 +35,9 @@
   assert.equal(listKeys(table), []);
 });
 
-/*
- * The store forgets its history while a server leaves: its record with the
- * removal is gone, and only a snapshot shows that the server no longer stands
- * in the list. Requests would go to it for ever.
- */
-test('a snapshot drops the keys that it lacks', () => {
+// Guards against requests to a removed server whose deletion record the store
+// no longer retains.
+test('a snapshot deletes the keys that it does not contain', () => {
   const table = new KeyedTable();
   table.applyRecords(0, [makeRecord('a', 1), makeRecord('b', 2)], 3);
   const changes = table.applySnapshot({
@@ -57,14 +51,14 @@
   assert.is(table.endOffset, 9);
 });
 
-test('a record that came during the pages of a snapshot is kept', () => {
+test('a snapshot does not delete a newer record', () => {
   const table = new KeyedTable();
   table.applyRecords(0, [makeRecord('c', 12)], 13);
   table.applySnapshot({records: [makeRecord('a', 1)], endOffset: 9});
   assert.equal(listKeys(table), ['a1', 'c12']);
 });
 
-test('a gap leaves the end where it was', () => {
+test('records after a gap do not advance the end offset', () => {
   const table = new KeyedTable();
   table.applyRecords(0, [makeRecord('a', 0)], 1);
   table.applyRecords(4, [makeRecord('b', 4)], 5);
--- a/packages/keyed-store/src/keyed_table.ts
+++ b/packages/keyed-store/src/keyed_table.ts
@@ -1,4 +1,3 @@
-/** The newest record of each key, from whatever source it was learnt. */
 import {
   type KeyedChange,
   type KeyedRecord,
@@ -6,17 +5,16 @@
 } from './keyed_topic.js';
 
 /**
- * Merges records by their offsets, so that records from the store and from
- * peers may come in any order and more than once without an old one ever
- * replacing a newer one.
+ * Holds the newest record of each key. Records are merged by offset, so the
+ * store and peers can deliver them repeatedly and in any order.
  */
 export class KeyedTable {
   private readonly records = new Map<string, KeyedRecord>();
-  /** Offsets of dropped keys, so that an old record does not bring one back. */
-  private readonly dropped = new Map<string, number>();
+  /** Offsets of deletions, so that an older record does not restore the key. */
+  private readonly deletedOffsets = new Map<string, number>();
   private end = 0;
 
-  /** Every record before this offset is known. */
+  /** All records before this offset have been applied. */
   get endOffset(): number {
     return this.end;
   }
@@ -29,30 +27,33 @@
     return [...this.records.values()];
   }
 
-  /** Records that are newer than an offset, dropped keys included. */
+  /** Records from an offset on, including deletions. */
   listSince(offset: number): KeyedRecord[] {
-    const kept = this.list().filter(record => record.offset >= offset);
-    const dropped = [...this.dropped]
-      .filter(([, droppedAt]) => droppedAt >= offset)
-      .map(([key, droppedAt]) => ({key, value: null, offset: droppedAt}));
-    return [...kept, ...dropped];
+    const live = this.list().filter(record => record.offset >= offset);
+    const deleted = [...this.deletedOffsets]
+      .filter(([, deletedAt]) => deletedAt >= offset)
+      .map(([key, deletedAt]) => ({key, value: null, offset: deletedAt}));
+    return [...live, ...deleted];
   }
 
-  /** Takes a snapshot; keys that it lacks were dropped before its end. */
+  /** Applies a snapshot and deletes older keys that it does not contain. */
   applySnapshot({records, endOffset}: KeyedSnapshot): KeyedChange[] {
     const changes = records.flatMap(record => this.apply(record));
     const present = new Set(records.map(record => record.key));
     const missing = this.list().filter(
       ({key, offset}) => offset < endOffset && !present.has(key),
     );
-    const drops = missing.flatMap(({key}) =>
+    const deletions = missing.flatMap(({key}) =>
       this.apply({key, value: null, offset: endOffset - 1}),
     );
     this.end = Math.max(this.end, endOffset);
-    return [...changes, ...drops];
+    return [...changes, ...deletions];
   }
 
-  /** Takes records that follow `fromOffset` without a gap. */
+  /**
+   * Applies consecutive records that start at `fromOffset`. `endOffset` of the
+   * table stays if records before `fromOffset` are missing.
+   */
   applyRecords(
     fromOffset: number,
     records: readonly KeyedRecord[],
@@ -67,16 +68,16 @@
     const {key, value, offset} = record;
     const knownOffset = Math.max(
       this.records.get(key)?.offset ?? -1,
-      this.dropped.get(key) ?? -1,
+      this.deletedOffsets.get(key) ?? -1,
     );
     if (offset <= knownOffset) return [];
     const wasPresent = this.records.has(key);
     if (value === null) {
       this.records.delete(key);
-      this.dropped.set(key, offset);
+      this.deletedOffsets.set(key, offset);
       return wasPresent ? [{key, value, offset}] : [];
     }
-    this.dropped.delete(key);
+    this.deletedOffsets.delete(key);
     this.records.set(key, record);
     return [{key, value, offset}];
   }
--- a/packages/keyed-store/src/keyed_table_properties.test.ts
+++ b/packages/keyed-store/src/keyed_table_properties.test.ts
@@ -4,14 +4,14 @@
 import {KeyedTable} from './keyed_table.js';
 import {type KeyedRecord} from './keyed_topic.js';
 
-const test = suite('keyed table under any order of records');
+const test = suite('keyed table with records in any order');
 
 const KEYS = ['a', 'b', 'c'];
-/** A long run takes more runs by this variable; CI has a fixed seed. */
+/** The environment variable sets more runs for long tests. */
 const RUNS = Number(process.env['MIMOSATACK_PROPERTY_RUNS'] ?? 200);
 const SEED = 20_261_203;
 
-/** The log as the store has it; a value of null drops its key. */
+/** The records in the store. */
 const logs = fc
   .array(fc.record({key: fc.nat({max: 2}), isDrop: fc.boolean()}), {
     minLength: 1,
@@ -25,8 +25,8 @@
     })),
   );
 
-/** Parts of the log, told late, twice or in any order, and snapshots. */
-const tellings = fc.array(
+/** Parts of the log and snapshots, delivered late, twice or in any order. */
+const deliveries = fc.array(
   fc.record({
     from: fc.nat({max: 29}),
     length: fc.nat({max: 10}),
@@ -41,24 +41,24 @@
   return [...newest.values()].filter(({value}) => value !== null);
 }
 
-/*
- * A node learns of changes from the store and from peers, some of which lag.
- * Whatever the order, no key ever goes back to an older record, and once the
- * whole log was told the table holds what the store holds.
- */
-test('no key goes back, and all is known in the end', () => {
+// Guards against a lagging peer that reverts a key, and against a table that
+// differs from the store after all records were applied.
+test('keys never revert, and the table converges to the store', () => {
   fc.assert(
-    fc.property(logs, tellings, (log, told) => {
+    fc.property(logs, deliveries, (log, delivered) => {
       const table = new KeyedTable();
-      const seen = new Map<string, number>();
-      const check = () =>
+      const newestOffsets = new Map<string, number>();
+      const checkOffsets = () =>
         KEYS.forEach(key => {
           const offset = table.get(key)?.offset;
           if (offset === undefined) return;
-          assert.ok(offset >= (seen.get(key) ?? -1), `${key} went back`);
-          seen.set(key, offset);
+          assert.ok(
+            offset >= (newestOffsets.get(key) ?? -1),
+            `${key} reverted to an older record`,
+          );
+          newestOffsets.set(key, offset);
         });
-      told.forEach(({from, length, isSnapshot}) => {
+      delivered.forEach(({from, length, isSnapshot}) => {
         const end = Math.min(log.length, from + length);
         if (isSnapshot) {
           table.applySnapshot({
@@ -68,10 +68,10 @@
         } else {
           table.applyRecords(from, log.slice(from, end), end);
         }
-        check();
+        checkOffsets();
       });
       table.applyRecords(0, log, log.length);
-      check();
+      checkOffsets();
       const expected = findNewest(log, log.length).map(({offset}) => offset);
       assert.equal(
         table
--- a/packages/keyed-store/src/keyed_topic.ts
+++ b/packages/keyed-store/src/keyed_topic.ts
@@ -1,10 +1,9 @@
 /**
- * A topic of which the newest record of each key is kept for good. Offsets
- * number the records and never go back, so of two records of a key the one
- * with the higher offset is the newer, whoever it was learnt from.
+ * A compacted topic, which retains the newest record of each key. Offsets only
+ * increase: of two records of a key, the higher offset is the newer one.
  */
 
-/** A record; a null value drops the key. */
+/** A record; a null value deletes the key. */
 export interface KeyedRecord {
   key: string;
   value: Uint8Array | null;
@@ -14,30 +13,26 @@
 /** The newest record of every key. */
 export interface KeyedSnapshot {
   records: readonly KeyedRecord[];
-  /** Reading on from here misses nothing. */
+  /** The offset to continue reading from. */
   endOffset: number;
 }
 
-/**
- * What a read brought: the records from an offset on, or `expired` when the
- * store no longer has that offset.
- */
+/** `expired`: the store no longer retains the requested offset. */
 export type ReadOutcome =
   | {status: 'read'; records: readonly KeyedRecord[]; endOffset: number}
   | {status: 'expired'};
 
-/** A record to append. */
 export interface KeyedWrite {
   key: string;
   value: Uint8Array | null;
 }
 
-/** Appends only when the topic ends at this offset. */
+/** The append is refused unless the topic ends at this offset. */
 export interface AppendCondition {
   atOffset: number;
 }
 
-/** `refused`: the topic does not end where the condition says. */
+/** `refused`: the topic does not end at the offset of the condition. */
 export type AppendOutcome =
   | {status: 'appended'; offset: number; endOffset: number}
   | {status: 'refused'; endOffset: number};
@@ -45,22 +40,25 @@
 /** A change of the newest record of a key. */
 export interface KeyedChange {
   key: string;
-  /** Null when the key was dropped. */
+  /** Null if the key was deleted. */
   value: Uint8Array | null;
   offset: number;
 }
 
-/** One topic. Every method rejects with `platform-unavailable`. */
+/**
+ * Access to one topic. Methods reject with `platform-unavailable` while the
+ * store is unreachable.
+ */
 export interface KeyedTopic {
   readNewest(): Promise<KeyedSnapshot>;
-  /** Waits up to `waitMs` for a record when there is none yet. */
+  /** Waits up to `waitMs` if there is no record at `offset` yet. */
   readFrom(
     offset: number,
     waitMs: number,
     signal?: AbortSignal,
   ): Promise<ReadOutcome>;
   /**
-   * A rejection does not mean that nothing was or will be appended: the answer
+   * The records may be appended even if the call rejects, because the response
    * may have been lost.
    */
   append(
--- a/packages/keyed-store/src/memory_keyed_topic.ts
+++ b/packages/keyed-store/src/memory_keyed_topic.ts
@@ -9,16 +9,19 @@
   type ReadOutcome,
 } from './keyed_topic.js';
 
-/** What becomes of an append: `lost` is done and not answered. */
+/**
+ * How an append fails: `refused` appends nothing, `lost` appends the records
+ * but loses the response, `late` appends them when `releaseLate` is called.
+ */
 export type AppendFault = 'none' | 'refused' | 'lost' | 'late';
 
-/** A topic in memory, whose faults a test sets. */
+/** A topic in memory with fault injection for tests. */
 export class MemoryKeyedTopic implements KeyedTopic {
   readonly records: KeyedRecord[] = [];
-  /** While true every call fails. */
+  /** Whether every call fails. */
   isDown = false;
   appendFault: AppendFault = 'none';
-  /** Offsets before this one can't be read any more. */
+  /** Offsets before this one have expired. */
   firstOffset = 0;
   readCount = 0;
   appendCount = 0;
@@ -74,12 +77,12 @@
     return outcome;
   }
 
-  /** Carries out the appends that were held back. */
+  /** Applies the appends that `late` has delayed. */
   releaseLate(): void {
     this.delayed.splice(0).forEach(apply => apply());
   }
 
-  /** Puts a record as somebody else. */
+  /** Appends a record as another client would, free of append faults. */
   put(key: string, text: string | null): void {
     this.apply([{key, value: text === null ? null : Buffer.from(text)}]);
   }
@@ -101,20 +104,20 @@
 
   private wait(signal?: AbortSignal): Promise<void> {
     return new Promise((resolve, reject) => {
-      const leave = () => {
+      const unsubscribe = () => {
         this.waiters.delete(wake);
-        signal?.removeEventListener('abort', giveUp);
+        signal?.removeEventListener('abort', onAbort);
       };
       const wake = () => {
-        leave();
+        unsubscribe();
         resolve();
       };
-      const giveUp = () => {
-        leave();
+      const onAbort = () => {
+        unsubscribe();
         reject(makeUnavailable());
       };
       this.waiters.add(wake);
-      signal?.addEventListener('abort', giveUp);
+      signal?.addEventListener('abort', onAbort);
     });
   }
 
@@ -124,8 +127,5 @@
 }
 
 function makeUnavailable(): TypedError {
-  return new TypedError(
-    'platform-unavailable',
-    'The topic can not be reached.',
-  );
+  return new TypedError('platform-unavailable', 'The topic is unreachable.');
 }
