--- a/packages/share-reports/src/runner_table.ts
+++ b/packages/share-reports/src/backend_server_table.ts
@@ -1,24 +1,24 @@
 /**
- * Numbers for backend servers. Every node derives them from its agreed state,
- * so that messages carry small numbers in place of names and epochs.
+ * Indexes of backend servers. Every node derives them from its agreed state, so
+ * that messages carry indexes instead of names and epochs.
  */
 import {hashText} from '@mimosatack/engine-board';
 import {type BackendServerId, type NodeIncarnation} from '@mimosatack/types';
 
-/** A backend server and its claim, as agreed. */
+/** A backend server and its claim in the agreed state. */
 export interface RunnerRow {
   backendServerId: BackendServerId;
-  /** 0 while nobody holds it. */
+  /** 0 if no node holds the claim. */
   epoch: number;
   holder: NodeIncarnation | null;
 }
 
-/** The backend servers at one point of the log, in a fixed order. */
-export class RunnerTable {
+/** The backend servers at one offset of the log, sorted by id. */
+export class BackendServerTable {
   readonly rows: readonly RunnerRow[];
-  /** The same on two nodes whose indexes mean the same backend servers. */
+  /** Equal on two nodes whose indexes denote the same backend servers. */
   readonly namesDigest: number;
-  /** The same on two nodes that also agree on all claims. */
+  /** Equal on two nodes that also have the same claims. */
   readonly claimsDigest: number;
   private readonly indexes: ReadonlyMap<BackendServerId, number>;
 
@@ -49,32 +49,31 @@
 const KEPT_TABLES = 8;
 
 /**
- * The newest tables. Guards against two nodes that have folded the log to
- * different offsets: the same index may mean another backend server, and a
- * load would be noted for the wrong one. A message names its table by digest;
- * one whose table is not known here is passed over, and what it said comes
- * again by the next round or comparison.
+ * The newest tables. Guards against loads recorded for the wrong backend server
+ * if two nodes have applied the log up to different offsets. A message with the
+ * digest of an unknown table is ignored; a later round or comparison repeats its
+ * content.
  */
 export class TableHistory {
-  private tables: RunnerTable[] = [new RunnerTable([])];
+  private tables: BackendServerTable[] = [new BackendServerTable([])];
 
-  get current(): RunnerTable {
+  get current(): BackendServerTable {
     return this.tables[0]!;
   }
 
-  /** Takes the rows of the agreed state; returns whether they changed. */
+  /** Sets the rows of the agreed state; returns whether they changed. */
   update(rows: readonly RunnerRow[]): boolean {
-    const table = new RunnerTable(rows);
+    const table = new BackendServerTable(rows);
     if (table.claimsDigest === this.current.claimsDigest) return false;
     this.tables = [table, ...this.tables].slice(0, KEPT_TABLES);
     return true;
   }
 
-  findByNames(digest: number): RunnerTable | undefined {
+  findByNames(digest: number): BackendServerTable | undefined {
     return this.tables.find(table => table.namesDigest === digest);
   }
 
-  findByClaims(digest: number): RunnerTable | undefined {
+  findByClaims(digest: number): BackendServerTable | undefined {
     return this.tables.find(table => table.claimsDigest === digest);
   }
 }
--- a/packages/share-reports/src/exchange_ring.ts
+++ b/packages/share-reports/src/exchange_ring.ts
@@ -1,30 +1,29 @@
 /**
- * The nodes on a ring, and whom each passes loads on to. The ring has the
- * order of membership's, so that both use the same connections.
+ * The ring of nodes and the peers to which each node forwards loads. The order
+ * is the same as in membership, so that both use the same connections.
  */
 import {hashOrder} from '@mimosatack/membership';
 import {type NodeIncarnation} from '@mimosatack/types';
 
-/** A node that takes part. */
 export interface RingNode {
   nodeName: string;
   incarnation: NodeIncarnation;
   peerAddress: string;
 }
 
-/** Loads travel one way round in one round and the other way in the next. */
+/** The direction in which loads travel on the ring; it alternates by round. */
 export type Direction = 1 | -1;
 
-/** The ring as one node sees it. */
+/** The ring from the perspective of one node. */
 export class ExchangeRing {
   private readonly ring: readonly RingNode[];
   private readonly selfPosition: number;
   private readonly positions: ReadonlyMap<NodeIncarnation, number>;
 
   constructor(selfName: string, nodes: readonly RingNode[]) {
-    // A node that leaves is no part of the ring any more, nor on its own view.
-    const isHere = nodes.some(node => node.nodeName === selfName);
-    this.ring = (isHere ? nodes : [])
+    // A node that is leaving is not on the ring and forwards nothing.
+    const includesSelf = nodes.some(node => node.nodeName === selfName);
+    this.ring = (includesSelf ? nodes : [])
       .map(node => ({node, order: hashOrder(node.nodeName)}))
       .sort((a, b) => (a.order < b.order ? -1 : 1))
       .map(({node}) => node);
@@ -34,19 +33,19 @@
     );
   }
 
-  /** How many steps a round has: one for each bit of a distance. */
+  /** The number of steps in a round: one for each bit of a distance. */
   get stepCount(): number {
     return Math.max(0, Math.ceil(Math.log2(Math.max(1, this.ring.length))));
   }
 
-  /** The peer at a distance of 2 to the power of `bit`. */
+  /** The peer at the distance of 2 to the power of `bit`. */
   findPeer(bit: number, direction: Direction): RingNode | undefined {
     const size = this.ring.length;
     if (bit >= this.stepCount) return undefined;
     return this.ring[mod(this.selfPosition + direction * 2 ** bit, size)];
   }
 
-  /** All peers that this node passes anything on to. */
+  /** All peers to which this node forwards loads. */
   listPeers(): RingNode[] {
     const bits = Array.from({length: this.stepCount}, (_, bit) => bit);
     const peers = bits.flatMap(bit => [
@@ -57,11 +56,12 @@
   }
 
   /**
-   * Whether news of a node goes on at the step of `bit`. A distance is the
-   * sum of powers of two; news travels them from the lowest to the highest,
-   * so that it comes to each node once and by one way only.
+   * Whether a load that `holder` has read is forwarded in the step of `bit`;
+   * undefined if `holder` is not on the ring. A distance is a sum of powers of
+   * two, which a load travels from the lowest to the highest, so that each node
+   * receives it once.
    */
-  isPassedOn(holder: NodeIncarnation, bit: number, direction: Direction) {
+  shouldForward(holder: NodeIncarnation, bit: number, direction: Direction) {
     const position = this.positions.get(holder);
     if (position === undefined) return undefined;
     const size = this.ring.length;
--- a/packages/share-reports/src/in_memory_cluster.ts
+++ b/packages/share-reports/src/in_memory_cluster.ts
@@ -1,72 +1,73 @@
-/** Several nodes and engines in one process, for tests and measurements. */
 import {EngineBoard, type SlotContent} from '@mimosatack/engine-board';
 import {SeededRandom} from '@mimosatack/random';
 import {type BackendServerId, type EngineState} from '@mimosatack/types';
+import {type RunnerRow} from './backend_server_table.js';
 import {type RingNode} from './exchange_ring.js';
 import {type OutgoingReport, type ReportMessage} from './messages.js';
 import {ReportSharing} from './report_sharing.js';
-import {type RunnerRow} from './runner_table.js';
 
-/** How finely time is simulated. */
+/** The resolution of simulated time. */
 export const STEP_MS = 20;
 const TICK_MS = 100;
 const POLL_MS = 500;
 const SLOT_COUNT = 20;
 const START_WALL_MS = 1_750_000_000_000;
-const DEFAULT_DELAY_MS = 20;
+const DEFAULT_LATENCY_MS = 20;
 
-/** A message on its way. */
+/** A message in transit. */
 export interface Envelope extends OutgoingReport {
   fromAddress: string;
   dueMs: number;
 }
 
-/** One node with its own view of what is agreed. */
+/** A node with its own view of the agreed state. */
 export interface ClusterNode extends RingNode {
   board: EngineBoard;
   sharing: ReportSharing;
-  /** How far its wall clock is off. */
+  /** The error of its wall clock. */
   skewMs: number;
   isFrozen: boolean;
-  /** The agreed rows as far as it has folded them; null for all of them. */
+  /** The rows that the node has applied; null if it has applied all. */
   laggingRows: readonly RunnerRow[] | null;
-  seenRows: readonly RunnerRow[] | null;
-  /** Claims that it believes to hold, by engine. */
-  held: Map<BackendServerId, number>;
+  appliedRows: readonly RunnerRow[] | null;
+  /** The epochs of the claims that the node believes to hold. */
+  heldEpochs: Map<BackendServerId, number>;
 }
 
-/** What a cluster is made of. */
 export interface ClusterSetup {
   nodeCount: number;
-  runnerCount: number;
+  backendServerCount: number;
   seed?: number;
-  /** Chooses each node's error of the wall clock. */
+  /** The error of a node's wall clock. */
   skewMs?: (index: number) => number;
 }
 
-/** Carries messages in a fixed order in simulated time. */
+/**
+ * Simulates nodes and engines in one process for tests and measurements, with
+ * deterministic message order and simulated time.
+ */
 export class InMemoryCluster {
   nowMs = 0;
   readonly nodes: ClusterNode[];
   readonly engines = new Map<BackendServerId, EngineState>();
-  /** Decides whether a message is lost; none is unless a test says so. */
+  /** Whether a message is lost. */
   isLost: (envelope: Envelope) => boolean = () => false;
-  /** How long a message travels. */
-  findDelayMs: (envelope: Envelope) => number = () => DEFAULT_DELAY_MS;
-  /** What a receiver gets of a message. */
+  /** The latency of a message. */
+  findLatencyMs: (envelope: Envelope) => number = () => DEFAULT_LATENCY_MS;
+  /** Converts a message as the transport does. */
   transfer: (message: ReportMessage) => ReportMessage = structuredClone;
-  /** Told of every message that is sent, lost ones included. */
+  /** Called with every message that is sent, including lost ones. */
   onSend: (envelope: Envelope) => void = () => {};
   rows: RunnerRow[] = [];
-  private waiting: Envelope[] = [];
+  private inTransit: Envelope[] = [];
   private nextEpoch = 1;
 
-  constructor({nodeCount, runnerCount, seed = 1, skewMs}: ClusterSetup) {
+  constructor({nodeCount, backendServerCount, seed = 1, skewMs}: ClusterSetup) {
     this.nodes = Array.from({length: nodeCount}, (_, index) =>
       createNode(index, seed, skewMs?.(index) ?? 0),
     );
-    Array.from({length: runnerCount}, (_, index) =>
-      nameOfEngine(index),
+    Array.from({length: backendServerCount}, (_, index) =>
+      formatEngineId(index),
     ).forEach((id, index) => {
       this.engines.set(id, createEngine(id));
       this.claim(id, this.nodes[index % nodeCount]!);
@@ -74,23 +75,23 @@
     this.nodes.forEach(node => node.sharing.setNodes(this.nodes));
   }
 
-  /** Gives an engine to a node under a new epoch. */
+  /** Assigns an engine to a node under a new epoch. */
   claim(id: BackendServerId, node: ClusterNode): void {
     const epoch = this.nextEpoch++;
     this.rows = [
       ...this.rows.filter(row => row.backendServerId !== id),
       {backendServerId: id, epoch, holder: node.incarnation},
     ];
-    node.held.set(id, epoch);
+    node.heldEpochs.set(id, epoch);
   }
 
-  /** Starts a node anew, with an empty board. */
+  /** Restarts a node with an empty board. */
   restart(node: ClusterNode): void {
     const index = this.nodes.indexOf(node);
     const fresh = createNode(index, this.nowMs + 1, node.skewMs);
     Object.assign(node, {board: fresh.board, sharing: fresh.sharing});
-    node.held.clear();
-    node.seenRows = null;
+    node.heldEpochs.clear();
+    node.appliedRows = null;
     node.sharing.setNodes(this.nodes);
   }
 
@@ -99,18 +100,18 @@
     engine.replicas = slots.map(slot => createReplica(id, slot));
   }
 
-  /** Delivers what is due, then lets nodes poll their engines and act. */
+  /** Delivers the messages that are due, then polls engines and ticks nodes. */
   step(): void {
     this.nowMs += STEP_MS;
-    const due = this.waiting.filter(
+    const due = this.inTransit.filter(
       each => each.dueMs <= this.nowMs && !this.find(each.toAddress).isFrozen,
     );
     const delivered = new Set(due);
-    this.waiting = this.waiting.filter(each => !delivered.has(each));
+    this.inTransit = this.inTransit.filter(each => !delivered.has(each));
     due.forEach(envelope => this.deliver(envelope));
     this.nodes
       .filter(node => !node.isFrozen)
-      .forEach((node, index) => this.act(node, index));
+      .forEach((node, index) => this.runNode(node, index));
   }
 
   run(durationMs: number): void {
@@ -118,18 +119,18 @@
     Array.from({length: stepCount}).forEach(() => this.step());
   }
 
-  /** Runs until it is so; returns how long that took, or null if it is not. */
-  runUntil(isSo: () => boolean, limitMs: number): number | null {
+  /** Returns how long `condition` took to become true, or null on timeout. */
+  runUntil(condition: () => boolean, timeoutMs: number): number | null {
     const startMs = this.nowMs;
-    while (!isSo() && this.nowMs - startMs < limitMs) this.step();
-    return isSo() ? this.nowMs - startMs : null;
+    while (!condition() && this.nowMs - startMs < timeoutMs) this.step();
+    return condition() ? this.nowMs - startMs : null;
   }
 
-  /** Whether all boards show exactly what the engines have warm. */
-  isAgreed(): boolean {
+  /** Whether all boards show exactly the warm models of the engines. */
+  isConverged(): boolean {
     return this.nodes.every(node =>
       [...this.engines.values()].every(engine =>
-        isShown(node, engine, this.listWarmSlots(engine)),
+        showsWarmSlots(node, engine, this.listWarmSlots(engine)),
       ),
     );
   }
@@ -137,15 +138,15 @@
   deliver({fromAddress, toAddress, message}: Envelope): void {
     const node = this.find(toAddress);
     const copy = this.transfer(message);
-    this.post(node, node.sharing.receive(fromAddress, copy, this.now(node)));
+    this.send(node, node.sharing.receive(fromAddress, copy, this.now(node)));
   }
 
-  /** Puts messages on their way as they are. */
-  delay(envelopes: readonly Envelope[]): void {
-    this.waiting.push(...envelopes);
+  /** Schedules messages without loss or further latency. */
+  schedule(envelopes: readonly Envelope[]): void {
+    this.inTransit.push(...envelopes);
   }
 
-  post(from: RingNode, messages: readonly OutgoingReport[]): void {
+  send(from: RingNode, messages: readonly OutgoingReport[]): void {
     messages.forEach(message => {
       const envelope = {
         ...message,
@@ -154,33 +155,33 @@
       };
       this.onSend(envelope);
       if (this.isLost(envelope)) return;
-      envelope.dueMs += this.findDelayMs(envelope);
-      this.waiting.push(envelope);
+      envelope.dueMs += this.findLatencyMs(envelope);
+      this.inTransit.push(envelope);
     });
   }
 
-  private act(node: ClusterNode, index: number): void {
+  private runNode(node: ClusterNode, index: number): void {
     const phaseMs = this.nowMs + index * STEP_MS;
     if (phaseMs % POLL_MS === 0) this.poll(node);
     if (phaseMs % TICK_MS !== 0) return;
     const rows = node.laggingRows ?? this.rows;
-    if (rows !== node.seenRows) {
-      node.seenRows = rows;
+    if (rows !== node.appliedRows) {
+      node.appliedRows = rows;
       node.sharing.setRunners(rows);
       node.board.refreshSlots();
     }
-    this.post(node, node.sharing.tick(this.now(node)));
+    this.send(node, node.sharing.tick(this.now(node)));
   }
 
-  /** A node polls on under a claim that it does not know to be lost. */
+  /** Polls the engines whose claims the node does not know to be lost. */
   private poll(node: ClusterNode): void {
-    node.held.forEach((epoch, id) => {
+    node.heldEpochs.forEach((epoch, id) => {
       const row = (node.laggingRows ?? this.rows).find(
         each => each.backendServerId === id,
       );
       const engine = this.engines.get(id);
       if (!engine || row?.epoch !== epoch) {
-        node.held.delete(id);
+        node.heldEpochs.delete(id);
         return;
       }
       const report = {
@@ -208,12 +209,11 @@
   }
 }
 
-/** The name of an engine of the cluster. */
-export function nameOfEngine(index: number): BackendServerId {
+export function formatEngineId(index: number): BackendServerId {
   return `runner-${String(index).padStart(4, '0')}`;
 }
 
-function isShown(
+function showsWarmSlots(
   {board}: ClusterNode,
   {backendServerId}: EngineState,
   warmSlots: readonly number[],
@@ -243,8 +243,8 @@
     skewMs,
     isFrozen: false,
     laggingRows: null,
-    seenRows: null,
-    held: new Map(),
+    appliedRows: null,
+    heldEpochs: new Map(),
   };
 }
 
--- a/packages/share-reports/src/index.ts
+++ b/packages/share-reports/src/index.ts
@@ -11,4 +11,4 @@
   ReportSharing,
   type ReportSharingOptions,
 } from './report_sharing.js';
-export {type RunnerRow} from './runner_table.js';
+export {type RunnerRow} from './backend_server_table.js';
--- a/packages/share-reports/src/load_exchange.ts
+++ b/packages/share-reports/src/load_exchange.ts
@@ -1,48 +1,46 @@
 /**
- * Passes all loads to all nodes, once a round and in as many steps as a
- * distance on the ring has bits.
+ * Distributes the loads of all backend servers to all nodes once a round. A
+ * round has one step for each bit of a distance on the ring.
  */
 import {type EngineBoard, type LoadSample} from '@mimosatack/engine-board';
 import {type BackendServerId} from '@mimosatack/types';
+import {type TableHistory} from './backend_server_table.js';
 import {type Direction, type ExchangeRing} from './exchange_ring.js';
 import {decodeLoads, encodeLoads} from './load_codec.js';
 import {type MessageOf, type OutgoingReport} from './messages.js';
-import {type TableHistory} from './runner_table.js';
 
 const ROUND_UNIT_MS = 500;
-/**
- * A step is long enough for a message to arrive, and for the next node to
- * have ticked, before the step that passes it on.
- */
+/** Long enough for a peer to receive a message and tick before the next step. */
 const MIN_STEP_MS = 200;
-/** So many backend servers' loads are exchanged in each `ROUND_UNIT_MS`. */
-const RUNNERS_PER_UNIT = 175;
-const MIN_STALE_MS = 10_000;
+/** The number of backend servers whose loads fit into one `ROUND_UNIT_MS`. */
+const BACKEND_SERVERS_PER_UNIT = 175;
+const MIN_STALE_AFTER_MS = 10_000;
 const STALE_ROUNDS = 5;
-/** A load is not taken for older than this when clocks differ. */
+/** Caps the computed age of a load, which can be too high if clocks differ. */
 const MAX_AGE_MS = 10_000;
+/** The `bit` of a load that this node has read itself. */
 const OWN_BIT = -1;
 
-interface HeardSample {
+interface KnownLoad {
   sample: LoadSample;
-  heardAtMs: number;
-  /** The step at which it came; -1 for a load that this node read. */
+  updatedAtMs: number;
+  /** The step in which the load arrived, or `OWN_BIT`. */
   bit: number;
 }
 
-/** What a steward of this node has read last. */
+/** The last load that this node has read from a backend server. */
 export interface OwnLoad {
   sample: Omit<LoadSample, 'stampMs'>;
   readAtMs: number;
 }
 
 /**
- * Sends by the wall clock, so that all nodes do the same step at about the
- * same time and a load crosses the whole ring within a round. Where clocks
- * differ, loads come a round or two later; nothing else depends on them.
+ * Schedules steps by the wall clock, so that all nodes do the same step at about
+ * the same time and a load reaches all nodes within a round. If clocks differ,
+ * loads arrive a round or two later.
  */
 export class LoadExchange {
-  private readonly heard = new Map<BackendServerId, HeardSample>();
+  private readonly knownLoads = new Map<BackendServerId, KnownLoad>();
   private readonly own = new Map<BackendServerId, OwnLoad>();
   private lastStep: number | null = null;
   private lastStampMs = 0;
@@ -54,16 +52,18 @@
     private readonly board: EngineBoard,
   ) {}
 
-  /** Grows with the number of backend servers, so that the bytes do not. */
+  /** Grows with the number of backend servers to limit the bytes per second. */
   get roundMs(): number {
-    const units = Math.ceil(this.tables.current.rows.length / RUNNERS_PER_UNIT);
+    const units = Math.ceil(
+      this.tables.current.rows.length / BACKEND_SERVERS_PER_UNIT,
+    );
     const stepsMs = MIN_STEP_MS * (this.ring?.stepCount ?? 0);
     return Math.max(ROUND_UNIT_MS, ROUND_UNIT_MS * units, stepsMs);
   }
 
-  /** How long a steward may be silent. */
+  /** The time without reports after which a backend server counts as unknown. */
   get staleAfterMs(): number {
-    return Math.max(MIN_STALE_MS, STALE_ROUNDS * this.roundMs);
+    return Math.max(MIN_STALE_AFTER_MS, STALE_ROUNDS * this.roundMs);
   }
 
   setRing(ring: ExchangeRing): void {
@@ -74,9 +74,9 @@
     this.own.set(load.sample.backendServerId, load);
   }
 
-  forgetMissing(): void {
+  removeUnregistered(): void {
     const {current} = this.tables;
-    [this.heard, this.own].forEach(map =>
+    [this.knownLoads, this.own].forEach(map =>
       [...map.keys()]
         .filter(id => !current.find(id))
         .forEach(id => map.delete(id)),
@@ -109,31 +109,35 @@
           Math.max(0, wallMs - sample.stampMs),
         );
         if (!this.board.noteLoad(sample, ageMs, nowMs)) return;
-        this.heard.set(sample.backendServerId, {sample, heardAtMs: nowMs, bit});
+        this.knownLoads.set(sample.backendServerId, {
+          sample,
+          updatedAtMs: nowMs,
+          bit,
+        });
       });
   }
 
-  /** The steps that fell due since the last tick, at most one round. */
+  /** The steps that have become due since the last tick, at most one round. */
   private listDueSteps(ring: ExchangeRing, wallMs: number): number[] {
     const {stepCount} = ring;
     if (stepCount === 0) return [];
     const step = Math.floor((wallMs * stepCount) / this.roundMs);
     const schedule = `${stepCount} ${this.roundMs}`;
-    const isMoved = schedule !== this.schedule;
+    const isScheduleChanged = schedule !== this.schedule;
     const last = this.lastStep ?? step - 1;
-    const isJump = Math.abs(step - last) > stepCount;
+    const isClockJump = Math.abs(step - last) > stepCount;
     this.schedule = schedule;
-    const from = isMoved || isJump ? step - 1 : last;
+    const from = isScheduleChanged || isClockJump ? step - 1 : last;
     this.lastStep = Math.max(from, step);
     return Array.from(
       {length: Math.max(0, step - from)},
-      (_, place) => from + 1 + place,
+      (_, position) => from + 1 + position,
     );
   }
 
   /**
-   * Stamps grow even when the wall clock is set back; otherwise all nodes
-   * would refuse the loads of this one until its clock has caught up.
+   * Stamps increase even if the wall clock is set back. Guards against peers
+   * that reject the loads of this node until its clock has caught up.
    */
   private stampOwn(nowMs: number, wallMs: number): void {
     const roundStartMs = Math.floor(wallMs / this.roundMs) * this.roundMs;
@@ -144,7 +148,11 @@
         return;
       }
       const stamped = {...sample, stampMs: this.lastStampMs};
-      this.heard.set(id, {sample: stamped, heardAtMs: nowMs, bit: OWN_BIT});
+      this.knownLoads.set(id, {
+        sample: stamped,
+        updatedAtMs: nowMs,
+        bit: OWN_BIT,
+      });
     });
   }
 
@@ -155,10 +163,10 @@
   ): OutgoingReport[] {
     const directions: Direction[] = [1, -1];
     return directions.flatMap(direction => {
-      const samples = [...this.heard.values()]
-        .filter(({heardAtMs}) => nowMs - heardAtMs < this.roundMs)
+      const samples = [...this.knownLoads.values()]
+        .filter(({updatedAtMs}) => nowMs - updatedAtMs < this.roundMs)
         .filter(({sample}) => this.directionOf(sample) === direction)
-        .filter(heard => this.isPassedOn(heard, ring, bit, direction))
+        .filter(load => this.shouldForward(load, ring, bit, direction))
         .map(({sample}) => sample);
       const peer = ring.findPeer(bit, direction);
       const {current} = this.tables;
@@ -175,23 +183,23 @@
   }
 
   /**
-   * Guards against one pair of nodes that can't reach each other: what it
-   * does not pass on in one round comes the other way round in the next.
+   * Alternates the direction each round. Guards against a broken link between
+   * two nodes: loads that it blocks take the other direction in the next round.
    */
   private directionOf({stampMs}: LoadSample): Direction {
     return Math.floor(stampMs / this.roundMs) % 2 === 0 ? 1 : -1;
   }
 
-  private isPassedOn(
-    {sample, bit: cameBy}: HeardSample,
+  private shouldForward(
+    {sample, bit: arrivalBit}: KnownLoad,
     ring: ExchangeRing,
     bit: number,
     direction: Direction,
   ): boolean {
-    if (cameBy === OWN_BIT) return true;
+    if (arrivalBit === OWN_BIT) return true;
     const holder = this.tables.current.find(sample.backendServerId)?.holder;
-    // A successor's load is told by a node that the agreed state doesn't name.
-    return ring.isPassedOn(holder ?? '', bit, direction) ?? cameBy < bit;
+    // If a successor reads the load, the holder may be missing from the ring.
+    return ring.shouldForward(holder ?? '', bit, direction) ?? arrivalBit < bit;
   }
 
   private isOwn({backendServerId, epoch}: LoadSample): boolean {
--- a/packages/share-reports/src/measure_main.ts
+++ b/packages/share-reports/src/measure_main.ts
@@ -1,8 +1,7 @@
 /**
- * Prints what sharing reports costs a node and how late reports are, at
- * several sizes, all run in this process in simulated time. Bytes are those
- * of packed messages with their WebSocket header; TCP and IP come on top.
- * Processor time includes packing, checking and the simulation itself.
+ * Prints the cost of report sharing per node and the age of reports at several
+ * cluster sizes, in simulated time. Bytes include the WebSocket header, but not
+ * TCP and IP. CPU time includes packing, validation and the simulation.
  */
 import {cpuUsage, memoryUsage} from 'node:process';
 import {SeededRandom, pickOne} from '@mimosatack/random';
@@ -11,11 +10,10 @@
 import {
   type Envelope,
   InMemoryCluster,
-  nameOfEngine,
+  formatEngineId,
 } from './in_memory_cluster.js';
 import {type ReportMessage, reportMessageSchema} from './messages.js';
 
-/** What is measured at one size. */
 interface Size {
   nodes: number;
   runners: number;
@@ -31,28 +29,31 @@
 const FIRST_POLLS_MS = 600;
 const WARM_UP_MS = 10_000;
 const MEASURED_MS = 10_000;
-const LIMIT_MS = 120_000;
-const CUT_MS = 20_000;
+const TIMEOUT_MS = 120_000;
+const PARTITION_MS = 20_000;
 const HEADER_BYTES = 8;
 const REGION_COUNT = 3;
 const SAME_REGION_MS = 1;
 const OTHER_REGION_MS = 30;
 const MAX_RUNNING = 40;
-/** 5.1 % of 7,060 models and adapters in an hour, each on two runners. */
-const CHANGES_PER_RUNNER_S = (0.051 * 7_060 * 2) / 3_600 / 670;
+/**
+ * 5.1 % of 7,060 models and adapters wake in an hour, each on two of 670
+ * backend servers.
+ */
+const CHANGES_PER_BACKEND_SERVER_S = (0.051 * 7_060 * 2) / 3_600 / 670;
 const SLOT_COUNT = 20;
-/** Slots that are warm on each runner. */
+/** The warm slots of each backend server. */
 const WARM_COUNT = 4;
 
-/** How often something is told of an engine that wakes or falls idle. */
-const TELLINGS_PER_CHANGE = 2;
+/** One update when a model wakes, one when it becomes idle. */
+const UPDATES_PER_CHANGE = 2;
 
-function regionOf(address: string): number {
+function findRegion(address: string): number {
   return Number(address.split(':')[1]) % REGION_COUNT;
 }
 
-function isAcross({fromAddress, toAddress}: Envelope): boolean {
-  return regionOf(fromAddress) !== regionOf(toAddress);
+function crossesRegions({fromAddress, toAddress}: Envelope): boolean {
+  return findRegion(fromAddress) !== findRegion(toAddress);
 }
 
 function transfer(message: ReportMessage): ReportMessage {
@@ -65,7 +66,7 @@
   return pack({body: {type: 'report', message}}).length + HEADER_BYTES;
 }
 
-/** Moves the load of every engine, and wakes some models. */
+/** Changes the load of every engine and the warm models of some engines. */
 class Workload {
   private readonly random = new SeededRandom(7);
 
@@ -77,17 +78,21 @@
     );
   }
 
-  /** One second of it. */
+  /** Simulates one second. */
   step(): void {
-    this.cluster.engines.forEach(engine => this.move(engine));
+    this.cluster.engines.forEach(engine => this.changeLoad(engine));
     const changes =
-      this.cluster.engines.size * CHANGES_PER_RUNNER_S * TELLINGS_PER_CHANGE;
-    if (this.random.nextFraction() < changes % 1) this.wake();
-    Array.from({length: Math.floor(changes)}).forEach(() => this.wake());
+      this.cluster.engines.size *
+      CHANGES_PER_BACKEND_SERVER_S *
+      UPDATES_PER_CHANGE;
+    if (this.random.nextFraction() < changes % 1) this.changeWarmSlots();
+    Array.from({length: Math.floor(changes)}).forEach(() =>
+      this.changeWarmSlots(),
+    );
     this.cluster.run(MS_PER_S);
   }
 
-  wake(): string {
+  changeWarmSlots(): string {
     const id = pickOne(this.random, [...this.cluster.engines.keys()])!;
     this.cluster.setWarm(id, this.pickSlots());
     return id;
@@ -100,7 +105,7 @@
     return [...new Set(slots)];
   }
 
-  private move({load}: EngineState): void {
+  private changeLoad({load}: EngineState): void {
     const running = load.runningRequests + this.random.nextInt(-6, 7);
     load.runningRequests = Math.min(MAX_RUNNING, Math.max(0, running));
     load.queuedRequests =
@@ -108,10 +113,10 @@
   }
 }
 
-function percentile(values: readonly number[], share: number): number {
+function percentile(values: readonly number[], fraction: number): number {
   const sorted = values.toSorted((a, b) => a - b);
   return sorted[
-    Math.min(sorted.length - 1, Math.floor(sorted.length * share))
+    Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))
   ]!;
 }
 
@@ -122,7 +127,7 @@
   );
 }
 
-/** What was sent, by type of message. */
+/** Counts the messages sent and their bytes by message type. */
 class Counter {
   readonly bytes = new Map<string, number>();
   messageCount = 0;
@@ -140,8 +145,8 @@
   }
 }
 
-/** Gives every node the whole picture, as if all had run for long. */
-function shareAll({nodes, nowMs}: InMemoryCluster): void {
+/** Gives every node all warm states, as after a long run. */
+function shareAllStatuses({nodes, nowMs}: InMemoryCluster): void {
   const now = {monotonicMs: nowMs, wallMs: nowMs};
   nodes.forEach(from => {
     const [reply] = from.sharing.receive('', {type: 'status-request'}, now);
@@ -154,18 +159,18 @@
 }
 
 function measureHealing(cluster: InMemoryCluster, workload: Workload) {
-  cluster.isLost = isAcross;
-  // About as many runners change as in an hour.
-  Array.from({length: cluster.engines.size}, () => workload.wake());
-  cluster.run(CUT_MS);
+  cluster.isLost = crossesRegions;
+  // About as many backend servers as change in an hour.
+  Array.from({length: cluster.engines.size}, () => workload.changeWarmSlots());
+  cluster.run(PARTITION_MS);
   cluster.isLost = () => false;
   const counter = new Counter(cluster);
   const startMs = cluster.nowMs;
-  while (!cluster.isAgreed() && cluster.nowMs - startMs < LIMIT_MS) {
+  while (!cluster.isConverged() && cluster.nowMs - startMs < TIMEOUT_MS) {
     cluster.run(MS_PER_S);
   }
-  const healMs = cluster.isAgreed() ? cluster.nowMs - startMs : null;
-  const seconds = (healMs ?? LIMIT_MS) / MS_PER_S;
+  const healMs = cluster.isConverged() ? cluster.nowMs - startMs : null;
+  const seconds = (healMs ?? TIMEOUT_MS) / MS_PER_S;
   return {
     healMs,
     healBytesPerS: Math.round(counter.total / cluster.nodes.length / seconds),
@@ -180,36 +185,39 @@
       joinBytes += sizeOf(message);
     }
   };
-  const held = [...node.held.keys()];
+  const heldIds = [...node.heldEpochs.keys()];
   cluster.restart(node);
-  held.forEach(id => cluster.claim(id, node));
+  heldIds.forEach(id => cluster.claim(id, node));
   const isKnown = () => node.board.list().length === cluster.engines.size;
-  const joinMs = cluster.runUntil(isKnown, LIMIT_MS);
+  const joinMs = cluster.runUntil(isKnown, TIMEOUT_MS);
   return {joinMs, joinBytes};
 }
 
 function measureChanges(cluster: InMemoryCluster): number[] {
-  return Array.from({length: 5}, (_, place) => {
-    const id = nameOfEngine(place);
+  return Array.from({length: 5}, (_, index) => {
+    const id = formatEngineId(index);
     const model = `model-${SLOT_COUNT - 1}`;
     cluster.setWarm(id, [SLOT_COUNT - 1]);
     const isWarm = () =>
       cluster.nodes.every(({board}) =>
         board.listWarm(model, null).some(each => each.backendServerId === id),
       );
-    return cluster.runUntil(isWarm, LIMIT_MS) ?? LIMIT_MS;
+    return cluster.runUntil(isWarm, TIMEOUT_MS) ?? TIMEOUT_MS;
   });
 }
 
 function measure({nodes, runners}: Size) {
   const heapBefore = memoryUsage().heapUsed;
-  const cluster = new InMemoryCluster({nodeCount: nodes, runnerCount: runners});
-  cluster.findDelayMs = envelope =>
-    isAcross(envelope) ? OTHER_REGION_MS : SAME_REGION_MS;
+  const cluster = new InMemoryCluster({
+    nodeCount: nodes,
+    backendServerCount: runners,
+  });
+  cluster.findLatencyMs = envelope =>
+    crossesRegions(envelope) ? OTHER_REGION_MS : SAME_REGION_MS;
   const workload = new Workload(cluster);
   workload.warmUp();
   cluster.run(FIRST_POLLS_MS);
-  shareAll(cluster);
+  shareAllStatuses(cluster);
   cluster.run(WARM_UP_MS);
   cluster.transfer = transfer;
   const counter = new Counter(cluster);
--- a/packages/share-reports/src/measure_routing_main.ts
+++ b/packages/share-reports/src/measure_routing_main.ts
@@ -1,17 +1,21 @@
 /**
- * Prints how long requests wait for a place when routers choose by reports of
- * several ages, against choosing at random and by the least reported load.
- * Simulated time; every model has four runners, and half of the time all
- * routers get a burst for models that were idle.
+ * Prints how long requests queue when routers choose backend servers by load
+ * reports of several ages, compared with a random choice and the least reported
+ * load. Runs in simulated time; half of the models are idle between bursts.
  */
 import {SeededRandom} from '@mimosatack/random';
 
 /**
- * How a router chooses: at random; the least loaded of all by report, or with
- * its own requests since; the better of two by that, or by its own requests
- * alone; at random in proportion to the free places it believes in.
+ * How a router chooses a backend server:
+ * - `random`: uniformly at random.
+ * - `least`: the least reported load.
+ * - `least-corrected`: the least load, corrected by the router's own requests
+ *   since the report.
+ * - `two-corrected`: the lower corrected load of two random choices.
+ * - `two-own`: the fewer own requests of two random choices.
+ * - `by-free-places`: at random, weighted by estimated free capacity.
  */
-type Way =
+type Policy =
   | 'random'
   | 'least'
   | 'least-corrected'
@@ -22,7 +26,7 @@
 interface Setup {
   routers: number;
   runners: number;
-  way: Way;
+  way: Policy;
   roundMs: number;
 }
 
@@ -33,34 +37,36 @@
 }
 
 const REPLICAS = 4;
-const PLACES = 24;
-/** The mean time of a request; an argument gives another. */
+const CAPACITY = 24;
+/** The mean service time, which an argument overrides. */
 const SERVICE_MS = Number(process.argv[2] ?? 4_000);
 const UTILIZATION = 0.85;
 const RUN_MS = 10 * SERVICE_MS;
 const BURST_EVERY_MS = 2 * SERVICE_MS;
 const BURST_MS = SERVICE_MS / 4;
 const STEP_MS = 10;
-const HISTORY = 3;
+const MAX_SNAPSHOTS = 3;
 
-/** What all runners had, and what each router had on them, at one time. */
+/** The load of each backend server and each router's part of it at one time. */
 interface Snapshot {
   loads: Int16Array;
   own: Int16Array;
 }
 
-/** One run with one way of choosing. */
 class Simulation {
   private readonly random = new SeededRandom(11);
   private readonly loads: Int16Array;
   private readonly own: Int16Array;
   private readonly queues: Arrival[][];
-  private readonly ends = new Map<number, {runner: number; router: number}[]>();
+  private readonly completions = new Map<
+    number,
+    {server: number; router: number}[]
+  >();
   private readonly snapshots: Snapshot[] = [];
   private round = -1;
   readonly waitsMs: number[] = [];
-  spreadSum = 0;
-  private spreadCount = 0;
+  imbalanceSum = 0;
+  private imbalanceCount = 0;
 
   constructor(private readonly setup: Setup) {
     const {routers, runners} = setup;
@@ -78,17 +84,17 @@
       Array.from({length: models}, (_, model) => model).forEach(model =>
         this.arrive(model, nowMs),
       );
-      if (nowMs % 100 === 0) this.noteSpread();
+      if (nowMs % 100 === 0) this.recordImbalance();
     });
   }
 
-  get meanSpread(): number {
-    return this.spreadSum / this.spreadCount;
+  get meanImbalance(): number {
+    return this.imbalanceSum / this.imbalanceCount;
   }
 
-  /** Even models are steady; each odd one is idle between its bursts. */
+  /** Even models have a steady load, odd ones are idle between bursts. */
   private arrive(model: number, nowMs: number): void {
-    const perMs = (UTILIZATION * REPLICAS * PLACES) / SERVICE_MS;
+    const perMs = (UTILIZATION * REPLICAS * CAPACITY) / SERVICE_MS;
     const sinceBurstMs = (nowMs + model * 97) % BURST_EVERY_MS;
     const burst = sinceBurstMs < BURST_MS ? (perMs * SERVICE_MS) / BURST_MS : 0;
     const expected = (model % 2 === 0 ? perMs : burst) * STEP_MS;
@@ -102,56 +108,56 @@
   }
 
   private send(arrival: Arrival, nowMs: number): void {
-    const runner = this.choose(arrival, nowMs);
-    this.loads[runner]!++;
-    this.own[this.ownIndex(arrival.router, runner)]!++;
-    if (this.loads[runner]! > PLACES) this.queues[runner]!.push(arrival);
-    else this.begin(arrival, runner, nowMs);
+    const server = this.choose(arrival, nowMs);
+    this.loads[server]!++;
+    this.own[this.ownIndex(arrival.router, server)]!++;
+    if (this.loads[server]! > CAPACITY) this.queues[server]!.push(arrival);
+    else this.begin(arrival, server, nowMs);
   }
 
   private choose({router, model}: Arrival, nowMs: number): number {
-    const all = Array.from({length: REPLICAS}, (_, r) => model * REPLICAS + r);
+    const pool = Array.from({length: REPLICAS}, (_, r) => model * REPLICAS + r);
     const {way} = this.setup;
     const first = this.random.nextInt(0, REPLICAS - 1);
-    if (way === 'random') return all[first]!;
-    if (way === 'by-free-places') return this.chooseByFree(all, router, nowMs);
+    if (way === 'random') return pool[first]!;
+    if (way === 'by-free-places') return this.chooseByFree(pool, router, nowMs);
     const isPair = way === 'two-corrected' || way === 'two-own';
     const second = (first + this.random.nextInt(1, REPLICAS - 1)) % REPLICAS;
-    const looked = isPair ? [all[first]!, all[second]!] : all;
-    const scored = looked.map(runner => ({
-      runner,
-      score: this.score(router, runner, nowMs),
+    const candidates = isPair ? [pool[first]!, pool[second]!] : pool;
+    const scored = candidates.map(server => ({
+      server,
+      score: this.score(router, server, nowMs),
     }));
     return scored.reduce((best, each) =>
       each.score < best.score ? each : best,
-    ).runner;
+    ).server;
   }
 
-  private chooseByFree(all: number[], router: number, nowMs: number): number {
-    const free = all.map(runner =>
-      Math.max(1, PLACES - this.score(router, runner, nowMs)),
+  private chooseByFree(pool: number[], router: number, nowMs: number): number {
+    const freeCapacities = pool.map(server =>
+      Math.max(1, CAPACITY - this.score(router, server, nowMs)),
     );
-    const total = free.reduce((sum, each) => sum + each, 0);
-    let left = this.random.nextFraction() * total;
-    const chosen = free.findIndex(each => (left -= each) < 0);
-    return all[Math.max(0, chosen)]!;
+    const total = freeCapacities.reduce((sum, each) => sum + each, 0);
+    let remaining = this.random.nextFraction() * total;
+    const chosen = freeCapacities.findIndex(each => (remaining -= each) < 0);
+    return pool[Math.max(0, chosen)]!;
   }
 
-  private score(router: number, runner: number, nowMs: number): number {
-    const index = this.ownIndex(router, runner);
+  private score(router: number, server: number, nowMs: number): number {
+    const index = this.ownIndex(router, server);
     const own = this.own[index]!;
     if (this.setup.way === 'two-own') return own;
-    const snapshot = this.findSnapshot(router, runner, nowMs);
-    const reported = snapshot?.loads[runner] ?? 0;
+    const snapshot = this.findSnapshot(router, server, nowMs);
+    const reported = snapshot?.loads[server] ?? 0;
     if (this.setup.way === 'least') return reported;
     return reported - (snapshot?.own[index] ?? 0) + own;
   }
 
-  /** A report takes a part of the round that depends on both ends. */
-  private findSnapshot(router: number, runner: number, nowMs: number) {
+  /** The latency of a report depends on the router and the backend server. */
+  private findSnapshot(router: number, server: number, nowMs: number) {
     const {roundMs} = this.setup;
-    const share = 0.1 + 0.9 * (((router * 31 + runner * 17) % 100) / 100);
-    const round = Math.floor((nowMs - share * roundMs) / roundMs);
+    const fraction = 0.1 + 0.9 * (((router * 31 + server * 17) % 100) / 100);
+    const round = Math.floor((nowMs - fraction * roundMs) / roundMs);
     return this.snapshots[this.snapshots.length - 1 - (this.round - round)];
   }
 
@@ -160,41 +166,45 @@
     if (round === this.round) return;
     this.round = round;
     this.snapshots.push({loads: this.loads.slice(), own: this.own.slice()});
-    if (this.snapshots.length > HISTORY) this.snapshots.shift();
+    if (this.snapshots.length > MAX_SNAPSHOTS) this.snapshots.shift();
   }
 
-  private begin(arrival: Arrival, runner: number, nowMs: number): void {
+  private begin(arrival: Arrival, server: number, nowMs: number): void {
     this.waitsMs.push(nowMs - arrival.atMs);
-    const lengthMs = -SERVICE_MS * Math.log(1 - this.random.nextFraction());
-    const endMs = nowMs + STEP_MS * Math.max(1, Math.round(lengthMs / STEP_MS));
+    const serviceMs = -SERVICE_MS * Math.log(1 - this.random.nextFraction());
+    const endMs =
+      nowMs + STEP_MS * Math.max(1, Math.round(serviceMs / STEP_MS));
     const {router} = arrival;
-    this.ends.set(endMs, [...(this.ends.get(endMs) ?? []), {runner, router}]);
+    this.completions.set(endMs, [
+      ...(this.completions.get(endMs) ?? []),
+      {server, router},
+    ]);
   }
 
   private finish(nowMs: number): void {
-    this.ends.get(nowMs)?.forEach(({runner, router}) => {
-      this.loads[runner]!--;
-      this.own[this.ownIndex(router, runner)]!--;
-      const next = this.queues[runner]!.shift();
-      if (next) this.begin(next, runner, nowMs);
+    this.completions.get(nowMs)?.forEach(({server, router}) => {
+      this.loads[server]!--;
+      this.own[this.ownIndex(router, server)]!--;
+      const next = this.queues[server]!.shift();
+      if (next) this.begin(next, server, nowMs);
     });
-    this.ends.delete(nowMs);
+    this.completions.delete(nowMs);
   }
 
-  /** How far the fullest runner of a model is above the model's mean. */
-  private noteSpread(): void {
+  /** How far the highest load of a model's replicas is above their mean. */
+  private recordImbalance(): void {
     const models = this.loads.length / REPLICAS;
     Array.from({length: models}, (_, model) =>
       this.loads.slice(model * REPLICAS, (model + 1) * REPLICAS),
     ).forEach(loads => {
       const mean = loads.reduce((sum, load) => sum + load, 0) / REPLICAS;
-      this.spreadSum += (Math.max(...loads) - mean) / PLACES;
-      this.spreadCount++;
+      this.imbalanceSum += (Math.max(...loads) - mean) / CAPACITY;
+      this.imbalanceCount++;
     });
   }
 
-  private ownIndex(router: number, runner: number): number {
-    return router * this.setup.runners + runner;
+  private ownIndex(router: number, server: number): number {
+    return router * this.setup.runners + server;
   }
 }
 
@@ -202,15 +212,16 @@
   const simulation = new Simulation(setup);
   simulation.run();
   const sorted = simulation.waitsMs.toSorted((a, b) => a - b);
-  const at = (share: number) => sorted[Math.floor(sorted.length * share)]!;
+  const percentile = (fraction: number) =>
+    sorted[Math.floor(sorted.length * fraction)]!;
   const waiting = sorted.filter(waitMs => waitMs > 0).length;
   return {
     ...setup,
     requests: sorted.length,
     waitedPercent: ((100 * waiting) / sorted.length).toFixed(1),
-    waitP95Ms: at(0.95),
-    waitP99Ms: at(0.99),
-    imbalancePercent: (100 * simulation.meanSpread).toFixed(1),
+    waitP95Ms: percentile(0.95),
+    waitP99Ms: percentile(0.99),
+    imbalancePercent: (100 * simulation.meanImbalance).toFixed(1),
   };
 }
 
--- a/packages/share-reports/src/measure_ways_main.ts
+++ b/packages/share-reports/src/measure_ways_main.ts
@@ -1,12 +1,12 @@
 /**
- * Prints what the ways of sharing loads that were not chosen would cost a
- * node at the target size, each in the least simulation that shows it.
+ * Prints the cost per node of alternative ways to share loads at the target
+ * cluster size, each from a minimal simulation.
  */
 import {type RandomSource, SeededRandom} from '@mimosatack/random';
 import {pack} from 'msgpackr';
 
 const NODES = 370;
-const RUNNERS = 670;
+const BACKEND_SERVERS = 670;
 const MODELS = 260;
 const REPLICAS = 4;
 const REQUESTS_PER_S = 7_700;
@@ -15,7 +15,7 @@
 const ROUND_S = 2;
 const POLL_S = 0.5;
 
-/** A state such as an engine reports, with names of usual length. */
+/** A full engine state with identifiers of typical length. */
 function makeEngineState(replicaCount: number, cachedCount: number) {
   const model = (index: number) => ({
     model: `model-name-${index}`,
@@ -51,10 +51,10 @@
   };
 }
 
-/** Every whole state to every node at each poll, as it was at first. */
+/** Sends every full engine state to every node at each poll. */
 function measureBroadcast() {
   const stateBytes = pack(makeEngineState(10, 30)).length;
-  const perS = ((RUNNERS / NODES) * (NODES - 1)) / POLL_S;
+  const perS = ((BACKEND_SERVERS / NODES) * (NODES - 1)) / POLL_S;
   return {
     way: 'broadcast',
     stateBytes,
@@ -62,9 +62,12 @@
   };
 }
 
-/** Each node sends its whole picture to one random peer every `periodMs`. */
+/** Each node sends all loads to one random peer every `periodMs`. */
 function measureGossip(periodMs: number, random: RandomSource) {
-  const stamps = Array.from({length: NODES}, () => new Float64Array(RUNNERS));
+  const stamps = Array.from(
+    {length: NODES},
+    () => new Float64Array(BACKEND_SERVERS),
+  );
   const stepMs = 50;
   const phases = stamps.map(() => random.nextInt(0, periodMs / stepMs - 1));
   const ages: number[] = [];
@@ -73,12 +76,12 @@
     const nowMs = step * stepMs;
     stamps.forEach((own, node) => {
       if ((step + phases[node]!) % (periodMs / stepMs) !== 0) return;
-      own.forEach((_, runner) => {
-        if (runner % NODES === node) own[runner] = nowMs;
+      own.forEach((_, server) => {
+        if (server % NODES === node) own[server] = nowMs;
       });
       const peer = stamps[random.nextInt(0, NODES - 1)]!;
-      own.forEach((stamp, runner) => {
-        peer[runner] = Math.max(peer[runner]!, stamp);
+      own.forEach((stamp, server) => {
+        peer[server] = Math.max(peer[server]!, stamp);
       });
     });
     if (nowMs >= 40_000 && nowMs % 5_000 === 0) {
@@ -86,7 +89,7 @@
     }
   });
   ages.sort((a, b) => a - b);
-  const bytes = RUNNERS * BYTES_PER_LOAD + MESSAGE_BYTES;
+  const bytes = BACKEND_SERVERS * BYTES_PER_LOAD + MESSAGE_BYTES;
   return {
     way: `gossip of the full picture every ${periodMs} ms`,
     bytesPerS: Math.round((bytes * 1_000) / periodMs),
@@ -95,24 +98,29 @@
   };
 }
 
-/** Which runners a router had requests for, with models by Zipf's law. */
+/**
+ * Each router subscribes to the backend servers that it recently sent requests
+ * to. The popularity of models follows Zipf's law.
+ */
 function measureInterest(seconds: number, random: RandomSource) {
   const weights = Array.from({length: MODELS}, (_, rank) => 1 / (rank + 1));
   const total = weights.reduce((sum, weight) => sum + weight, 0);
-  const runnersOf = weights.map(() =>
-    Array.from({length: REPLICAS}, () => random.nextInt(0, RUNNERS - 1)),
+  const serversByModel = weights.map(() =>
+    Array.from({length: REPLICAS}, () =>
+      random.nextInt(0, BACKEND_SERVERS - 1),
+    ),
   );
   const pickModel = () => {
-    let left = random.nextFraction() * total;
+    let remaining = random.nextFraction() * total;
     return Math.max(
       0,
-      weights.findIndex(weight => (left -= weight) < 0),
+      weights.findIndex(weight => (remaining -= weight) < 0),
     );
   };
   const count = Math.round((REQUESTS_PER_S / NODES) * seconds);
   const models = Array.from({length: count}, pickModel);
-  const runners = new Set(models.flatMap(model => runnersOf[model]!));
-  const stewards = new Set([...runners].map(runner => runner % NODES));
+  const runners = new Set(models.flatMap(model => serversByModel[model]!));
+  const stewards = new Set([...runners].map(server => server % NODES));
   const bytes = stewards.size * MESSAGE_BYTES + runners.size * BYTES_PER_LOAD;
   return {
     way: `interest of the last ${seconds} s, told every ${ROUND_S} s`,
@@ -122,39 +130,39 @@
   };
 }
 
-/** How many loads differ from what was told last, at each round. */
-function measureDifferences(thresholdShare: number, random: RandomSource) {
-  const places = 200;
+/** Sends a load in a round only if it differs enough from the last one sent. */
+function measureDifferences(threshold: number, random: RandomSource) {
+  const capacity = 200;
   const serviceS = 12;
   const rounds = 30;
-  const loads = Array.from({length: RUNNERS}, () => 0.85 * places);
-  const told = [...loads];
-  let toldCount = 0;
+  const loads = Array.from({length: BACKEND_SERVERS}, () => 0.85 * capacity);
+  const sent = [...loads];
+  let sentCount = 0;
   Array.from({length: rounds * ROUND_S * 10}, (_, step) => step).forEach(
     step => {
-      loads.forEach((load, runner) => {
-        const arriving = (0.85 * places) / serviceS / 10;
+      loads.forEach((load, server) => {
+        const arriving = (0.85 * capacity) / serviceS / 10;
         const leaving = load / serviceS / 10;
         const change = (mean: number) =>
           Math.floor(mean) + (random.nextFraction() < mean % 1 ? 1 : 0);
         const noise = random.nextInt(-2, 2);
-        loads[runner] = Math.max(
+        loads[server] = Math.max(
           0,
           load + change(arriving) - change(leaving) + noise,
         );
         const isRound = step % (ROUND_S * 10) === 0;
-        const difference = Math.abs(loads[runner] - told[runner]!);
-        if (!isRound || difference < Math.max(1, thresholdShare * places)) {
+        const difference = Math.abs(loads[server] - sent[server]!);
+        if (!isRound || difference < Math.max(1, threshold * capacity)) {
           return;
         }
-        told[runner] = loads[runner];
-        toldCount++;
+        sent[server] = loads[server];
+        sentCount++;
       });
     },
   );
   return {
-    way: `differences above ${thresholdShare * 100} % of the places`,
-    toldPercent: Math.round((100 * toldCount) / rounds / RUNNERS),
+    way: `differences above ${threshold * 100} % of the places`,
+    toldPercent: Math.round((100 * sentCount) / rounds / BACKEND_SERVERS),
   };
 }
 
@@ -170,6 +178,8 @@
   measureDifferences(0.1, random),
   {
     way: 'load on each answer',
-    secondsBetweenAnswers: Math.round((RUNNERS * NODES) / REQUESTS_PER_S),
+    secondsBetweenAnswers: Math.round(
+      (BACKEND_SERVERS * NODES) / REQUESTS_PER_S,
+    ),
   },
 ].forEach(result => console.log(JSON.stringify(result)));
--- a/packages/share-reports/src/messages.ts
+++ b/packages/share-reports/src/messages.ts
@@ -1,12 +1,12 @@
-/** The messages between nodes, with the schema that refuses bad ones. */
+/** The messages between nodes and the schema that validates them. */
 import {z} from 'zod';
 
-/** More backend servers than any deployment has. */
-const MAX_RUNNERS = 8192;
+/** Limits the size of a message; larger than any deployment. */
+const MAX_BACKEND_SERVERS = 8192;
 const MAX_SLOTS = 4096;
 const MAX_UINT32 = 2 ** 32 - 1;
 const MAX_BIT = 31;
-/** How many groups warm states are put in to compare them by digest. */
+/** The number of groups in which warm states are compared by digest. */
 export const BUCKET_COUNT = 16;
 
 const uint32 = z.int().min(0).max(MAX_UINT32);
@@ -14,15 +14,17 @@
 const index = z
   .int()
   .min(0)
-  .max(MAX_RUNNERS - 1);
+  .max(MAX_BACKEND_SERVERS - 1);
 
-/** What a group of loads holds for each backend server, beside its index. */
 export const LOAD_KINDS = ['idle', 'running', 'queued', 'silent'] as const;
 
-/** How much is told of a load: idle and silent ones need no numbers. */
+/**
+ * Which request counts a load has: `idle` none, `running` no queued requests,
+ * `queued` both. `silent`: the load is unknown.
+ */
 export type LoadKind = (typeof LOAD_KINDS)[number];
 
-/** How many numbers follow the index. */
+/** The number of request counts that follow the index. */
 export const LOAD_KIND_WIDTHS: Record<LoadKind, number> = {
   idle: 0,
   running: 1,
@@ -30,28 +32,28 @@
   silent: 0,
 };
 
-/** The place of a group's kind and of its age; its loads follow. */
-export const GROUP_HEAD_LENGTH = 2;
+/** The kind and the age of a group, which precede its loads. */
+export const GROUP_HEADER_LENGTH = 2;
 
 /**
- * Loads with the same kind and stamp, as bare numbers, since names would take
- * more bytes than the loads: the kind's place in `LOAD_KINDS`, how much older
- * the stamp is than the newest of the message, then for each backend server
- * its index, as the difference to the one before, and the levels of running
- * and queued requests as the kind says.
+ * Loads with the same kind and stamp as a flat list of numbers, since keys
+ * would take more bytes than the values: the index of the kind in `LOAD_KINDS`,
+ * the age of the stamp relative to the newest one of the message, then for each
+ * backend server the difference of its index to the previous index and the
+ * levels of running and queued requests that the kind requires.
  */
 const loadGroupSchema = z
   .array(count)
-  .min(GROUP_HEAD_LENGTH)
-  .max(GROUP_HEAD_LENGTH + 3 * MAX_RUNNERS)
-  .refine(([kindPlace = 0, _ageUnits, ...values]) => {
-    const kind = LOAD_KINDS[kindPlace];
+  .min(GROUP_HEADER_LENGTH)
+  .max(GROUP_HEADER_LENGTH + 3 * MAX_BACKEND_SERVERS)
+  .refine(([kindIndex = 0, _ageUnits, ...values]) => {
+    const kind = LOAD_KINDS[kindIndex];
     return (
       kind !== undefined && values.length % (1 + LOAD_KIND_WIDTHS[kind]) === 0
     );
   });
 
-/** A warm state as bare values, since names would take most of the bytes. */
+/** A warm state as a tuple, since keys would take most of the bytes. */
 const statusSchema = z.tuple([
   index.describe('backend server'),
   count.describe('epoch'),
@@ -66,20 +68,20 @@
 
 const loadsSchema = z.object({
   type: z.literal('loads'),
-  /** Digest of the table that gives the indexes and the epochs. */
+  /** Digest of the table that defines the indexes and the epochs. */
   table: uint32,
-  /** The sender is 2 to the power of this away on the ring. */
+  /** The distance to the sender on the ring is 2 to the power of `bit`. */
   bit: z.int().min(0).max(MAX_BIT),
   stampUnits: count,
-  groups: z.array(loadGroupSchema).max(MAX_RUNNERS),
+  groups: z.array(loadGroupSchema).max(MAX_BACKEND_SERVERS),
 });
 
 const statusesSchema = z.object({
   type: z.literal('statuses'),
-  /** Digest of the table that gives the indexes. */
+  /** Digest of the table that defines the indexes. */
   table: uint32,
-  statuses: z.array(statusSchema).max(MAX_RUNNERS),
-  /** Whether it is the whole picture, for a node that has started. */
+  statuses: z.array(statusSchema).max(MAX_BACKEND_SERVERS),
+  /** Whether the message holds all warm states, for a node that has started. */
   isWhole: z.boolean(),
 });
 
@@ -101,10 +103,10 @@
         .max(BUCKET_COUNT - 1),
     )
     .max(BUCKET_COUNT),
-  statuses: z.array(statusSchema).max(MAX_RUNNERS),
+  statuses: z.array(statusSchema).max(MAX_BACKEND_SERVERS),
 });
 
-/** Refuses every message that does not have one of the known forms. */
+/** Accepts only well-formed messages of the known types. */
 export const reportMessageSchema = z.discriminatedUnion('type', [
   loadsSchema,
   statusesSchema,
@@ -113,21 +115,18 @@
   statusBucketsSchema,
 ]);
 
-/** A message on reports between two nodes. */
 export type ReportMessage = z.infer<typeof reportMessageSchema>;
 
-/** The message of one type. */
 export type MessageOf<T extends ReportMessage['type']> = Extract<
   ReportMessage,
   {type: T}
 >;
 
-/** Loads with the same kind and stamp, as `loadGroupSchema` says. */
 export type LoadGroup = z.infer<typeof loadGroupSchema>;
-/** A warm state whose backend server is told by its index. */
+/** A warm state that identifies its backend server by index. */
 export type IndexedStatus = z.infer<typeof statusSchema>;
 
-/** A message that the caller is to send. */
+/** A message for the caller to send. */
 export interface OutgoingReport {
   toAddress: string;
   message: ReportMessage;
--- a/packages/share-reports/src/own_engines.ts
+++ b/packages/share-reports/src/own_engines.ts
@@ -1,4 +1,3 @@
-/** Makes warm states of the engines that this node's stewards read. */
 import {
   type BackendReport,
   type EngineStatus,
@@ -10,14 +9,14 @@
   formatModelRef,
 } from '@mimosatack/types';
 
-/** The claim under which a steward reads its engine. */
+/** The claim under which a steward, the node that polls an engine, reads it. */
 export interface StewardTerm {
   epoch: number;
   rank: number;
 }
 
 /** How long a slot counts as busy after its last request. */
-const BUSY_KEEP_MS = 30_000;
+const BUSY_HOLD_MS = 30_000;
 
 interface OwnEngine {
   status: EngineStatus;
@@ -25,12 +24,15 @@
   busyUntilMs: Map<string, number>;
 }
 
-/** Counts up whenever what others should know of an engine has changed. */
+/**
+ * Builds the warm states of the engines that this node's stewards read, and
+ * increments the version when a shared property changes.
+ */
 export class OwnEngines {
   private readonly engines = new Map<BackendServerId, OwnEngine>();
   private count = 0;
 
-  /** @param isWatched whether the planner needs to know of a slot's use. */
+  /** @param isWatched whether the planner needs to know if a slot is in use. */
   constructor(
     private readonly isWatched: (
       id: BackendServerId,
@@ -38,15 +40,19 @@
     ) => boolean,
   ) {}
 
-  /** The warm state; the same object as before if nothing changed. */
-  note(report: BackendReport, term: StewardTerm, nowMs: number): EngineStatus {
+  /** Returns the previous warm state object if nothing has changed. */
+  update(
+    report: BackendReport,
+    term: StewardTerm,
+    nowMs: number,
+  ): EngineStatus {
     const id = report.backendServerId;
     const known = this.engines.get(id);
-    const engine = this.withBusy(report, known, nowMs);
+    const engine = this.trackBusySlots(report, known, nowMs);
     const fingerprint = JSON.stringify([
       term,
       report.isReachable,
-      report.engine && describe(report.engine),
+      report.engine && listSharedProperties(report.engine),
       [...engine.busyUntilMs.keys()].sort(),
     ]);
     if (known?.fingerprint === fingerprint) {
@@ -60,7 +66,7 @@
     return status;
   }
 
-  private withBusy(
+  private trackBusySlots(
     {backendServerId, engine}: BackendReport,
     known: OwnEngine | undefined,
     nowMs: number,
@@ -73,7 +79,7 @@
       ([, untilMs]) => untilMs > nowMs,
     );
     const busyUntilMs = new Map(kept);
-    active.forEach(slotId => busyUntilMs.set(slotId, nowMs + BUSY_KEEP_MS));
+    active.forEach(slotId => busyUntilMs.set(slotId, nowMs + BUSY_HOLD_MS));
     return {busyUntilMs};
   }
 }
@@ -100,8 +106,8 @@
   };
 }
 
-/** What is worth telling, without what changes all the time. */
-function describe(engine: EngineState) {
+/** The shared properties, without those that change constantly. */
+function listSharedProperties(engine: EngineState) {
   return [
     engine.incarnation,
     engine.load.maxRunningRequests,
--- a/packages/share-reports/src/report_sharing.ts
+++ b/packages/share-reports/src/report_sharing.ts
@@ -1,7 +1,7 @@
 /**
- * Everything that one node says and hears of engines. It owns no socket and
- * no timer: the caller passes the time, sends what is returned, and calls
- * `tick` about every 100 ms.
+ * The exchange of engine reports between nodes, without sockets and timers: the
+ * caller passes the time, sends the returned messages, and calls `tick` about
+ * every 100 ms.
  */
 import {
   type BackendReport,
@@ -10,6 +10,7 @@
 } from '@mimosatack/engine-board';
 import {type RandomSource} from '@mimosatack/random';
 import {type BackendServerId} from '@mimosatack/types';
+import {type RunnerRow, TableHistory} from './backend_server_table.js';
 import {ExchangeRing, type RingNode} from './exchange_ring.js';
 import {LoadExchange} from './load_exchange.js';
 import {
@@ -18,12 +19,10 @@
   type ReportMessage,
 } from './messages.js';
 import {OwnEngines, type StewardTerm} from './own_engines.js';
-import {type RunnerRow, TableHistory} from './runner_table.js';
-import {StatusSpread} from './status_spread.js';
+import {StatusGossip} from './status_gossip.js';
 import {StatusSync} from './status_sync.js';
 import {StatusTable, decodeStatuses} from './status_table.js';
 
-/** What sharing is built from. */
 export interface ReportSharingOptions {
   nodeName: string;
   board: EngineBoard;
@@ -32,14 +31,12 @@
   isWatched?: (id: BackendServerId, engineSlotId: string) => boolean;
 }
 
-/** The present time by both clocks. */
 export interface Now {
   monotonicMs: number;
   wallMs: number;
 }
 
-/** The warm states of a message. */
-interface StatusNews {
+interface StatusBatch {
   table: number;
   statuses: readonly IndexedStatus[];
   isWhole?: boolean;
@@ -47,12 +44,12 @@
 
 const EXPIRE_PERIOD_MS = 1_000;
 
-/** Shares loads by rounds, and warm states when they change. */
+/** Shares loads in rounds, and warm states when they change. */
 export class ReportSharing {
   private readonly tables = new TableHistory();
   private readonly statuses = new StatusTable();
   private readonly loads: LoadExchange;
-  private readonly spread: StatusSpread;
+  private readonly gossip: StatusGossip;
   private readonly sync: StatusSync;
   private readonly ownEngines: OwnEngines;
   private ring: ExchangeRing;
@@ -61,18 +58,18 @@
   constructor(private readonly options: ReportSharingOptions) {
     const {board, random} = options;
     this.loads = new LoadExchange(this.tables, board);
-    this.spread = new StatusSpread(this.tables, this.statuses, random);
+    this.gossip = new StatusGossip(this.tables, this.statuses, random);
     this.sync = new StatusSync(this.tables, this.statuses, random);
     this.ownEngines = new OwnEngines(options.isWatched ?? (() => false));
     this.ring = new ExchangeRing(options.nodeName, []);
   }
 
-  /** How often the load of every backend server comes. */
+  /** The interval at which every load is updated. */
   get roundMs(): number {
     return this.loads.roundMs;
   }
 
-  /** Takes the backend servers and claims of the agreed state. */
+  /** Sets the backend servers and claims of the agreed state. */
   setRunners(rows: readonly RunnerRow[]): void {
     const before = this.tables.current;
     if (!this.tables.update(rows)) return;
@@ -80,21 +77,21 @@
     before.rows
       .filter(row => !current.find(row.backendServerId))
       .forEach(row => this.options.board.forget(row.backendServerId));
-    this.statuses.forgetMissing(current);
-    this.loads.forgetMissing();
+    this.statuses.removeUnregistered(current);
+    this.loads.removeUnregistered();
   }
 
-  /** Takes the nodes that are there, this one included. */
+  /** Sets the nodes of the cluster, including this one. */
   setNodes(nodes: readonly RingNode[]): void {
     this.ring = new ExchangeRing(this.options.nodeName, nodes);
     this.loads.setRing(this.ring);
   }
 
-  /** Takes what a steward of this node has read. */
+  /** Shares a report that a steward on this node has read. */
   publish(report: BackendReport, term: StewardTerm, nowMs: number): void {
     const id = report.backendServerId;
-    const status = this.ownEngines.note(report, term, nowMs);
-    if (this.mergeStatus(status, nowMs)) this.spread.add(id, null);
+    const status = this.ownEngines.update(report, term, nowMs);
+    if (this.mergeStatus(status, nowMs)) this.gossip.add(id, null);
     this.options.board.note({...report, version: status.version}, nowMs);
     const load = report.isReachable ? report.load : null;
     this.loads.publish({
@@ -107,12 +104,12 @@
     this.expire(monotonicMs);
     return [
       ...this.loads.tick(monotonicMs, wallMs),
-      ...this.spread.tick(this.ring, monotonicMs),
+      ...this.gossip.tick(this.ring, monotonicMs),
       ...this.sync.tick(this.ring, monotonicMs),
     ];
   }
 
-  /** Takes in a message that `reportMessageSchema` has let through. */
+  /** Handles a message that `reportMessageSchema` has validated. */
   receive(
     fromAddress: string,
     message: ReportMessage,
@@ -123,8 +120,8 @@
         this.loads.receive(message, monotonicMs, wallMs);
         return [];
       case 'statuses':
-        if (this.mergeAll(message, fromAddress, monotonicMs)) {
-          if (message.isWhole) this.sync.noteJoined();
+        if (this.mergeStatuses(message, fromAddress, monotonicMs)) {
+          if (message.isWhole) this.sync.markJoined();
         }
         return [];
       case 'status-request':
@@ -137,7 +134,7 @@
           message,
           monotonicMs,
         );
-        this.mergeAll(message, fromAddress, monotonicMs);
+        this.mergeStatuses(message, fromAddress, monotonicMs);
         return replies;
       }
     }
@@ -149,9 +146,9 @@
     this.options.board.expire(nowMs, this.loads.staleAfterMs);
   }
 
-  /** Returns whether the message's table is known here. */
-  private mergeAll(
-    {table, statuses, isWhole = false}: StatusNews,
+  /** Returns whether the table of the message is known. */
+  private mergeStatuses(
+    {table, statuses, isWhole = false}: StatusBatch,
     fromAddress: string,
     nowMs: number,
   ): boolean {
@@ -160,10 +157,10 @@
     decodeStatuses(statuses, known)
       .filter(status => this.tables.current.find(status.backendServerId))
       .filter(status => this.mergeStatus(status, nowMs))
-      // A whole picture is news to a node that has started, not to others.
+      // Only the node that has just started lacks these states.
       .filter(() => !isWhole)
       .forEach(({backendServerId}) =>
-        this.spread.add(backendServerId, fromAddress),
+        this.gossip.add(backendServerId, fromAddress),
       );
     return true;
   }
--- a/packages/share-reports/src/share_reports.test.ts
+++ b/packages/share-reports/src/share_reports.test.ts
@@ -7,24 +7,24 @@
   type ClusterSetup,
   type Envelope,
   InMemoryCluster,
-  nameOfEngine,
+  formatEngineId,
 } from './in_memory_cluster.js';
 import {PullPlan, reportMessageSchema} from './index.js';
 
-/** What becomes of one message. */
-interface Fate {
+/** How one message is delivered; `lost` is 0 for a lost message. */
+interface Delivery {
   lost: number;
   copies: number;
-  lateMs: number;
+  delayMs: number;
 }
 
 const MINUTE_MS = 60_000;
-const FIRST = nameOfEngine(0);
+const FIRST_ENGINE = formatEngineId(0);
 
 function createCluster(setup: Partial<ClusterSetup> = {}): InMemoryCluster {
   const cluster = new InMemoryCluster({
     nodeCount: 8,
-    runnerCount: 13,
+    backendServerCount: 13,
     ...setup,
   });
   cluster.run(5_000);
@@ -41,7 +41,11 @@
   );
 }
 
-function isEverywhere(cluster: InMemoryCluster, id: string, running: number) {
+function hasLoadEverywhere(
+  cluster: InMemoryCluster,
+  id: string,
+  running: number,
+) {
   return listLoads(cluster, id).every(load => load === running);
 }
 
@@ -53,8 +57,8 @@
   return [fromAddress, toAddress].sort().join();
 }
 
-/** Whether a message crosses between the first half of the nodes and the rest. */
-function isAcross({fromAddress, toAddress}: Envelope): boolean {
+/** Whether a message crosses between the first four nodes and the others. */
+function crossesPartition({fromAddress, toAddress}: Envelope): boolean {
   const [from, to] = [fromAddress, toAddress].map(
     address => Number(address.split(':')[1]) < 4,
   );
@@ -63,32 +67,38 @@
 
 const sharing = suite('sharing reports');
 
-sharing('loads and warm states come to every node', () => {
-  const cluster = createCluster({nodeCount: 37, runnerCount: 70});
-  cluster.setWarm(FIRST, [1, 7]);
-  setLoad(cluster, FIRST, 21);
-  assert.ok(cluster.runUntil(() => cluster.isAgreed(), 2_000) !== null);
+sharing('loads and warm states reach every node', () => {
+  const cluster = createCluster({nodeCount: 37, backendServerCount: 70});
+  cluster.setWarm(FIRST_ENGINE, [1, 7]);
+  setLoad(cluster, FIRST_ENGINE, 21);
+  assert.ok(cluster.runUntil(() => cluster.isConverged(), 2_000) !== null);
   assert.ok(
-    cluster.runUntil(() => isEverywhere(cluster, FIRST, 21), 3_000) !== null,
+    cluster.runUntil(
+      () => hasLoadEverywhere(cluster, FIRST_ENGINE, 21),
+      3_000,
+    ) !== null,
+  );
+  assert.is(
+    cluster.nodes[9]!.board.find(FIRST_ENGINE)?.load.maxRunningRequests,
+    32,
   );
-  assert.is(cluster.nodes[9]!.board.find(FIRST)?.load.maxRunningRequests, 32);
 });
 
-sharing('each load comes to each node once a round', () => {
-  const cluster = createCluster({nodeCount: 37, runnerCount: 70});
+sharing('each load reaches each node once a round', () => {
+  const cluster = createCluster({nodeCount: 37, backendServerCount: 70});
   let entryCount = 0;
   cluster.onSend = ({message}) => {
     if (message.type !== 'loads') return;
     entryCount += message.groups.flatMap(group => group.slice(2)).length;
   };
   cluster.run(10 * cluster.nodes[0]!.sharing.roundMs);
-  // All engines are idle: one number each.
+  // All engines are idle, so each load is one number.
   assert.is(entryCount, 10 * 36 * 70);
 });
 
-sharing('a node that starts gets the picture in one message', () => {
+sharing('a node that starts receives all warm states in one message', () => {
   const cluster = createCluster();
-  cluster.setWarm(FIRST, [1]);
+  cluster.setWarm(FIRST_ENGINE, [1]);
   cluster.run(5_000);
   const [, , node] = cluster.nodes;
   const whole: Envelope[] = [];
@@ -97,29 +107,34 @@
     if (message.type === 'statuses' && message.isWhole) whole.push(envelope);
   };
   cluster.restart(node!);
-  assert.ok(cluster.runUntil(() => isWarmAt(node!, FIRST), 1_000) !== null);
+  assert.ok(
+    cluster.runUntil(() => isWarmAt(node!, FIRST_ENGINE), 1_000) !== null,
+  );
   cluster.run(MINUTE_MS);
   assert.is(whole.length, 1);
 });
 
-sharing('the whole state of an engine is asked for once a change', () => {
+sharing('the full state of an engine is requested once per change', () => {
   const cluster = createCluster();
   const {board} = cluster.nodes[5]!;
   const ids = [...cluster.engines.keys()];
   const plan = new PullPlan(board);
-  const due = plan.takeDue([FIRST], cluster.nowMs);
-  assert.equal(due, [FIRST]);
-  board.noteEngine(cluster.engines.get(FIRST)!, board.find(FIRST)!.version!);
-  plan.noteDone(FIRST);
-  assert.equal(plan.takeDue([FIRST], cluster.nowMs), []);
-  cluster.setWarm(FIRST, [1]);
+  const due = plan.takeDue([FIRST_ENGINE], cluster.nowMs);
+  assert.equal(due, [FIRST_ENGINE]);
+  board.noteEngine(
+    cluster.engines.get(FIRST_ENGINE)!,
+    board.find(FIRST_ENGINE)!.version!,
+  );
+  plan.noteDone(FIRST_ENGINE);
+  assert.equal(plan.takeDue([FIRST_ENGINE], cluster.nowMs), []);
+  cluster.setWarm(FIRST_ENGINE, [1]);
   cluster.run(5_000);
-  assert.equal(plan.takeDue([FIRST], cluster.nowMs), [FIRST]);
-  const many = Array.from({length: 65}, (_, index) => nameOfEngine(index));
-  assert.equal(new PullPlan(board).takeDue([...many, ...ids], 0), []);
+  assert.equal(plan.takeDue([FIRST_ENGINE], cluster.nowMs), [FIRST_ENGINE]);
+  const manyIds = Array.from({length: 65}, (_, index) => formatEngineId(index));
+  assert.equal(new PullPlan(board).takeDue([...manyIds, ...ids], 0), []);
 });
 
-sharing('malformed messages are refused', () => {
+sharing('malformed messages are rejected', () => {
   const loads = {type: 'loads', table: 1, bit: 0, stampUnits: 1};
   const cases = [
     {...loads, groups: [[2, 0, 5, 1]]},
@@ -139,60 +154,57 @@
 
 const failures = suite('sharing reports under failure');
 
-failures('a late report of a former steward changes nothing', () => {
-  // Requests go to an engine that holds nothing any more.
-  // The old steward read the engine; its messages are held up on the way;
-  // another node takes over and tells that the engine is empty and busy; then
-  // the old messages arrive.
+failures('a delayed report of a former steward changes nothing', () => {
+  // Guards against requests to an engine that is no longer warm, after delayed
+  // messages of the former steward arrive.
   const cluster = createCluster();
-  const [old, taker, reader] = cluster.nodes as [
+  const [former, successor, observer] = cluster.nodes as [
     ClusterNode,
     ClusterNode,
     ClusterNode,
   ];
-  const late: Envelope[] = [];
+  const delayed: Envelope[] = [];
   cluster.isLost = envelope => {
-    const isFromOld = envelope.fromAddress === old.peerAddress;
-    if (isFromOld) late.push({...envelope, toAddress: reader.peerAddress});
-    return isFromOld;
+    const isDelayed = envelope.fromAddress === former.peerAddress;
+    if (isDelayed) delayed.push({...envelope, toAddress: observer.peerAddress});
+    return isDelayed;
   };
-  cluster.setWarm(FIRST, [1]);
-  setLoad(cluster, FIRST, 3);
+  cluster.setWarm(FIRST_ENGINE, [1]);
+  setLoad(cluster, FIRST_ENGINE, 3);
   cluster.run(2_000);
-  old.isFrozen = true;
-  cluster.claim(FIRST, taker);
-  cluster.setWarm(FIRST, []);
-  setLoad(cluster, FIRST, 30);
+  former.isFrozen = true;
+  cluster.claim(FIRST_ENGINE, successor);
+  cluster.setWarm(FIRST_ENGINE, []);
+  setLoad(cluster, FIRST_ENGINE, 30);
   cluster.run(5_000);
   const isNewest = () =>
-    !isWarmAt(reader, FIRST) &&
-    reader.board.find(FIRST)?.load.runningRequests === 30;
+    !isWarmAt(observer, FIRST_ENGINE) &&
+    observer.board.find(FIRST_ENGINE)?.load.runningRequests === 30;
   assert.ok(isNewest());
-  assert.ok(late.some(({message}) => message.type === 'loads'));
-  assert.ok(late.some(({message}) => message.type === 'statuses'));
-  late.forEach(envelope => cluster.deliver(envelope));
+  assert.ok(delayed.some(({message}) => message.type === 'loads'));
+  assert.ok(delayed.some(({message}) => message.type === 'statuses'));
+  delayed.forEach(envelope => cluster.deliver(envelope));
   assert.ok(isNewest());
 });
 
 failures('a change that was lost is repaired', () => {
-  // One router keeps sending requests to a replica that was unloaded.
-  // The change was told once, and no message of that moment arrived.
+  // Guards against requests to an unloaded replica after the messages about the
+  // change were lost.
   const cluster = createCluster();
   cluster.isLost = ({message}) => message.type === 'statuses';
-  cluster.setWarm(FIRST, [1]);
+  cluster.setWarm(FIRST_ENGINE, [1]);
   cluster.run(2_000);
-  assert.not(cluster.isAgreed());
+  assert.not(cluster.isConverged());
   cluster.isLost = () => false;
-  assert.ok(cluster.runUntil(() => cluster.isAgreed(), MINUTE_MS) !== null);
+  assert.ok(cluster.runUntil(() => cluster.isConverged(), MINUTE_MS) !== null);
 });
 
-failures('nodes at different offsets never mix up their indexes', () => {
-  // A router believes that an idle engine is full, and the other way round.
-  // A backend server was registered whose name sorts first; one node has not
-  // read that record yet, so its numbers are off by one.
+failures('nodes at different log offsets do not confuse indexes', () => {
+  // Guards against loads recorded for the wrong engine, because one node has not
+  // read the registration of a backend server that shifts the indexes.
   const cluster = createCluster();
-  const [behind, ...others] = cluster.nodes as [ClusterNode, ...ClusterNode[]];
-  behind.laggingRows = [...cluster.rows];
+  const [lagging, ...others] = cluster.nodes as [ClusterNode, ...ClusterNode[]];
+  lagging.laggingRows = [...cluster.rows];
   cluster.rows = [
     {backendServerId: 'aaa', epoch: 999, holder: null},
     ...cluster.rows,
@@ -200,33 +212,34 @@
   [...cluster.engines.keys()].forEach((id, index) =>
     setLoad(cluster, id, 40 + index),
   );
-  const isAnyWrong = () =>
+  const hasWrongLoad = () =>
     cluster.nodes.some(({board}) =>
       [...cluster.engines.keys()].some((id, index) => {
         const load = board.find(id)?.load.runningRequests ?? 0;
         return load !== 0 && load !== 40 + index;
       }),
     );
-  assert.is(cluster.runUntil(isAnyWrong, 5_000), null);
-  assert.ok(others.every(({board}) => board.find(FIRST)!.isReachable));
-  behind.laggingRows = null;
-  const isRight = () =>
+  assert.is(cluster.runUntil(hasWrongLoad, 5_000), null);
+  assert.ok(others.every(({board}) => board.find(FIRST_ENGINE)!.isReachable));
+  lagging.laggingRows = null;
+  const hasRightLoads = () =>
     [...cluster.engines.keys()].every((id, index) =>
-      isEverywhere(cluster, id, 40 + index),
+      hasLoadEverywhere(cluster, id, 40 + index),
     );
-  assert.ok(cluster.runUntil(isRight, 5_000) !== null);
+  assert.ok(cluster.runUntil(hasRightLoads, 5_000) !== null);
 });
 
-failures('regions that were cut off find together without a storm', () => {
-  // After an hour's cut a flood of reports slows down all requests.
-  // Both sides changed nearly every engine meanwhile, and each node tells
-  // all it has at once.
-  const cluster = createCluster({nodeCount: 8, runnerCount: 400});
-  cluster.isLost = isAcross;
+failures('healed regions converge without a message burst', () => {
+  // Guards against a burst of reports that slows down requests, because nearly
+  // every engine has changed during the partition.
+  const cluster = createCluster({nodeCount: 8, backendServerCount: 400});
+  cluster.isLost = crossesPartition;
   const ids = [...cluster.engines.keys()];
   ids.forEach((id, index) => cluster.setWarm(id, [index % 9]));
   cluster.run(MINUTE_MS);
-  assert.ok(cluster.nodes[0]!.board.find(nameOfEngine(5))!.isReachable == null);
+  assert.ok(
+    cluster.nodes[0]!.board.find(formatEngineId(5))!.isReachable == null,
+  );
   cluster.isLost = () => false;
   const perSecond = new Map<string, number>();
   cluster.onSend = ({fromAddress, message}) => {
@@ -235,47 +248,45 @@
     const sent = perSecond.get(key) ?? 0;
     perSecond.set(key, sent + message.statuses.length);
   };
-  assert.ok(cluster.runUntil(() => cluster.isAgreed(), MINUTE_MS) !== null);
+  assert.ok(cluster.runUntil(() => cluster.isConverged(), MINUTE_MS) !== null);
   assert.ok(Math.max(...perSecond.values()) < 400);
 });
 
-failures('an engine that restarts has nothing warm', () => {
-  // Requests fail at an engine that was restarted, though it answers.
-  // Its new process holds nothing; a state pulled before says otherwise.
+failures('a restarted engine has no warm models', () => {
+  // Guards against requests to a restarted engine because of a full state that
+  // was requested before the restart.
   const cluster = createCluster();
-  cluster.setWarm(FIRST, [1]);
+  cluster.setWarm(FIRST_ENGINE, [1]);
   cluster.run(5_000);
   const {board} = cluster.nodes[6]!;
-  const engine = structuredClone(cluster.engines.get(FIRST)!);
-  board.noteEngine(engine, board.find(FIRST)!.version!);
-  assert.is(board.find(FIRST)!.engine?.replicas.length, 1);
-  cluster.engines.get(FIRST)!.incarnation = 'second';
-  cluster.setWarm(FIRST, []);
+  const engine = structuredClone(cluster.engines.get(FIRST_ENGINE)!);
+  board.noteEngine(engine, board.find(FIRST_ENGINE)!.version!);
+  assert.is(board.find(FIRST_ENGINE)!.engine?.replicas.length, 1);
+  cluster.engines.get(FIRST_ENGINE)!.incarnation = 'second';
+  cluster.setWarm(FIRST_ENGINE, []);
   cluster.run(2_000);
-  assert.ok(cluster.isAgreed());
-  assert.is(board.find(FIRST)!.engine, null);
+  assert.ok(cluster.isConverged());
+  assert.is(board.find(FIRST_ENGINE)!.engine, null);
 });
 
-failures('what a frozen steward told counts as unknown after a while', () => {
-  // A router avoids or prefers an engine by a load that is minutes old.
-  // The steward's process is frozen: nothing takes its report back, and
-  // anything it told before would hold for ever.
+failures('the reports of a frozen steward expire', () => {
+  // Guards against routing by loads that are minutes old, because the steward
+  // no longer updates them.
   const cluster = createCluster();
   cluster.nodes[0]!.isFrozen = true;
   const {board} = cluster.nodes[3]!;
-  assert.ok(board.find(FIRST)!.isReachable);
+  assert.ok(board.find(FIRST_ENGINE)!.isReachable);
   cluster.run(15_000);
-  assert.is(board.find(FIRST)!.isReachable, undefined);
-  assert.ok(board.find(nameOfEngine(1))!.isReachable);
+  assert.is(board.find(FIRST_ENGINE)!.isReachable, undefined);
+  assert.ok(board.find(formatEngineId(1))!.isReachable);
   cluster.nodes[0]!.isFrozen = false;
   cluster.run(5_000);
-  assert.ok(board.find(FIRST)!.isReachable);
+  assert.ok(board.find(FIRST_ENGINE)!.isReachable);
 });
 
-failures('wall clocks that differ only make loads later', () => {
-  // Routers never learn the load of some engines.
-  // The hosts' clocks are up to seconds apart, so the steps of a round do not
-  // meet; one clock is set back by an hour.
+failures('different wall clocks only delay loads', () => {
+  // Guards against loads that never arrive because clocks differ by seconds or
+  // are set back.
   const cluster = createCluster({
     nodeCount: 16,
     skewMs: index => (index * 977) % 4_000,
@@ -283,14 +294,14 @@
   cluster.nodes[2]!.skewMs -= 3_600_000;
   cluster.run(10_000);
   [...cluster.engines.keys()].forEach(id => setLoad(cluster, id, 9));
-  const isRight = () =>
-    [...cluster.engines.keys()].every(id => isEverywhere(cluster, id, 9));
-  assert.ok(cluster.runUntil(isRight, 10_000) !== null);
+  const hasRightLoads = () =>
+    [...cluster.engines.keys()].every(id => hasLoadEverywhere(cluster, id, 9));
+  assert.ok(cluster.runUntil(hasRightLoads, 10_000) !== null);
 });
 
-failures('two nodes that cannot reach each other hear by others', () => {
-  // One router has no loads of many engines, though it is well.
-  // A single link is broken; membership sees both ends alive through others.
+failures('reports bypass a broken link between two nodes', () => {
+  // Guards against a node without the loads of many engines while membership
+  // sees both ends of the broken link alive.
   const cluster = createCluster({nodeCount: 16});
   const links: string[] = [];
   cluster.onSend = envelope => {
@@ -299,52 +310,52 @@
   cluster.run(5_000);
   const [broken] = links;
   cluster.isLost = envelope => linkOf(envelope) === broken;
-  cluster.setWarm(FIRST, [1]);
+  cluster.setWarm(FIRST_ENGINE, [1]);
   cluster.run(30_000);
-  assert.ok(cluster.isAgreed());
-  const isKnown = ({board}: ClusterNode) =>
+  assert.ok(cluster.isConverged());
+  const knowsAllEngines = ({board}: ClusterNode) =>
     [...cluster.engines.keys()].every(id => board.find(id)!.isReachable);
-  assert.ok(cluster.nodes.every(isKnown));
+  assert.ok(cluster.nodes.every(knowsAllEngines));
 });
 
 failures(
-  'whatever is lost, doubled or swapped, boards agree in the end',
+  'boards converge after lost, duplicated and reordered messages',
   () => {
-    // A router stays wrong about an engine until somebody restarts it.
-    // The order in which news came decides what it believes.
+    // Guards against a board that stays wrong because of the order in which
+    // messages arrived.
     const change = fc.record({
       engine: fc.nat(5),
       warm: fc.uniqueArray(fc.nat(9), {maxLength: 4}),
-      taker: fc.option(fc.nat(4), {nil: null}),
+      successor: fc.option(fc.nat(4), {nil: null}),
       afterMs: fc.nat(1_500),
     });
-    const fate = fc.record({
+    const delivery = fc.record({
       lost: fc.nat(3),
       copies: fc.nat(2),
-      lateMs: fc.nat(4_000),
+      delayMs: fc.nat(4_000),
     });
     fc.assert(
       fc.property(
         fc.array(change, {maxLength: 12}),
-        fc.infiniteStream(fate),
-        (changes, fates) => {
-          const cluster = createCluster({nodeCount: 5, runnerCount: 6});
+        fc.infiniteStream(delivery),
+        (changes, deliveries) => {
+          const cluster = createCluster({nodeCount: 5, backendServerCount: 6});
           cluster.isLost = envelope => {
-            const {lost, copies, lateMs} = fates.next().value as Fate;
-            const copy = {...envelope, dueMs: cluster.nowMs + lateMs};
-            cluster.delay(Array.from({length: copies}, () => copy));
+            const {lost, copies, delayMs} = deliveries.next().value as Delivery;
+            const copy = {...envelope, dueMs: cluster.nowMs + delayMs};
+            cluster.schedule(Array.from({length: copies}, () => copy));
             return lost === 0;
           };
-          changes.forEach(({engine, warm, taker, afterMs}) => {
-            cluster.setWarm(nameOfEngine(engine), warm);
-            if (taker !== null) {
-              cluster.claim(nameOfEngine(engine), cluster.nodes[taker]!);
+          changes.forEach(({engine, warm, successor, afterMs}) => {
+            cluster.setWarm(formatEngineId(engine), warm);
+            if (successor !== null) {
+              cluster.claim(formatEngineId(engine), cluster.nodes[successor]!);
             }
             cluster.run(afterMs);
           });
           cluster.isLost = () => false;
           cluster.run(MINUTE_MS);
-          assert.ok(cluster.isAgreed());
+          assert.ok(cluster.isConverged());
         },
       ),
       {seed: 20_260_101, numRuns: 60},
@@ -376,7 +387,7 @@
   assert.ok(engines.find('a')!.isReachable);
 });
 
-board('a load of an earlier claim is older, whatever its time', () => {
+board('a load of an earlier claim is older, regardless of its time', () => {
   const engines = new EngineBoard();
   const sample = {
     backendServerId: 'a',
--- a/packages/share-reports/src/status_spread.ts
+++ b/packages/share-reports/src/status_gossip.ts
@@ -1,27 +1,26 @@
-/** Tells a few peers at once of warm states that have changed. */
+/** Sends changed warm states to a few peers at once. */
 import {type RandomSource} from '@mimosatack/random';
 import {type BackendServerId} from '@mimosatack/types';
+import {type TableHistory} from './backend_server_table.js';
 import {type ExchangeRing, type RingNode} from './exchange_ring.js';
 import {type OutgoingReport} from './messages.js';
-import {type TableHistory} from './runner_table.js';
 import {type StatusTable, encodeStatuses} from './status_table.js';
 
-/** Peers that each change is passed on to, the next on the ring included. */
+/** The peers that receive each change, including the next on the ring. */
 const FAN_OUT = 4;
 /**
- * Guards the budget against many changes at once, as after a cut: at most so
- * many are passed on each second, and what waits longer is either replaced by
- * newer news or found by comparison.
+ * Guards against a burst of messages, such as after a network partition. Queued
+ * changes are replaced by newer ones, or found by digest comparison.
  */
 const MAX_CHANGES_PER_S = 12;
 const MAX_BURST = 48;
 const MS_PER_S = 1_000;
 
-/** Each node passes a change on when it first hears of it. */
-export class StatusSpread {
-  /** Changed backend servers, with who told of the change. */
+/** Each node forwards a change when it first learns of it. */
+export class StatusGossip {
+  /** Changed backend servers and the address that each change came from. */
   private readonly queue = new Map<BackendServerId, string | null>();
-  private allowance = MAX_BURST;
+  private tokens = MAX_BURST;
   private lastTickMs: number | null = null;
 
   constructor(
@@ -30,7 +29,7 @@
     private readonly random: RandomSource,
   ) {}
 
-  /** @param fromAddress who told of it; null for news of this node. */
+  /** @param fromAddress the sender; null for a change that this node read. */
   add(id: BackendServerId, fromAddress: string | null): void {
     this.queue.delete(id);
     this.queue.set(id, fromAddress);
@@ -38,8 +37,8 @@
 
   tick(ring: ExchangeRing, nowMs: number): OutgoingReport[] {
     this.refill(nowMs);
-    const changes = [...this.queue].slice(0, Math.floor(this.allowance));
-    this.allowance -= changes.length;
+    const changes = [...this.queue].slice(0, Math.floor(this.tokens));
+    this.tokens -= changes.length;
     changes.forEach(([id]) => this.queue.delete(id));
     if (changes.length === 0) return [];
     return this.pickPeers(ring).flatMap(({peerAddress}) =>
@@ -53,11 +52,11 @@
   }
 
   private refill(nowMs: number): void {
-    const passedMs = nowMs - (this.lastTickMs ?? nowMs);
+    const elapsedMs = nowMs - (this.lastTickMs ?? nowMs);
     this.lastTickMs = nowMs;
-    this.allowance = Math.min(
+    this.tokens = Math.min(
       MAX_BURST,
-      this.allowance + (passedMs * MAX_CHANGES_PER_S) / MS_PER_S,
+      this.tokens + (elapsedMs * MAX_CHANGES_PER_S) / MS_PER_S,
     );
   }
 
--- a/packages/share-reports/src/status_sync.ts
+++ b/packages/share-reports/src/status_sync.ts
@@ -1,9 +1,12 @@
-/** Gets warm states that were missed: at the start, and by comparison. */
+/**
+ * Repairs missing warm states: requests all of them at the start, and compares
+ * digests with a random peer at intervals.
+ */
 import {type EngineStatus, compareVersions} from '@mimosatack/engine-board';
 import {type RandomSource, pickOne} from '@mimosatack/random';
+import {type TableHistory} from './backend_server_table.js';
 import {type ExchangeRing} from './exchange_ring.js';
 import {BUCKET_COUNT, type MessageOf, type OutgoingReport} from './messages.js';
-import {type TableHistory} from './runner_table.js';
 import {
   type StatusTable,
   decodeStatuses,
@@ -11,13 +14,12 @@
 } from './status_table.js';
 
 const SYNC_PERIOD_MS = 10_000;
-/** The next comparison when the last one found more than it could mend. */
-const CATCH_UP_MS = 1_000;
-/** Bounds what one comparison sends. */
+/** The delay until the next comparison if one reached `MAX_BUCKETS`. */
+const CATCH_UP_DELAY_MS = 1_000;
+/** Limits the size of the messages of one comparison. */
 const MAX_BUCKETS = 4;
-const JOIN_RETRY_MS = 1_000;
+const JOIN_RETRY_DELAY_MS = 1_000;
 
-/** Compares digests with one peer now and then. */
 export class StatusSync {
   private isJoined = false;
   private nextJoinMs = 0;
@@ -32,7 +34,7 @@
   tick(ring: ExchangeRing, nowMs: number): OutgoingReport[] {
     const peer = pickOne(this.random, ring.listPeers());
     if (!peer || this.tables.current.rows.length === 0) return [];
-    if (!this.isJoined) return this.askForAll(peer.peerAddress, nowMs);
+    if (!this.isJoined) return this.requestAll(peer.peerAddress, nowMs);
     this.nextSyncMs ??= nowMs + SYNC_PERIOD_MS * this.random.nextFraction();
     if (nowMs < this.nextSyncMs) return [];
     this.nextSyncMs = nowMs + SYNC_PERIOD_MS;
@@ -45,7 +47,7 @@
     ];
   }
 
-  /** The whole picture in one message, for a node that has started. */
+  /** Replies to a node that has started with all warm states in one message. */
   receiveRequest(fromAddress: string): OutgoingReport[] {
     const {current} = this.tables;
     return [
@@ -61,8 +63,8 @@
     ];
   }
 
-  /** The whole picture came in a form that could be read. */
-  noteJoined(): void {
+  /** Stops the requests for all warm states after one was answered. */
+  markJoined(): void {
     this.isJoined = true;
   }
 
@@ -72,14 +74,14 @@
     nowMs: number,
   ): OutgoingReport[] {
     const own = this.statuses.digests;
-    const different = Array.from({length: BUCKET_COUNT}, (_, place) => place)
+    const differing = Array.from({length: BUCKET_COUNT}, (_, index) => index)
       .filter(bucket => own[bucket] !== digests[bucket])
       .map(bucket => ({bucket, order: this.random.nextFraction()}))
       .sort((a, b) => a.order - b.order)
       .map(({bucket}) => bucket);
-    if (different.length === 0) return [];
-    if (different.length > MAX_BUCKETS) this.hurry(nowMs);
-    const buckets = different.slice(0, MAX_BUCKETS);
+    if (differing.length === 0) return [];
+    if (differing.length > MAX_BUCKETS) this.scheduleSoon(nowMs);
+    const buckets = differing.slice(0, MAX_BUCKETS);
     const {current} = this.tables;
     return [
       {
@@ -94,7 +96,7 @@
     ];
   }
 
-  /** Answers with what the other lacks; the caller merges what it told. */
+  /** Replies with newer warm states; the caller merges the received ones. */
   receiveBuckets(
     fromAddress: string,
     {table, buckets, statuses}: MessageOf<'status-buckets'>,
@@ -102,8 +104,8 @@
   ): OutgoingReport[] {
     const known = this.tables.findByNames(table);
     if (!known) return [];
-    if (buckets.length >= MAX_BUCKETS) this.hurry(nowMs);
-    const told = new Map(
+    if (buckets.length >= MAX_BUCKETS) this.scheduleSoon(nowMs);
+    const received = new Map(
       decodeStatuses(statuses, known).map(status => [
         status.backendServerId,
         status,
@@ -111,7 +113,7 @@
     );
     const newer = this.statuses
       .listIn(buckets)
-      .filter(status => isNewer(status, told.get(status.backendServerId)));
+      .filter(status => isNewer(status, received.get(status.backendServerId)));
     if (newer.length === 0) return [];
     const {current} = this.tables;
     return [
@@ -127,18 +129,18 @@
     ];
   }
 
-  private askForAll(toAddress: string, nowMs: number): OutgoingReport[] {
+  private requestAll(toAddress: string, nowMs: number): OutgoingReport[] {
     if (nowMs < this.nextJoinMs) return [];
-    this.nextJoinMs = nowMs + JOIN_RETRY_MS;
+    this.nextJoinMs = nowMs + JOIN_RETRY_DELAY_MS;
     return [{toAddress, message: {type: 'status-request'}}];
   }
 
-  private hurry(nowMs: number): void {
-    const soonMs = nowMs + CATCH_UP_MS * (1 + this.random.nextFraction());
+  private scheduleSoon(nowMs: number): void {
+    const soonMs = nowMs + CATCH_UP_DELAY_MS * (1 + this.random.nextFraction());
     this.nextSyncMs = Math.min(this.nextSyncMs ?? soonMs, soonMs);
   }
 }
 
-function isNewer(status: EngineStatus, told?: EngineStatus): boolean {
-  return !told || compareVersions(status.version, told.version) > 0;
+function isNewer(status: EngineStatus, received?: EngineStatus): boolean {
+  return !received || compareVersions(status.version, received.version) > 0;
 }
--- a/packages/share-reports/src/status_table.ts
+++ b/packages/share-reports/src/status_table.ts
@@ -1,17 +1,16 @@
-/** The newest warm state of each backend server, with digests to compare. */
 import {
   type EngineStatus,
   compareVersions,
   hashText,
 } from '@mimosatack/engine-board';
 import {type BackendServerId} from '@mimosatack/types';
+import {type BackendServerTable} from './backend_server_table.js';
 import {BUCKET_COUNT, type IndexedStatus} from './messages.js';
-import {type RunnerTable} from './runner_table.js';
 
-/** Merges warm states; the order in which they come does not matter. */
+/** The newest warm state of each backend server, merged in any order. */
 export class StatusTable {
   private readonly statuses = new Map<BackendServerId, EngineStatus>();
-  /** For each bucket the exclusive or of the hashes of its versions. */
+  /** For each bucket, the exclusive or of the hashes of its versions. */
   readonly digests = new Uint32Array(BUCKET_COUNT);
 
   find(id: BackendServerId): EngineStatus | undefined {
@@ -28,44 +27,43 @@
     );
   }
 
-  /** Returns whether it was newer than what was known. */
+  /** Returns whether `status` was newer than the known one. */
   merge(status: EngineStatus): boolean {
     const known = this.statuses.get(status.backendServerId);
     if (known && compareVersions(status.version, known.version) <= 0) {
       return false;
     }
-    if (known) this.toggle(known);
-    this.toggle(status);
+    if (known) this.toggleDigest(known);
+    this.toggleDigest(status);
     this.statuses.set(status.backendServerId, status);
     return true;
   }
 
-  /** Forgets backend servers that the agreed state does not have. */
-  forgetMissing(table: RunnerTable): void {
+  /** Removes backend servers that are not in the table. */
+  removeUnregistered(table: BackendServerTable): void {
     this.list()
       .filter(status => !table.find(status.backendServerId))
       .forEach(status => {
-        this.toggle(status);
+        this.toggleDigest(status);
         this.statuses.delete(status.backendServerId);
       });
   }
 
-  private toggle({backendServerId, version}: EngineStatus): void {
+  private toggleDigest({backendServerId, version}: EngineStatus): void {
     const {epoch, rank, count} = version;
     const hash = hashText(`${backendServerId} ${epoch} ${rank} ${count}`);
     this.digests[bucketOf(backendServerId)]! ^= hash;
   }
 }
 
-/** The bucket that a backend server is compared in. */
 export function bucketOf(id: BackendServerId): number {
   return hashText(id) % BUCKET_COUNT;
 }
 
-/** Leaves out what the table does not know. */
+/** Omits backend servers that are not in the table. */
 export function encodeStatuses(
   statuses: readonly EngineStatus[],
-  table: RunnerTable,
+  table: BackendServerTable,
 ): IndexedStatus[] {
   return statuses.flatMap((status): IndexedStatus[] => {
     const index = table.findIndex(status.backendServerId);
@@ -87,10 +85,10 @@
   });
 }
 
-/** Leaves out indexes that the table does not have. */
+/** Omits indexes that are not in the table. */
 export function decodeStatuses(
   statuses: readonly IndexedStatus[],
-  table: RunnerTable,
+  table: BackendServerTable,
 ): EngineStatus[] {
   return statuses.flatMap(([index, epoch, rank, count, ...rest]) => {
     const row = table.rows[index];
