--- a/packages/unrepeatable/src/inherited_tickets.test.ts
+++ b/packages/unrepeatable/src/inherited_tickets.test.ts
@@ -26,50 +26,54 @@
   }));
 }
 
-function createHeir(handed: number | 'all') {
-  const heir = new InheritedTickets();
+function createFixture(pageCount: number | 'all') {
+  const tickets = new InheritedTickets();
   const pages = makeTicketPages('old', FLOOR, createKeys(500));
   pages
-    .slice(0, handed === 'all' ? undefined : handed)
-    .forEach(page => assert.ok(heir.takePage(page)));
-  const ask = (keyHash: string, generation = FLOOR, requestHash = 'same') =>
-    heir.find({incarnation: 'old', generation, keyHash, requestHash}).status;
-  return {heir, pages, ask};
+    .slice(0, pageCount === 'all' ? undefined : pageCount)
+    .forEach(page => assert.ok(tickets.takePage(page)));
+  const findStatus = (
+    keyHash: string,
+    generation = FLOOR,
+    requestHash = 'same',
+  ) =>
+    tickets.find({incarnation: 'old', generation, keyHash, requestHash}).status;
+  return {tickets, pages, findStatus};
 }
 
 const test = suite('inherited tickets');
 
-test('a whole table tells what ran and what never will', () => {
-  const {ask} = createHeir('all');
-  assert.is(ask('k0'), 'unknown');
-  assert.is(ask('k499'), 'ran');
-  assert.is(ask('k499', FLOOR, 'other'), 'key-reused');
-  assert.is(ask('k500'), 'never-run');
-  assert.is(ask('k500', FLOOR - 1), 'unknown');
+test('a complete table reports which keys ran and which never did', () => {
+  const {findStatus} = createFixture('all');
+  assert.is(findStatus('k0'), 'unknown');
+  assert.is(findStatus('k499'), 'ran');
+  assert.is(findStatus('k499', FLOOR, 'other'), 'key-reused');
+  assert.is(findStatus('k500'), 'never-run');
+  assert.is(findStatus('k500', FLOOR - 1), 'unknown');
 });
 
-test('an incomplete table never says that a key was not run', () => {
-  // A node is cut off while it hands its table over. A caller asks the heir
-  // for a key on a page that is missing, hears `not-run` and sends it again.
-  const {heir, pages, ask} = createHeir(1);
-  assert.is(ask('k1'), 'ran');
-  assert.is(ask('k499'), 'unknown');
-  assert.not(heir.takePage(pages[2]!));
-  assert.ok(heir.takePage(pages[0]!));
-  assert.is(ask('k499'), 'unknown');
-  pages.slice(1).forEach(page => heir.takePage(page));
-  assert.is(ask('k499'), 'ran');
+test('an incomplete table never reports a key as not run', () => {
+  // Guards against a second run of a key on a page that was lost in the transfer
+  // of the table.
+  const {tickets, pages, findStatus} = createFixture(1);
+  assert.is(findStatus('k1'), 'ran');
+  assert.is(findStatus('k499'), 'unknown');
+  assert.not(tickets.takePage(pages[2]!));
+  assert.ok(tickets.takePage(pages[0]!));
+  assert.is(findStatus('k499'), 'unknown');
+  pages.slice(1).forEach(page => tickets.takePage(page));
+  assert.is(findStatus('k499'), 'ran');
 });
 
-test('too many keys forget whole tables, oldest first', () => {
-  const heir = new InheritedTickets(700);
+test('whole tables are evicted, oldest first, above the key limit', () => {
+  const tickets = new InheritedTickets(700);
   ['old', 'new'].forEach(incarnation =>
     makeTicketPages(incarnation, FLOOR, createKeys(500)).forEach(page =>
-      heir.takePage(page),
+      tickets.takePage(page),
     ),
   );
   const find = (incarnation: string) =>
-    heir.find({
+    tickets.find({
       incarnation,
       generation: FLOOR,
       keyHash: 'k1',
--- a/packages/unrepeatable/src/inherited_tickets.ts
+++ b/packages/unrepeatable/src/inherited_tickets.ts
@@ -1,12 +1,12 @@
 /**
- * Tickets of processes that have stopped. This process answers for them and
- * never runs them: the old process may have handed its table to two heirs.
+ * Tickets of stopped processes. This process reports their outcomes and never
+ * runs them, because the stopped process may have sent its table to two nodes.
  */
 import {type NodeIncarnation} from '@mimosatack/types';
 import {type KeptAnswer} from './kept_answer.js';
 import {type RememberedKey} from './key_table.js';
 
-/** A part of a table that is handed over; pages come in order from 0. */
+/** A part of a transferred table; pages are sent in order from 0. */
 export interface TicketPage {
   incarnation: NodeIncarnation;
   page: number;
@@ -15,7 +15,6 @@
   keys: RememberedKey[];
 }
 
-/** What an heir is asked. */
 export interface InheritedQuery {
   incarnation: NodeIncarnation;
   generation: number;
@@ -23,7 +22,7 @@
   requestHash: string;
 }
 
-/** What is known of a ticket whose process has stopped. */
+/** What is known about a ticket of a stopped process. */
 export type InheritedVerdict =
   | {status: 'no-table'}
   | {status: 'unknown'}
@@ -39,43 +38,43 @@
 }
 
 const DEFAULT_MAX_KEYS = 200_000;
-const PAGE_KEYS = 200;
-/** Pages stay small beside the other messages between nodes. */
-const PAGE_BYTES = 512 * 1024;
+const MAX_PAGE_KEYS = 200;
+/** Limits the size of messages between nodes. */
+const MAX_PAGE_BYTES = 512 * 1024;
 
-/** The tables that this process has been handed. */
+/** The tables that this process has received from stopped processes. */
 export class InheritedTickets {
   private readonly tables = new Map<NodeIncarnation, InheritedTable>();
 
   constructor(private readonly maxKeys = DEFAULT_MAX_KEYS) {}
 
-  /** Returns whether the page was the next one or had been taken before. */
+  /** Returns false if an earlier page is missing. */
   takePage(page: TicketPage): boolean {
-    const table = this.openTable(page);
+    const table = this.getOrCreateTable(page);
     if (page.page > table.nextPage) return false;
     if (page.page < table.nextPage) return true;
     page.keys.forEach(key => table.keys.set(key.keyHash, key));
     table.nextPage += 1;
     table.isComplete = page.isLast;
-    this.forgetOldTables();
+    this.evictOldTables();
     return true;
   }
 
   /**
-   * `never-run` only from a complete table: its process had stopped taking new
-   * keys before it made the table, and forgets no key at or above the floor.
+   * Returns `never-run` only from a complete table: the process exports it after
+   * it stops accepting new keys, with all keys since the floor generation.
    */
   find(query: InheritedQuery): InheritedVerdict {
     const table = this.tables.get(query.incarnation);
     if (!table) return {status: 'no-table'};
     const known = table.keys.get(query.keyHash);
-    if (known) return judge(known, query);
-    const isRuledOut =
+    if (known) return toVerdict(known, query);
+    const hasNeverRun =
       table.isComplete && query.generation >= table.floorGeneration;
-    return {status: isRuledOut ? 'never-run' : 'unknown'};
+    return {status: hasNeverRun ? 'never-run' : 'unknown'};
   }
 
-  private openTable(page: TicketPage): InheritedTable {
+  private getOrCreateTable(page: TicketPage): InheritedTable {
     const known = this.tables.get(page.incarnation);
     if (known) return known;
     const table = {
@@ -88,32 +87,35 @@
     return table;
   }
 
-  /** Forgets whole tables, oldest first; their keys are unknown then. */
-  private forgetOldTables(): void {
+  /** Evicts whole tables, oldest first; the outcomes of their keys are lost. */
+  private evictOldTables(): void {
     const [oldest] = this.tables.keys();
     const keyCount = [...this.tables.values()]
       .map(table => table.keys.size)
       .reduce((sum, count) => sum + count, 0);
     if (keyCount <= this.maxKeys || oldest === undefined) return;
     this.tables.delete(oldest);
-    this.forgetOldTables();
+    this.evictOldTables();
   }
 }
 
-function judge(known: RememberedKey, query: InheritedQuery): InheritedVerdict {
+function toVerdict(
+  known: RememberedKey,
+  query: InheritedQuery,
+): InheritedVerdict {
   if (known.requestHash !== query.requestHash) return {status: 'key-reused'};
   return known.outcome === 'ran'
     ? {status: 'ran', answer: known.answer}
     : {status: 'unknown'};
 }
 
-/** Cuts a table into pages, at least one. */
+/** Splits a table into at least one page. */
 export function makeTicketPages(
   incarnation: NodeIncarnation,
   floorGeneration: number,
   keys: readonly RememberedKey[],
 ): TicketPage[] {
-  const parts = cutIntoPages(keys);
+  const parts = splitIntoPages(keys);
   return parts.map((part, page) => ({
     incarnation,
     page,
@@ -123,13 +125,13 @@
   }));
 }
 
-function cutIntoPages(keys: readonly RememberedKey[]): RememberedKey[][] {
+function splitIntoPages(keys: readonly RememberedKey[]): RememberedKey[][] {
   let bytes = 0;
   return keys.reduce<RememberedKey[][]>(
     (pages, key) => {
       const last = pages.at(-1) as RememberedKey[];
       const size = key.outcome === 'ran' ? (key.answer?.body.length ?? 0) : 0;
-      if (last.length >= PAGE_KEYS || bytes + size > PAGE_BYTES) {
+      if (last.length >= MAX_PAGE_KEYS || bytes + size > MAX_PAGE_BYTES) {
         bytes = size;
         pages.push([key]);
       } else {
--- a/packages/unrepeatable/src/kept_answer.ts
+++ b/packages/unrepeatable/src/kept_answer.ts
@@ -1,12 +1,12 @@
-/** An answer that is kept and given again for the same key. */
+/** An answer that is stored and returned again for the same key. */
 export interface KeptAnswer {
   statusCode: number;
   contentType: string;
   body: Uint8Array;
 }
 
-/** An answer and whether an earlier request with the key got it first. */
 export interface KeyedAnswer {
   answer: KeptAnswer;
+  /** Whether the answer comes from an earlier request with the same key. */
   isReplay: boolean;
 }
--- a/packages/unrepeatable/src/key_table.ts
+++ b/packages/unrepeatable/src/key_table.ts
@@ -1,4 +1,3 @@
-/** The keys that this process has begun to run, with their outcomes. */
 import {type Clock, type Timer} from '@mimosatack/clock';
 import {type TypedError, toTypedError} from '@mimosatack/errors';
 import {type KeptAnswer, type KeyedAnswer} from './kept_answer.js';
@@ -9,27 +8,24 @@
   makeStillRunning,
 } from './refusals.js';
 
-/** What a table is built from. */
 export interface KeyTableOptions {
   clock: Clock;
-  /** Larger answers are not kept; the key is still known to have run. */
+  /** Larger answers are not stored; the key still counts as run. */
   maxAnswerBytes: number;
-  /** The bytes of all kept answers; further ones are not kept. */
+  /** The limit of the bytes of all stored answers; further ones are not stored. */
   maxKeptBytes: number;
-  /** Whether a key whose run ended with this error may be begun again. */
+  /** Whether a key may run again after its run failed with this error. */
   isFreeAfter(error: TypedError): boolean;
 }
 
-/** One request with a key. */
 export interface KeyedRequest {
   keyHash: string;
   requestHash: string;
   generation: number;
-  /** On the monotonic clock; the caller waits no longer. */
+  /** The deadline of the caller, on the monotonic clock. */
   expiresAtMs: number;
 }
 
-/** What is remembered of a finished key. */
 export type FinishedKey =
   {outcome: 'ran'; answer: KeptAnswer | null} | {outcome: 'unknown'};
 
@@ -40,30 +36,29 @@
   state: KeyState;
 }
 
-/** One finished key, as it is given to another process. */
+/** A finished key in the form that is sent to another process. */
 export type RememberedKey = FinishedKey & {
   keyHash: string;
   requestHash: string;
   generation: number;
 };
 
-/** Runs each key at most once and gives its outcome to every later caller. */
+/** Runs each key at most once and returns its outcome to all later callers. */
 export class KeyTable {
   private readonly generations = new Map<number, Map<string, KeyEntry>>();
   private keyCount = 0;
-  private keptBytes = 0;
+  private storedBytes = 0;
   private runningCount = 0;
   private idleWaiters: Array<() => void> = [];
 
   constructor(private readonly options: KeyTableOptions) {}
 
-  /** How many keys are remembered. */
   get size(): number {
     return this.keyCount;
   }
 
   get answerBytes(): number {
-    return this.keptBytes;
+    return this.storedBytes;
   }
 
   get oldestGeneration(): number | null {
@@ -77,9 +72,9 @@
   }
 
   /**
-   * Calls `start` unless the key was begun before, and waits for the outcome
-   * until the request expires; the run itself goes on after that, so that a
-   * later request may learn its outcome.
+   * Calls `start` unless the key was started before, and waits for the outcome
+   * until the request expires. The run continues after that, so that a later
+   * request can return its outcome.
    */
   async runOnce(
     request: KeyedRequest,
@@ -89,26 +84,26 @@
       .get(request.generation)
       ?.get(request.keyHash);
     if (!known) {
-      return {answer: await this.begin(request, start), isReplay: false};
+      return {answer: await this.startRun(request, start), isReplay: false};
     }
     if (known.requestHash !== request.requestHash) throw makeKeyReused();
-    return {answer: await this.repeat(known.state, request), isReplay: true};
+    return {answer: await this.replay(known.state, request), isReplay: true};
   }
 
-  /** Forgets all keys of generations before the given one. */
+  /** Removes all keys of generations before `generation`. */
   dropBefore(generation: number): void {
     [...this.generations.keys()]
       .filter(known => known < generation)
       .forEach(known => this.drop(known));
   }
 
-  /** Resolves once no key is running. */
+  /** Resolves when no key is running. */
   whenIdle(): Promise<void> {
     if (this.runningCount === 0) return Promise.resolve();
     return new Promise(resolve => this.idleWaiters.push(resolve));
   }
 
-  /** All keys; one that is still running counts as unknown. */
+  /** Lists all keys; the outcome of a running key is `unknown`. */
   list(): RememberedKey[] {
     return [...this.generations].flatMap(([generation, entries]) =>
       [...entries].map(([keyHash, {requestHash, state}]) => ({
@@ -122,7 +117,7 @@
     );
   }
 
-  private begin(
+  private startRun(
     request: KeyedRequest,
     start: () => Promise<KeptAnswer>,
   ): Promise<KeptAnswer> {
@@ -134,13 +129,13 @@
     this.add(request, entry);
     this.runningCount += 1;
     run.then(
-      answer => this.finish(request, entry, this.keepRan(answer)),
+      answer => this.finish(request, entry, this.toFinishedKey(answer)),
       (thrown: unknown) => this.fail(request, entry, toTypedError(thrown)),
     );
     return this.waitFor(run, request);
   }
 
-  private repeat(state: KeyState, request: KeyedRequest): Promise<KeptAnswer> {
+  private replay(state: KeyState, request: KeyedRequest): Promise<KeptAnswer> {
     switch (state.outcome) {
       case 'running':
         return this.waitFor(state.run, request);
@@ -182,9 +177,9 @@
     const isKept = this.isRemembered(request, entry);
     if (isKept) {
       entry.state = state;
-      this.keptBytes += countBytes(state);
+      this.storedBytes += countBytes(state);
     }
-    this.endRun();
+    this.recordRunEnd();
   }
 
   private fail(
@@ -206,14 +201,14 @@
       this.generations.get(request.generation)?.delete(request.keyHash);
       this.keyCount -= 1;
     }
-    this.endRun();
+    this.recordRunEnd();
   }
 
-  private keepRan(answer: KeptAnswer): FinishedKey {
+  private toFinishedKey(answer: KeptAnswer): FinishedKey {
     const {maxAnswerBytes, maxKeptBytes} = this.options;
     const bytes = answer.body.length;
     const fits =
-      bytes <= maxAnswerBytes && this.keptBytes + bytes <= maxKeptBytes;
+      bytes <= maxAnswerBytes && this.storedBytes + bytes <= maxKeptBytes;
     return {outcome: 'ran', answer: fits ? answer : null};
   }
 
@@ -224,7 +219,7 @@
     return this.generations.get(generation)?.get(keyHash) === entry;
   }
 
-  private endRun(): void {
+  private recordRunEnd(): void {
     this.runningCount -= 1;
     if (this.runningCount > 0) return;
     const waiters = this.idleWaiters;
@@ -235,7 +230,7 @@
   private drop(generation: number): void {
     const entries = [...(this.generations.get(generation)?.values() ?? [])];
     this.keyCount -= entries.length;
-    this.keptBytes -= entries
+    this.storedBytes -= entries
       .map(entry => countBytes(entry.state))
       .reduce((sum, bytes) => sum + bytes, 0);
     this.generations.delete(generation);
--- a/packages/unrepeatable/src/refusals.ts
+++ b/packages/unrepeatable/src/refusals.ts
@@ -1,14 +1,14 @@
-/** The refusals of requests that run at most once. */
+/** Errors for requests that run at most once. */
 import {TypedError} from '@mimosatack/errors';
 
-/** Nobody can tell, or nobody may be told, whether the key ran. */
+/** It is unknown, or must not be disclosed, whether the key ran. */
 export function makeOutcomeUnknown(message: string, cause?: Error): TypedError {
   return new TypedError('outcome-unknown', message, {run: 'unknown', cause});
 }
 
 /**
- * `run` is left at unknown: the key's first request may have run, and a caller
- * whose repeat differs by a byte must not take it for lost.
+ * `run` is `unknown` because the first request with the key may have run: a
+ * caller whose repeat differs by a byte must not conclude that it did not.
  */
 export function makeKeyReused(): TypedError {
   return new TypedError(
@@ -23,7 +23,7 @@
   );
 }
 
-/** The request ran; its answer was too large to be remembered. */
+/** The request ran, but its answer exceeded the storage limits. */
 export function makeAnswerNotKept(): TypedError {
   return new TypedError(
     'answer-not-kept',
@@ -32,7 +32,7 @@
   );
 }
 
-/** The text is no key, or not one that any node would run. */
+/** The text is not a key, or no node would run the key. */
 export function makeBadKey(message: string): TypedError {
   return new TypedError('bad-key', message, {
     run: 'not-run',
--- a/packages/unrepeatable/src/request_hash.ts
+++ b/packages/unrepeatable/src/request_hash.ts
@@ -1,24 +1,26 @@
-/** Short names of keys and requests, which are remembered in their place. */
+/** Hashes of keys and requests, which are stored in place of the originals. */
 import {createHash} from 'node:crypto';
 
-/** Long enough that no two requests share one by chance. */
+/** Long enough to rule out accidental collisions. */
 const HASH_BYTES = 16;
 
 /**
- * Names a key. The team is part of it, so that no team learns of another
- * team's requests by trying its keys.
+ * The hash includes the team, so that a team can't probe for the keys of another
+ * team.
  */
 export function hashKey(team: string, key: string): string {
-  return shorten(createHash('sha256').update(`${team}\n${key}`).digest());
+  return truncateDigest(
+    createHash('sha256').update(`${team}\n${key}`).digest(),
+  );
 }
 
-/** Names what is asked for; the same key must always ask for the same. */
+/** A key must be used with the same request hash every time. */
 export function hashRequest(path: string, body: Uint8Array): string {
-  return shorten(
+  return truncateDigest(
     createHash('sha256').update(`${path}\n`).update(body).digest(),
   );
 }
 
-function shorten(digest: Buffer): string {
+function truncateDigest(digest: Buffer): string {
   return digest.subarray(0, HASH_BYTES).toString('base64url');
 }
--- a/packages/unrepeatable/src/ticket.test.ts
+++ b/packages/unrepeatable/src/ticket.test.ts
@@ -5,7 +5,7 @@
 const test = suite('tickets');
 const mint = new TicketMint('a secret of the cluster');
 
-test('a key says which process may run it, and since when', () => {
+test('a key contains its process and generation', () => {
   const key = `${mint.makePrefix('node-1.ab12', 7)}order~17`;
   assert.equal(mint.read(key), {
     status: 'ticket',
@@ -13,15 +13,19 @@
   });
 });
 
-test('a changed generation, process or secret is forged', () => {
-  // A caller raises the generation of an old key to have it run once more.
+test('a key with a changed generation, process or secret is forged', () => {
+  // Guards against a caller that raises the generation of an old key to run it
+  // again.
   const key = `${mint.makePrefix('node-1', 7)}17`;
-  const strange = new TicketMint('another secret').makePrefix('node-1', 7);
+  const foreignPrefix = new TicketMint('another secret').makePrefix(
+    'node-1',
+    7,
+  );
   [
     key.replace('~7~', '~8~'),
     key.replace('~7~', '~07~'),
     key.replace('node-1', 'node-2'),
-    `${strange}17`,
+    `${foreignPrefix}17`,
     mint.makePrefix('node-1', 7),
     't1~',
     't1~node-1~7~~17',
--- a/packages/unrepeatable/src/ticket.ts
+++ b/packages/unrepeatable/src/ticket.ts
@@ -1,20 +1,20 @@
 /**
- * Tickets: idempotency keys that are bound to one life of one process. Only
- * that process runs them, so no agreement between nodes is needed.
+ * Tickets are idempotency keys that are bound to one incarnation of a process.
+ * Only that process runs them, so nodes need no coordination.
  */
 import {createHmac, timingSafeEqual} from 'node:crypto';
 import {type NodeIncarnation} from '@mimosatack/types';
 
-/** The form of ticket prefixes; other texts are keys of the caller's own. */
-const TICKET_FORM = 't1';
-const MAC_CHARS = 22;
+/** Marks a ticket and its format version; other keys are chosen by callers. */
+const TICKET_FORMAT = 't1';
+const MAC_LENGTH = 22;
 const SEPARATOR = '~';
-const GENERATION_FORM = /^(0|[1-9]\d{0,9})$/;
+const GENERATION_PATTERN = /^(0|[1-9]\d{0,9})$/;
 
-/** What a ticket key says. */
+/** The content of a ticket key. */
 export interface Ticket {
   incarnation: NodeIncarnation;
-  /** When its prefix was given out. */
+  /** The generation in which the prefix was issued. */
   generation: number;
   /** The part that the caller chose. */
   suffix: string;
@@ -25,26 +25,27 @@
   | {status: 'not-a-ticket'}
   | {status: 'forged'};
 
-/** Makes and reads ticket prefixes under the cluster secret. */
+/** Creates and verifies ticket prefixes with the cluster secret. */
 export class TicketMint {
   constructor(private readonly secret: string) {}
 
-  /** The prefix of the keys that the given process runs while it keeps them. */
+  /** Creates the prefix of keys that the process `incarnation` runs. */
   makePrefix(incarnation: NodeIncarnation, generation: number): string {
     const mac = this.sign(incarnation, String(generation));
-    return [TICKET_FORM, incarnation, generation, mac, ''].join(SEPARATOR);
+    return [TICKET_FORMAT, incarnation, generation, mac, ''].join(SEPARATOR);
   }
 
-  /** A generation that no node has given out has no valid signature. */
+  /** Guards against a raised generation, which would make an old key run again. */
   read(key: string): TicketReading {
-    const [form, incarnation, generation, mac, ...rest] = key.split(SEPARATOR);
-    if (form !== TICKET_FORM) return {status: 'not-a-ticket'};
+    const [format, incarnation, generation, mac, ...rest] =
+      key.split(SEPARATOR);
+    if (format !== TICKET_FORMAT) return {status: 'not-a-ticket'};
     const suffix = rest.join(SEPARATOR);
-    const isWhole = incarnation && generation && mac && suffix !== '';
-    if (!isWhole || !GENERATION_FORM.test(generation)) {
+    const isComplete = incarnation && generation && mac && suffix !== '';
+    if (!isComplete || !GENERATION_PATTERN.test(generation)) {
       return {status: 'forged'};
     }
-    if (!isEqualText(this.sign(incarnation, generation), mac)) {
+    if (!equalsInConstantTime(this.sign(incarnation, generation), mac)) {
       return {status: 'forged'};
     }
     return {
@@ -55,13 +56,13 @@
 
   private sign(incarnation: string, generation: string): string {
     return createHmac('sha256', this.secret)
-      .update([TICKET_FORM, incarnation, generation].join(SEPARATOR))
+      .update([TICKET_FORMAT, incarnation, generation].join(SEPARATOR))
       .digest('base64url')
-      .slice(0, MAC_CHARS);
+      .slice(0, MAC_LENGTH);
   }
 }
 
-function isEqualText(expected: string, given: string): boolean {
+function equalsInConstantTime(expected: string, given: string): boolean {
   const expectedBytes = Buffer.from(expected);
   const givenBytes = Buffer.from(given);
   return (
--- a/packages/unrepeatable/src/ticket_table.test.ts
+++ b/packages/unrepeatable/src/ticket_table.test.ts
@@ -21,7 +21,7 @@
   const clock = new ManualClock(100 * GENERATION_MS);
   const table = new TicketTable({clock, ...limits});
   const runs: string[] = [];
-  /** Sends a key; resolves with the answer's text, or the kind and the run. */
+  /** Returns the text of the answer, or the error's `kind` and `run`. */
   const send = async (
     keyHash: string,
     extra: {
@@ -58,7 +58,7 @@
 
 const test = suite('ticket table');
 
-test('gives the kept answer again, and refuses another request', async () => {
+test('replays the stored answer, and rejects a different request', async () => {
   const {runs, send} = createFixture();
   assert.is(await send('k1'), 'sent');
   assert.is(await send('k1'), 'sent before');
@@ -66,9 +66,9 @@
   assert.equal(runs, ['k1']);
 });
 
-test('a key of a forgotten generation is unknown, never run', async () => {
-  // A hamper is dispatched twice: the app repeats a request that it had no
-  // answer to an hour ago, and the node has freed the memory for it.
+test('a key of an expired generation is unknown and not run', async () => {
+  // Guards against a second run of a request that is repeated after the node has
+  // freed the memory for its key.
   const {clock, runs, send, table} = createFixture();
   const generation = generationAt(clock.wallMs());
   await send('k1');
@@ -78,9 +78,9 @@
   assert.is(table.size, 0);
 });
 
-test('a clock that is set back forgets nothing', async () => {
-  // The host's clock is wrong by an hour and is corrected. A key of the wrong
-  // hour was forgotten and looks fresh now; it must not run again.
+test('a clock that is set back does not lower the floor', async () => {
+  // Guards against a second run of a removed key that looks new after the clock
+  // of the host was corrected by an hour.
   let offsetMs = 60 * GENERATION_MS;
   const real = new ManualClock(100 * GENERATION_MS);
   const clock = {
@@ -95,7 +95,7 @@
   assert.equal(runs, []);
 });
 
-test('too many keys drop the oldest early, then refuse new ones', async () => {
+test('above the limit, old keys are evicted, then new keys rejected', async () => {
   const {clock, runs, send} = createFixture({maxKeys: 2});
   const generation = generationAt(clock.wallMs());
   await send('k1', {generation});
@@ -107,23 +107,23 @@
   assert.equal(runs, ['k1', 'k2', 'k3']);
 });
 
-test('only a run that handed nothing over frees its key', async () => {
+test('only an error with `not-run` allows the key to run again', async () => {
   const {runs, send} = createFixture();
-  const refuse = fail('overloaded', 'not-run');
-  assert.is(await send('k1', {run: refuse}), 'overloaded not-run');
+  const rejectNotRun = fail('overloaded', 'not-run');
+  assert.is(await send('k1', {run: rejectNotRun}), 'overloaded not-run');
   assert.is(await send('k1'), 'sent');
-  const lose = fail('outcome-unknown', 'unknown');
-  assert.is(await send('k2', {run: lose}), 'outcome-unknown unknown');
+  const rejectUnknown = fail('outcome-unknown', 'unknown');
+  assert.is(await send('k2', {run: rejectUnknown}), 'outcome-unknown unknown');
   assert.is(await send('k2'), 'outcome-unknown unknown');
-  const overflow = fail('answer-too-large', 'ran');
-  assert.is(await send('k3', {run: overflow}), 'answer-too-large ran');
+  const rejectTooLarge = fail('answer-too-large', 'ran');
+  assert.is(await send('k3', {run: rejectTooLarge}), 'answer-too-large ran');
   assert.is(await send('k3'), 'answer-not-kept ran');
   assert.equal(runs, ['k1', 'k1', 'k2', 'k3']);
 });
 
-test('a repeat waits for the first, but not past its deadline', async () => {
-  // A parent's app sends a list twice at once over a bad line. The service is
-  // slow: the second must not run, nor wait for ever, nor hear `not-run`.
+test('a repeat waits for the first run, but not past its deadline', async () => {
+  // Guards against a concurrent repeat that runs, waits for ever, or is reported
+  // as `not-run`.
   const {clock, runs, send} = createFixture();
   let finish: (answer: KeptAnswer) => void = () => undefined;
   const run = () => new Promise<KeptAnswer>(resolve => (finish = resolve));
@@ -139,7 +139,7 @@
   assert.equal(runs, ['k1']);
 });
 
-test('answers beyond the limits are not kept, but known to have run', async () => {
+test('answers above the limits are not stored, but count as run', async () => {
   const {send, runs} = createFixture({maxAnswerBytes: 4, maxKeptBytes: 6});
   await send('k1');
   await send('k2');
@@ -148,7 +148,7 @@
   assert.equal(runs, ['k1', 'k2']);
 });
 
-test('a prefix from the future and a closed table run nothing new', async () => {
+test('a future prefix or a closed table rejects new keys', async () => {
   const {clock, table, runs, send} = createFixture();
   const generation = generationAt(clock.wallMs()) + 2;
   assert.is(await send('k1', {generation}), 'bad-key not-run');
--- a/packages/unrepeatable/src/ticket_table.ts
+++ b/packages/unrepeatable/src/ticket_table.ts
@@ -1,6 +1,6 @@
 /**
- * The tickets of this process. No other process runs them, so this table
- * alone decides, and it works while the log service is down.
+ * The tickets of this process. No other process runs them, so this table is
+ * authoritative and works while the log service is unavailable.
  */
 import {type Clock} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
@@ -9,7 +9,6 @@
 import {type KeyedRequest, KeyTable, type RememberedKey} from './key_table.js';
 import {makeOutcomeUnknown} from './refusals.js';
 
-/** Limits of the memory for tickets. */
 export interface TicketTableOptions {
   clock: Clock;
   maxKeys?: number;
@@ -17,18 +16,18 @@
   maxKeptBytes?: number;
 }
 
-/** What another process needs in order to answer for this one. */
+/** The data with which another process reports the outcomes of this one. */
 export interface TicketTableExport {
-  /** Older keys were forgotten and are unknown. */
+  /** Keys of older generations were removed, and their outcomes are unknown. */
   floorGeneration: number;
   keys: RememberedKey[];
 }
 
-/** Some 200 keys a second for the whole time that they are kept. */
+/** Allows about 200 keys per second for the whole retention time. */
 const DEFAULT_MAX_KEYS = 200_000;
 const DEFAULT_MAX_ANSWER_BYTES = 64 * 1024;
 const DEFAULT_MAX_KEPT_BYTES = 32 * 1024 * 1024;
-/** A caller caches its prefix for a while, so the last two must stay. */
+/** Callers cache their prefix, so the previous generation stays valid. */
 const MIN_KEPT_GENERATIONS = 2;
 
 /** Runs the tickets of this process at most once each. */
@@ -55,18 +54,21 @@
     return this.table.size;
   }
 
-  /** Runs the ticket unless it was begun before or can't be ruled out. */
+  /**
+   * Runs the ticket or returns the outcome of its earlier run. Rejects if it is
+   * unknown whether the ticket has run before.
+   */
   async runOnce(
     request: KeyedRequest,
     start: () => Promise<KeptAnswer>,
   ): Promise<KeyedAnswer> {
-    this.forgetOld();
-    this.refuseForgotten(request);
-    if (!this.table.has(request)) this.refuseNew(request);
+    this.removeExpired();
+    this.rejectExpired(request);
+    if (!this.table.has(request)) this.admitNew(request);
     return this.table.runOnce(request, start);
   }
 
-  /** Takes no new keys from now on; for good. */
+  /** Rejects new keys from now on. */
   close(): void {
     this.isClosed = true;
   }
@@ -75,16 +77,16 @@
     return this.table.whenIdle();
   }
 
-  /** Only complete once the table is closed. */
+  /** The result is complete only after `close`. */
   export(): TicketTableExport {
     return {floorGeneration: this.floorGeneration, keys: this.table.list()};
   }
 
   /**
-   * Guards against a second run after memory was freed: the floor only rises,
-   * also when the wall clock is set back, so a forgotten key stays forgotten.
+   * Guards against a second run of a removed key: the floor never decreases, even
+   * if the wall clock is set back.
    */
-  private forgetOld(): void {
+  private removeExpired(): void {
     const {clock} = this.options;
     const now = generationAt(clock.wallMs());
     this.newestGeneration = Math.max(this.newestGeneration, now);
@@ -96,13 +98,13 @@
     this.table.dropBefore(this.floorGeneration);
   }
 
-  private refuseForgotten({generation}: KeyedRequest): void {
+  private rejectExpired({generation}: KeyedRequest): void {
     if (generation >= this.floorGeneration) return;
     throw makeOutcomeUnknown('The key is too old to be remembered.');
   }
 
-  /** All that is refused here was never begun by the only process that may. */
-  private refuseNew({generation}: KeyedRequest): void {
+  /** The errors say `not-run`: only this process could have started the key. */
+  private admitNew({generation}: KeyedRequest): void {
     if (this.isClosed) {
       throw new TypedError('shutting-down', 'This node is shutting down.', {
         run: 'not-run',
@@ -116,11 +118,11 @@
         {run: 'not-run', remedy: 'Take a new keyPrefix from /v1/entries.'},
       );
     }
-    if (this.table.size >= this.maxKeys) this.makeRoom();
+    if (this.table.size >= this.maxKeys) this.evictOldest();
   }
 
-  /** Forgets the oldest keys early rather than refuse new ones. */
-  private makeRoom(): void {
+  /** Evicts the oldest keys early instead of rejecting new ones. */
+  private evictOldest(): void {
     const oldest = this.table.oldestGeneration ?? this.newestGeneration;
     if (oldest > this.newestGeneration - MIN_KEPT_GENERATIONS) {
       throw new TypedError('overloaded', 'Too many keys are remembered.', {
