--- a/packages/admit-requests/src/admission_controller.ts
+++ b/packages/admit-requests/src/admission_controller.ts
@@ -5,7 +5,7 @@
 import {TeamLimiter} from './team_limiter.js';
 import {
   type AdmissionRequest,
-  type Outlook,
+  type ReplicaAvailability,
   type Refusal,
   type RefusalKind,
 } from './types.js';
@@ -22,11 +22,11 @@
 export type AdmissionDecision =
   | {status: 'start'}
   /** `displaced` is the request evicted from a full queue, if any. */
-  | {status: 'queued'; displaced: GivenUp | null}
+  | {status: 'queued'; displaced: RefusedQueuedRequest | null}
   | {status: 'refused'; refusal: Refusal};
 
 /** A queued request that is refused before it starts. */
-export interface GivenUp {
+export interface RefusedQueuedRequest {
   request: AdmissionRequest;
   refusal: Refusal;
 }
@@ -57,10 +57,10 @@
    * Decides on a new request. `takePlace` reserves capacity at a backend server
    * and is called only if the request may start immediately.
    */
-  arrive(
+  admit(
     key: string,
     request: AdmissionRequest,
-    outlook: Outlook,
+    outlook: ReplicaAvailability,
     takePlace: () => boolean,
     nowMs: number,
   ): AdmissionDecision {
@@ -85,7 +85,7 @@
    * Refuses a queued request that would probably miss its deadline if started
    * now, so that the capacity serves another request.
    */
-  judgeStart(
+  checkStart(
     key: string,
     request: AdmissionRequest,
     nowMs: number,
@@ -115,7 +115,7 @@
   }
 
   /** Records the run time of a request up to the answer or its first byte. */
-  noteServed(
+  recordServed(
     key: string,
     request: AdmissionRequest,
     ranMs: number,
@@ -126,7 +126,7 @@
   }
 
   /** Records that a started request has finished or failed. */
-  noteEnded(key: string, request: AdmissionRequest, heldMs: number): void {
+  recordFinished(key: string, request: AdmissionRequest, heldMs: number): void {
     const state = this.getOrCreateState(key);
     state.runningCount -= 1;
     state.estimator.recordEnd(heldMs);
@@ -137,7 +137,11 @@
    * Refuses queued requests that can no longer meet their deadline, for example
    * because a replica loads more slowly than expected.
    */
-  reassess(key: string, outlook: Outlook, nowMs: number): GivenUp[] {
+  refuseUnmeetable(
+    key: string,
+    outlook: ReplicaAvailability,
+    nowMs: number,
+  ): RefusedQueuedRequest[] {
     const state = this.queueStates.get(key);
     if (!state) return [];
     return state.queue.list().flatMap(request => {
@@ -170,7 +174,7 @@
   private decide(
     state: QueueState,
     request: AdmissionRequest,
-    outlook: Outlook,
+    outlook: ReplicaAvailability,
     takePlace: () => boolean,
     nowMs: number,
   ): AdmissionDecision {
@@ -189,20 +193,20 @@
   private checkOutlook(
     state: QueueState,
     request: AdmissionRequest,
-    outlook: Outlook,
+    outlook: ReplicaAvailability,
     nowMs: number,
   ): Refusal | null {
     if (outlook.status === 'serving') return null;
     const message = 'No replica of the model is warm.';
     if (outlook.status === 'cold') {
-      return this.makeRefusal('not-warm', message, outlook.comeBackInMs);
+      return this.makeRefusal('not-warm', message, outlook.retryAfterMs);
     }
     const neededMs =
-      outlook.expectedInMs +
+      outlook.readyInMs +
       state.estimator.shortestRunMs(request.workClass, nowMs);
     return neededMs <= request.deadlineAtMs - nowMs
       ? null
-      : this.makeRefusal('not-warm', message, outlook.expectedInMs);
+      : this.makeRefusal('not-warm', message, outlook.readyInMs);
   }
 
   private checkRunTime(
@@ -232,14 +236,14 @@
   private enqueue(
     state: QueueState,
     request: AdmissionRequest,
-    outlook: Outlook,
+    outlook: ReplicaAvailability,
     nowMs: number,
   ): AdmissionDecision {
     const {queue, estimator} = state;
     const aheadCount = queue.countAhead(request);
     const estimate = estimator.estimateWaitMs(aheadCount, state.runningCount);
     const waitMs =
-      (outlook.status === 'warming' ? outlook.expectedInMs : 0) +
+      (outlook.status === 'warming' ? outlook.readyInMs : 0) +
       Math.max(estimate.correctedMs, estimator.stalledMs(nowMs));
     const neededMs =
       waitMs * WAIT_MARGIN + estimator.likelyRunMs(request.workClass, nowMs);
@@ -254,7 +258,7 @@
       this.addQueued(queue, request);
       return {status: 'queued', displaced: null};
     }
-    const evicted = queue.findVictim(request);
+    const evicted = queue.findEvictionCandidate(request);
     const refusal = this.makeRefusal(
       'overloaded',
       'The queue is full.',
--- a/packages/admit-requests/src/admission_gate.test.ts
+++ b/packages/admit-requests/src/admission_gate.test.ts
@@ -4,15 +4,15 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
 import {AdmissionGate} from './admission_gate.js';
-import {CallerGone} from './caller_gone.js';
-import {type AdmissionRequest, type Outlook} from './types.js';
+import {CallerDisconnectedError} from './caller_gone.js';
+import {type AdmissionRequest, type ReplicaAvailability} from './types.js';
 
 const test = suite('admission gate');
 
 interface Fixture {
   clock: ManualClock;
   capacity: number;
-  outlook: Outlook;
+  outlook: ReplicaAvailability;
   started: string[];
   /** By request ID: `answered` or the kind of the refusal. */
   outcomes: Record<string, string>;
@@ -33,17 +33,21 @@
   const finishers = new Map<string, () => void>();
   const target = {
     key: 'm',
-    findOutlook: () => fixture.outlook,
-    takePlace: () => (fixture.capacity > 0 ? fixture.capacity-- : null),
+    findAvailability: () => fixture.outlook,
+    tryReserve: () => (fixture.capacity > 0 ? fixture.capacity-- : null),
   };
   const submit = async (id: string, terms: Partial<AdmissionRequest> = {}) => {
     const request = makeRequest(id, clock.monotonicMs(), terms);
-    const done = gate.run(request, target, async ({noteServed}) => {
-      fixture.started.push(id);
-      await new Promise<void>(resolve => finishers.set(id, resolve));
-      noteServed();
-      fixture.capacity += 1;
-    });
+    const done = gate.run(
+      request,
+      target,
+      async ({recordServed: noteServed}) => {
+        fixture.started.push(id);
+        await new Promise<void>(resolve => finishers.set(id, resolve));
+        noteServed();
+        fixture.capacity += 1;
+      },
+    );
     void done.then(
       () => (fixture.outcomes[id] = 'answered'),
       (thrown: TypedError) => {
@@ -62,7 +66,7 @@
     clock.advance(deltaMs);
     await settle();
   };
-  const outlook: Outlook = {status: 'serving'};
+  const outlook: ReplicaAvailability = {status: 'serving'};
   const records = {started: [], outcomes: {}, retryAfterMs: []};
   const fixture: Fixture = {
     clock,
@@ -182,12 +186,12 @@
 // makes their deadlines unmeetable.
 test('refuses queued requests that a delayed load cannot serve in time', async () => {
   const fixture = createFixture(2);
-  fixture.outlook = {status: 'warming', expectedInMs: 1_000};
+  fixture.outlook = {status: 'warming', readyInMs: 1_000};
   await fixture.submit('short', {deadlineAtMs: 2_000});
   await fixture.submit('long', {deadlineAtMs: 9_000});
   await fixture.submit('shorter', {deadlineAtMs: 500});
   assert.equal(fixture.outcomes, {shorter: 'not-warm'});
-  fixture.outlook = {status: 'warming', expectedInMs: 5_000};
+  fixture.outlook = {status: 'warming', readyInMs: 5_000};
   await fixture.advance(100);
   assert.equal(fixture.outcomes, {shorter: 'not-warm', short: 'not-warm'});
   fixture.outlook = {status: 'serving'};
@@ -201,15 +205,15 @@
   const abort = new AbortController();
   const target = {
     key: 'm',
-    findOutlook: () => fixture.outlook,
-    takePlace: () => null,
+    findAvailability: () => fixture.outlook,
+    tryReserve: () => null,
   };
   const request = makeRequest('a', 0, {});
   const run = fixture.gate.run(request, target, async () => 1, abort.signal);
   assert.is(fixture.gate.queuedCount, 1);
   abort.abort();
   const thrown: unknown = await run.catch((error: unknown) => error);
-  assert.instance(thrown, CallerGone);
+  assert.instance(thrown, CallerDisconnectedError);
   assert.is(fixture.gate.inFlightCount, 0);
 });
 
--- a/packages/admit-requests/src/admission_gate.ts
+++ b/packages/admit-requests/src/admission_gate.ts
@@ -8,29 +8,33 @@
   AdmissionController,
   type AdmissionOptions,
 } from './admission_controller.js';
-import {CallerGone} from './caller_gone.js';
-import {type AdmissionRequest, type Outlook, type Refusal} from './types.js';
+import {CallerDisconnectedError} from './caller_gone.js';
+import {
+  type AdmissionRequest,
+  type ReplicaAvailability,
+  type Refusal,
+} from './types.js';
 
 /** The destination of a request; requests with the same key share a queue. */
 export interface Target<P> {
   key: string;
-  findOutlook(): Outlook;
+  findAvailability(): ReplicaAvailability;
   /** Reserves capacity at a backend server; null if none is available. */
-  takePlace(): P | null;
+  tryReserve(): P | null;
 }
 
 /** Permission to send one request to a backend server. */
 export interface Permit<P> {
-  place: P;
+  reservation: P;
   waitedMs: number;
   /** Records that the answer, or its first byte, has arrived. */
-  noteServed: () => void;
+  recordServed: () => void;
 }
 
 interface Waiter {
   request: AdmissionRequest;
   key: string;
-  findOutlook(): Outlook;
+  findOutlook(): ReplicaAvailability;
   /**
    * Starts the request if capacity is available, or refuses it if it would miss
    * its deadline. Returns whether the request left the queue.
@@ -82,7 +86,7 @@
     const startedAtMs = this.clock.monotonicMs();
     const elapsedMs = () => this.clock.monotonicMs() - startedAtMs;
     const noteServed = () =>
-      this.controller.noteServed(
+      this.controller.recordServed(
         target.key,
         request,
         elapsedMs(),
@@ -90,16 +94,20 @@
       );
     const waitedMs = startedAtMs - request.arrivedAtMs;
     try {
-      return await work({place, waitedMs, noteServed});
+      return await work({
+        reservation: place,
+        waitedMs,
+        recordServed: noteServed,
+      });
     } finally {
       this.runningCount -= 1;
-      this.controller.noteEnded(target.key, request, elapsedMs());
-      this.pump();
+      this.controller.recordFinished(target.key, request, elapsedMs());
+      this.startQueued();
     }
   }
 
   /** Starts queued requests; to be called when capacity may have been freed. */
-  pump(): void {
+  startQueued(): void {
     if (this.isPumping) return;
     this.isPumping = true;
     try {
@@ -116,11 +124,11 @@
   ): Promise<P> {
     const {key} = target;
     let place: P | null = null;
-    const takePlace = () => (place = target.takePlace()) !== null;
-    const decision = this.controller.arrive(
+    const takePlace = () => (place = target.tryReserve()) !== null;
+    const decision = this.controller.admit(
       key,
       request,
-      target.findOutlook(),
+      target.findAvailability(),
       takePlace,
       this.clock.monotonicMs(),
     );
@@ -160,7 +168,7 @@
       const onAbort = () => {
         this.controller.abandon(key, request);
         leave();
-        reject(new CallerGone());
+        reject(new CallerDisconnectedError());
       };
       const deadlineTimer = this.clock.setTimer(
         request.deadlineAtMs - this.clock.monotonicMs(),
@@ -168,13 +176,13 @@
       );
       const tryDequeue = () => {
         const nowMs = this.clock.monotonicMs();
-        const refusal = this.controller.judgeStart(key, request, nowMs);
+        const refusal = this.controller.checkStart(key, request, nowMs);
         if (refusal) {
           this.controller.abandon(key, request);
           refuse(refusal);
           return true;
         }
-        const place = target.takePlace();
+        const place = target.tryReserve();
         if (place === null) return false;
         this.controller.startNext(key, nowMs);
         this.runningCount += 1;
@@ -182,7 +190,7 @@
         resolve(place);
         return true;
       };
-      const findOutlook = () => target.findOutlook();
+      const findOutlook = () => target.findAvailability();
       const waiter = {request, key, findOutlook, tryDequeue, refuse};
       this.waiters.set(request.requestId, waiter);
       this.waitingKeys.add(key);
@@ -216,7 +224,7 @@
     this.reassessTimer ??= this.clock.setTimer(REASSESS_MS, () => {
       this.reassessTimer = null;
       [...this.waitingKeys].forEach(key => this.rejectUnmeetable(key));
-      this.pump();
+      this.startQueued();
       if (this.waiters.size > 0) this.scheduleReassessment();
     });
   }
@@ -226,7 +234,7 @@
     const waiter = head && this.waiters.get(head.requestId);
     if (!waiter) return;
     this.controller
-      .reassess(key, waiter.findOutlook(), this.clock.monotonicMs())
+      .refuseUnmeetable(key, waiter.findOutlook(), this.clock.monotonicMs())
       .forEach(({request, refusal}) =>
         this.waiters.get(request.requestId)?.refuse(refusal),
       );
--- a/packages/admit-requests/src/caller_gone.ts
+++ b/packages/admit-requests/src/caller_gone.ts
@@ -1,5 +1,5 @@
 /** The caller disconnected before the answer was complete. */
-export class CallerGone extends Error {
+export class CallerDisconnectedError extends Error {
   constructor() {
     super('The caller has gone.');
   }
--- a/packages/admit-requests/src/fair_queue.ts
+++ b/packages/admit-requests/src/fair_queue.ts
@@ -98,7 +98,9 @@
    * request of the largest team at the lowest priority. Returns undefined if
    * the new request has no precedence over it.
    */
-  findVictim(request: AdmissionRequest): AdmissionRequest | undefined {
+  findEvictionCandidate(
+    request: AdmissionRequest,
+  ): AdmissionRequest | undefined {
     const lane = this.lanes.at(-1);
     if (!lane || lane.priority > request.priority) return undefined;
     const longest = [...lane.teams.values()].reduce((a, b) =>
--- a/packages/admit-requests/src/index.ts
+++ b/packages/admit-requests/src/index.ts
@@ -2,14 +2,14 @@
   AdmissionController,
   type AdmissionDecision,
   type AdmissionOptions,
-  type GivenUp,
+  type RefusedQueuedRequest,
 } from './admission_controller.js';
 export {AdmissionGate, type Permit, type Target} from './admission_gate.js';
-export {CallerGone} from './caller_gone.js';
+export {CallerDisconnectedError} from './caller_gone.js';
 export {FairQueue} from './fair_queue.js';
 export {
   type AdmissionRequest,
-  type Outlook,
+  type ReplicaAvailability,
   type Refusal,
   type RefusalKind,
   type TeamLimits,
--- a/packages/admit-requests/src/types.ts
+++ b/packages/admit-requests/src/types.ts
@@ -28,12 +28,12 @@
 }
 
 /** Availability of the replicas that can serve a request. */
-export type Outlook =
+export type ReplicaAvailability =
   | {status: 'serving'}
   /** A replica is loading or scheduled to load. */
-  | {status: 'warming'; expectedInMs: number}
+  | {status: 'warming'; readyInMs: number}
   /** No replica is known to be loading or scheduled to load. */
-  | {status: 'cold'; comeBackInMs: number};
+  | {status: 'cold'; retryAfterMs: number};
 
 /** Why a request was refused before it ran. */
 export type RefusalKind =
--- a/packages/agreed-state/src/agreed_state.ts
+++ b/packages/agreed-state/src/agreed_state.ts
@@ -16,7 +16,7 @@
   Configuration,
   type ConfigurationSnapshot,
 } from './configuration/configuration.js';
-import {type Outcome, VALID, makeVoid} from './outcome.js';
+import {type RecordOutcome, VALID, makeVoid} from './outcome.js';
 import {type RecordIdEntry, RecentRecordIds} from './recent_record_ids.js';
 import {Placement, type PlacementSnapshot} from './placement/placement.js';
 import {
@@ -32,7 +32,7 @@
  * number of records, so a duplicate is either recognized by its id or void as
  * too old.
  */
-export const BASIS_HORIZON = 20_000;
+export const MAX_BASIS_AGE_RECORDS = 20_000;
 
 const TOMBSTONE_PRUNE_INTERVAL = 5_000;
 
@@ -43,7 +43,7 @@
   /** Null if the record cannot be decoded. */
   record: AgreedRecord | null;
   recordId: string | null;
-  outcome: Outcome;
+  outcome: RecordOutcome;
 }
 
 /** The serialized form of the whole state. */
@@ -74,7 +74,7 @@
   private nextRulesVersion = 1;
   /** The last sequence number that the newest recorded checkpoint covers. */
   checkpointSequence = 0;
-  private recentRecordIds = new RecentRecordIds(BASIS_HORIZON);
+  private recentRecordIds = new RecentRecordIds(MAX_BASIS_AGE_RECORDS);
 
   /** Whether this release supports the active rules version. */
   get isSupported(): boolean {
@@ -113,18 +113,18 @@
     return {sequence: this.sequence, offset, record, recordId, outcome};
   }
 
-  private applyOnce(record: AgreedRecord): Outcome {
+  private applyOnce(record: AgreedRecord): RecordOutcome {
     if (this.recentRecordIds.has(record.recordId)) {
       return makeVoid('duplicate', 'The record was folded before.');
     }
-    if (record.basisSequence < this.sequence - BASIS_HORIZON) {
+    if (record.basisSequence < this.sequence - MAX_BASIS_AGE_RECORDS) {
       return makeVoid('stale-basis', 'The record was written too long ago.');
     }
     this.recentRecordIds.add(record.recordId, this.sequence);
     return this.apply(record);
   }
 
-  private apply(record: AgreedRecord): Outcome {
+  private apply(record: AgreedRecord): RecordOutcome {
     const {body, author} = record;
     switch (body.type) {
       case 'put-document':
@@ -153,7 +153,9 @@
           body,
           author,
           this.sequence,
-          this.placement.listOn(body.backendServerId).map(s => s.slotId),
+          this.placement
+            .listOnBackendServer(body.backendServerId)
+            .map(s => s.slotId),
         );
       case 'yield-steward':
         return this.stewardship.yield(body, author);
@@ -166,7 +168,7 @@
     }
   }
 
-  private noteCheckpoint(body: BodyOf<'note-checkpoint'>): Outcome {
+  private noteCheckpoint(body: BodyOf<'note-checkpoint'>): RecordOutcome {
     if (body.coversSequence <= this.checkpointSequence) {
       return makeVoid('duplicate', 'A newer checkpoint was noted.');
     }
@@ -174,9 +176,9 @@
     return VALID;
   }
 
-  private deleteDocument(body: BodyOf<'delete-document'>): Outcome {
+  private deleteDocument(body: BodyOf<'delete-document'>): RecordOutcome {
     const outcome = this.configuration.delete(body, this.sequence);
-    if (body.kind === 'event') this.placement.forgetEvent(body.id);
+    if (body.kind === 'event') this.placement.dropPlanCountOfEvent(body.id);
     return outcome;
   }
 
@@ -185,7 +187,7 @@
    * does not support the version stops there instead of computing a different
    * state.
    */
-  private activateRules(version: number): Outcome {
+  private activateRules(version: number): RecordOutcome {
     if (version <= this.nextRulesVersion) {
       return makeVoid('version-conflict', 'These rules are in force already.');
     }
@@ -197,7 +199,9 @@
   private expireOldEntries(): void {
     this.recentRecordIds.advanceTo(this.sequence);
     if (this.sequence % TOMBSTONE_PRUNE_INTERVAL !== 0) return;
-    this.configuration.forgetTombstonesBefore(this.sequence - BASIS_HORIZON);
+    this.configuration.dropTombstonesBefore(
+      this.sequence - MAX_BASIS_AGE_RECORDS,
+    );
   }
 
   /** Serializes the state; equal states give equal bytes. */
@@ -229,7 +233,7 @@
     state.sequence = snapshot.sequence;
     state.checkpointSequence = snapshot.checkpointSequence;
     state.recentRecordIds = RecentRecordIds.restore(
-      BASIS_HORIZON,
+      MAX_BASIS_AGE_RECORDS,
       snapshot.rememberedIds,
     );
     state.configuration = Configuration.restore(snapshot.configuration);
--- a/packages/agreed-state/src/configuration.test.ts
+++ b/packages/agreed-state/src/configuration.test.ts
@@ -1,7 +1,7 @@
 import {encodeBatch} from '@mimosatack/records';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {BASIS_HORIZON} from './agreed_state.js';
+import {MAX_BASIS_AGE_RECORDS} from './agreed_state.js';
 import {
   StateFixture,
   makeEvent,
@@ -49,7 +49,7 @@
 configuration('voids a record whose basis is beyond the horizon', () => {
   const fixture = new StateFixture();
   const late = fixture.makeRecord(makePut('team', 'pantry', {}));
-  fixture.state.sequence = BASIS_HORIZON + 1;
+  fixture.state.sequence = MAX_BASIS_AGE_RECORDS + 1;
   assert.is(outcomeCode(fixture.applyRecord(late)), 'stale-basis');
 });
 
--- a/packages/agreed-state/src/configuration/configuration.ts
+++ b/packages/agreed-state/src/configuration/configuration.ts
@@ -8,7 +8,7 @@
   type DocumentKind,
 } from '@mimosatack/records';
 import {type z} from 'zod';
-import {type Outcome, VALID, makeVoid} from '../outcome.js';
+import {type RecordOutcome, VALID, makeVoid} from '../outcome.js';
 import {
   type EventContent,
   type ModelContent,
@@ -143,7 +143,7 @@
     );
   }
 
-  put(body: BodyOf<'put-document'>, sequence: number): Outcome {
+  put(body: BodyOf<'put-document'>, sequence: number): RecordOutcome {
     const conflict = this.checkVersion(body);
     if (conflict) return conflict;
     const parsed = SCHEMAS[body.kind].safeParse(body.content);
@@ -163,7 +163,7 @@
     return this.publish(document, sequence);
   }
 
-  delete(body: BodyOf<'delete-document'>, sequence: number): Outcome {
+  delete(body: BodyOf<'delete-document'>, sequence: number): RecordOutcome {
     const key = formatKey(body.kind, body.id);
     const document = this.documents[body.kind].get(body.id);
     if (!document) {
@@ -187,7 +187,7 @@
   }
 
   /** Drops tombstones that only records with a stale basis can conflict with. */
-  forgetTombstonesBefore(sequence: number): void {
+  dropTombstonesBefore(sequence: number): void {
     [...this.tombstones.values()]
       .filter(tombstone => tombstone.sequence < sequence)
       .forEach(tombstone => this.tombstones.delete(tombstone.key));
@@ -197,7 +197,7 @@
     kind: DocumentKind;
     id: string;
     expectedVersion: number;
-  }): Outcome | null {
+  }): RecordOutcome | null {
     const current = this.currentVersion(body.kind, body.id);
     if (current === body.expectedVersion) return null;
     const key = formatKey(body.kind, body.id);
@@ -211,7 +211,7 @@
     );
   }
 
-  private publish(document: Document, sequence: number): Outcome {
+  private publish(document: Document, sequence: number): RecordOutcome {
     const key = formatKey(document.kind, document.id);
     const missing = this.findMissingReference(document);
     if (missing) return makeVoid('unknown-reference', missing);
--- a/packages/agreed-state/src/fold_properties.test.ts
+++ b/packages/agreed-state/src/fold_properties.test.ts
@@ -5,7 +5,7 @@
 import {encodeBatch} from '@mimosatack/records';
 import {AgreedState} from './agreed_state.js';
 import {findPeakMib} from './placement/memory_profile.js';
-import {holdsFromMs} from './placement/slot.js';
+import {findHoldStartMs} from './placement/slot.js';
 import {
   type StateFixture,
   START_MS,
@@ -162,8 +162,12 @@
         .listBackendServers()
         .forEach(({backendServerId, memoryMib}) => {
           const holds = placement.listHolds(backendServerId);
-          placement.listOn(backendServerId).forEach(slot => {
-            const peakMib = findPeakMib(holds, holdsFromMs(slot), slot.untilMs);
+          placement.listOnBackendServer(backendServerId).forEach(slot => {
+            const peakMib = findPeakMib(
+              holds,
+              findHoldStartMs(slot),
+              slot.untilMs,
+            );
             assert.ok(
               peakMib <= memoryMib,
               `${peakMib} MiB on ${backendServerId}`,
@@ -182,7 +186,7 @@
         const purpose = {for: 'event' as const, eventId: event.eventId};
         const need = event.needs[0]!;
         const active = placement
-          .listFor(purpose)
+          .listForPurpose(purpose)
           .filter(slot => slot.decidedAt > event.revision);
         assert.ok(active.length <= need.replicas + need.maxSurge);
       });
--- a/packages/agreed-state/src/index.ts
+++ b/packages/agreed-state/src/index.ts
@@ -1,6 +1,6 @@
 export {
   AgreedState,
-  BASIS_HORIZON,
+  MAX_BASIS_AGE_RECORDS,
   type FoldedRecord,
   SUPPORTED_RULES_VERSION,
 } from './agreed_state.js';
@@ -23,20 +23,20 @@
   type ResolvedNeed,
   sumReplicaMemoryMib,
 } from './configuration/resolve_event.js';
-export {type Outcome, type VoidReason} from './outcome.js';
+export {type RecordOutcome, type VoidReason} from './outcome.js';
 export {type MemoryHold, findPeakMib} from './placement/memory_profile.js';
 export {Placement} from './placement/placement.js';
 export {
-  type EndReason,
+  type SlotEndReason,
   type Slot,
   formatPurpose,
-  holdsFromMs,
-  isServing,
+  findHoldStartMs,
+  isInServingWindow,
   listSlotHolds,
 } from './placement/slot.js';
 export {
   type BackendServer,
-  type Doubt,
+  type InDoubtClaim,
   type StewardClaim,
   Stewardship,
 } from './stewardship/stewardship.js';
--- a/packages/agreed-state/src/outcome.ts
+++ b/packages/agreed-state/src/outcome.ts
@@ -15,11 +15,11 @@
   | 'stale-epoch'
   | 'in-doubt';
 
-export type Outcome =
+export type RecordOutcome =
   {status: 'valid'} | {status: 'void'; reason: VoidReason; message: string};
 
-export const VALID: Outcome = {status: 'valid'};
+export const VALID: RecordOutcome = {status: 'valid'};
 
-export function makeVoid(reason: VoidReason, message: string): Outcome {
+export function makeVoid(reason: VoidReason, message: string): RecordOutcome {
   return {status: 'void', reason, message};
 }
--- a/packages/agreed-state/src/placement/placement.ts
+++ b/packages/agreed-state/src/placement/placement.ts
@@ -6,10 +6,15 @@
 import {type BodyOf, type SlotPlan} from '@mimosatack/records';
 import {type Configuration} from '../configuration/configuration.js';
 import {sumReplicaMemoryMib} from '../configuration/resolve_event.js';
-import {type Outcome, VALID, makeVoid} from '../outcome.js';
+import {type RecordOutcome, VALID, makeVoid} from '../outcome.js';
 import {type Stewardship} from '../stewardship/stewardship.js';
 import {type MemoryHold, findPeakMib} from './memory_profile.js';
-import {type Slot, formatPurpose, holdsFromMs, listSlotHolds} from './slot.js';
+import {
+  type Slot,
+  formatPurpose,
+  findHoldStartMs,
+  listSlotHolds,
+} from './slot.js';
 
 /** Number of plans accepted for one purpose. */
 interface PlanCount {
@@ -76,11 +81,11 @@
     return [...this.slots.values()];
   }
 
-  listOn(backendServerId: string): Slot[] {
+  listOnBackendServer(backendServerId: string): Slot[] {
     return [...(this.byBackendServer.get(backendServerId) ?? [])];
   }
 
-  listFor(purpose: Slot['purpose']): Slot[] {
+  listForPurpose(purpose: Slot['purpose']): Slot[] {
     return [...(this.byPurpose.get(formatPurpose(purpose)) ?? [])];
   }
 
@@ -94,11 +99,11 @@
    * memory without an end, because a former steward may still load it.
    */
   listHolds(backendServerId: string): MemoryHold[] {
-    return this.listOn(backendServerId).flatMap(slot =>
+    return this.listOnBackendServer(backendServerId).flatMap(slot =>
       this.stewardship.isInDoubt(backendServerId, slot.slotId)
         ? [
             {
-              fromMs: holdsFromMs(slot),
+              fromMs: findHoldStartMs(slot),
               untilMs: Infinity,
               memoryMib: slot.memoryMib,
             },
@@ -107,7 +112,7 @@
     );
   }
 
-  decide(body: BodyOf<'decide-slots'>, sequence: number): Outcome {
+  decide(body: BodyOf<'decide-slots'>, sequence: number): RecordOutcome {
     const plans = this.countPlans(body.purpose);
     if (plans !== body.expectedPlan) {
       return makeVoid(
@@ -135,7 +140,7 @@
     return VALID;
   }
 
-  end(body: BodyOf<'end-slots'>): Outcome {
+  end(body: BodyOf<'end-slots'>): RecordOutcome {
     const missing = body.slotIds.find(slotId => !this.slots.has(slotId));
     if (missing !== undefined) {
       return makeVoid('unknown-reference', `There is no slot ${missing}.`);
@@ -149,7 +154,7 @@
     return VALID;
   }
 
-  extend(body: BodyOf<'extend-slots'>): Outcome {
+  extend(body: BodyOf<'extend-slots'>): RecordOutcome {
     const slots = body.slotIds.map(slotId => this.slots.get(slotId));
     if (slots.some(slot => !slot || slot.status === 'ending')) {
       return makeVoid('unknown-reference', 'A slot is gone or ending.');
@@ -172,8 +177,8 @@
     return VALID;
   }
 
-  release(body: BodyOf<'release-slots'>): Outcome {
-    if (!this.stewardship.isHeld(body.backendServerId, body.epoch)) {
+  release(body: BodyOf<'release-slots'>): RecordOutcome {
+    if (!this.stewardship.isClaimInForce(body.backendServerId, body.epoch)) {
       return makeVoid(
         'stale-epoch',
         `${body.backendServerId} is not held under epoch ${body.epoch}.`,
@@ -204,14 +209,16 @@
 
   /** Drops all slots of a backend server that is being removed. */
   removeBackendServer(backendServerId: string): void {
-    this.listOn(backendServerId).forEach(slot => this.remove(slot));
+    this.listOnBackendServer(backendServerId).forEach(slot =>
+      this.remove(slot),
+    );
   }
 
   /**
    * Drops the plan count of a deleted event once its last slot is released. A
    * late plan for the event stays void because its target revision is gone.
    */
-  forgetEvent(eventId: string): void {
+  dropPlanCountOfEvent(eventId: string): void {
     const purpose = {for: 'event' as const, eventId};
     const isInUse =
       this.configuration.findEvent(eventId) !== undefined ||
@@ -219,7 +226,7 @@
     if (!isInUse) this.planCounts.delete(formatPurpose(purpose));
   }
 
-  private checkRevision(body: BodyOf<'decide-slots'>): Outcome | null {
+  private checkRevision(body: BodyOf<'decide-slots'>): RecordOutcome | null {
     const revision = this.findRevision(body.purpose);
     if (revision === body.targetRevision) return null;
     return makeVoid(
@@ -237,7 +244,7 @@
       : this.configuration.find('model', purpose.model)?.version;
   }
 
-  private checkSlots(body: BodyOf<'decide-slots'>): Outcome | null {
+  private checkSlots(body: BodyOf<'decide-slots'>): RecordOutcome | null {
     const ids = new Set(body.slots.map(plan => plan.slotId));
     const isRepeated =
       ids.size < body.slots.length ||
@@ -300,8 +307,10 @@
    * Counts ending slots too, because the engine may still have their replicas
    * loaded until they are released.
    */
-  private checkReplicaCount(body: BodyOf<'decide-slots'>): Outcome | null {
-    const held = this.listFor(body.purpose);
+  private checkReplicaCount(
+    body: BodyOf<'decide-slots'>,
+  ): RecordOutcome | null {
+    const held = this.listForPurpose(body.purpose);
     const fault = body.slots
       .map(plan => {
         const allowance = this.findAllowance(
@@ -324,7 +333,7 @@
     return fault === undefined ? null : makeVoid('too-many-replicas', fault);
   }
 
-  private checkMemory(plans: readonly SlotPlan[]): Outcome | null {
+  private checkMemory(plans: readonly SlotPlan[]): RecordOutcome | null {
     const overcommitted = plans.find(plan => {
       const server = this.stewardship.findBackendServer(plan.backendServerId);
       const holds = [
@@ -333,7 +342,7 @@
           .filter(other => other.backendServerId === plan.backendServerId)
           .flatMap(listSlotHolds),
       ];
-      const peakMib = findPeakMib(holds, holdsFromMs(plan), plan.untilMs);
+      const peakMib = findPeakMib(holds, findHoldStartMs(plan), plan.untilMs);
       return peakMib > (server?.memoryMib ?? 0);
     });
     return overcommitted
@@ -355,7 +364,8 @@
     this.slots.delete(slot.slotId);
     removeFromIndex(this.byBackendServer, slot.backendServerId, slot);
     removeFromIndex(this.byPurpose, formatPurpose(slot.purpose), slot);
-    if (slot.purpose.for === 'event') this.forgetEvent(slot.purpose.eventId);
+    if (slot.purpose.for === 'event')
+      {this.dropPlanCountOfEvent(slot.purpose.eventId);}
   }
 }
 
--- a/packages/agreed-state/src/placement/slot.ts
+++ b/packages/agreed-state/src/placement/slot.ts
@@ -8,14 +8,14 @@
  */
 export type SlotStatus = 'decided' | 'ending';
 
-export type EndReason =
+export type SlotEndReason =
   'event-over' | 'event-changed' | 'lost' | 'idle' | 'moved';
 
 /** A slot plan with its purpose and status. */
 export interface Slot extends SlotPlan {
   purpose: SlotPurpose;
   status: SlotStatus;
-  endReason: EndReason | null;
+  endReason: SlotEndReason | null;
   /** Sequence number of the record that created the slot. */
   decidedAt: number;
 }
@@ -28,14 +28,14 @@
 }
 
 /** Whether requests may be routed to the slot's replica once it is warm. */
-export function isServing(slot: Slot, nowMs: number): boolean {
+export function isInServingWindow(slot: Slot, nowMs: number): boolean {
   return (
     slot.status === 'decided' && nowMs >= slot.loadAtMs && nowMs < slot.untilMs
   );
 }
 
 /** The time from which a slot reserves accelerator memory. */
-export function holdsFromMs(slot: SlotPlan): number {
+export function findHoldStartMs(slot: SlotPlan): number {
   return slot.stage?.fromMs ?? slot.loadAtMs;
 }
 
--- a/packages/agreed-state/src/stewardship.test.ts
+++ b/packages/agreed-state/src/stewardship.test.ts
@@ -82,14 +82,14 @@
     FORMER_HOLDER,
   );
   fixture.apply(makeClaim(fixture, 'r1'), NEW_HOLDER);
-  assert.is(fixture.state.stewardship.listDoubts('r1').length, 0);
+  assert.is(fixture.state.stewardship.listInDoubtClaims('r1').length, 0);
 });
 
 // Guards against a doubt that another node clears although the former holder
 // may still have orders in flight.
 stewardship('lets only the former holder acknowledge', () => {
   const fixture = makeTakenOverFixture('ignores');
-  const [doubt] = fixture.state.stewardship.listDoubts('r1');
+  const [doubt] = fixture.state.stewardship.listInDoubtClaims('r1');
   const clear = {
     type: 'clear-doubt' as const,
     backendServerId: 'r1',
@@ -109,7 +109,7 @@
   fixture.apply(makePlan(fixture, [makeSlot('s1', 'r1')]));
   fixture.apply(makeClaim(fixture, 'r1'), NEW_HOLDER);
   fixture.apply(makeClaim(fixture, 'r1'), 'node-3.cccccccc');
-  const doubts = fixture.state.stewardship.listDoubts('r1');
+  const doubts = fixture.state.stewardship.listInDoubtClaims('r1');
   assert.equal(
     doubts.map(doubt => doubt.formerHolder),
     [FORMER_HOLDER, NEW_HOLDER],
--- a/packages/agreed-state/src/stewardship/stewardship.ts
+++ b/packages/agreed-state/src/stewardship/stewardship.ts
@@ -9,7 +9,7 @@
   type FencingSupport,
   type NodeIncarnation,
 } from '@mimosatack/types';
-import {type Outcome, VALID, makeVoid} from '../outcome.js';
+import {type RecordOutcome, VALID, makeVoid} from '../outcome.js';
 
 export interface BackendServer {
   backendServerId: BackendServerId;
@@ -36,7 +36,7 @@
  * Slots that a former holder may still load, because the engine does not reject
  * old fencing tokens. They count as loaded until the doubt is cleared.
  */
-export interface Doubt {
+export interface InDoubtClaim {
   formerHolder: NodeIncarnation;
   epoch: number;
   slotIds: string[];
@@ -45,7 +45,7 @@
 interface ServerEntry {
   server: BackendServer;
   claim: StewardClaim | null;
-  doubts: Doubt[];
+  doubts: InDoubtClaim[];
   isDraining: boolean;
   isLeaving: boolean;
 }
@@ -83,20 +83,22 @@
     return this.entries.get(id)?.claim ?? undefined;
   }
 
-  listDoubts(id: BackendServerId): Doubt[] {
+  listInDoubtClaims(id: BackendServerId): InDoubtClaim[] {
     return this.entries.get(id)?.doubts ?? [];
   }
 
   isInDoubt(id: BackendServerId, slotId: string): boolean {
-    return this.listDoubts(id).some(doubt => doubt.slotIds.includes(slotId));
+    return this.listInDoubtClaims(id).some(doubt =>
+      doubt.slotIds.includes(slotId),
+    );
   }
 
-  isHeld(id: BackendServerId, epoch: number): boolean {
+  isClaimInForce(id: BackendServerId, epoch: number): boolean {
     const claim = this.findClaim(id);
     return claim !== undefined && claim.epoch === epoch && !claim.isYielded;
   }
 
-  register(body: BodyOf<'register-backend-server'>): Outcome {
+  register(body: BodyOf<'register-backend-server'>): RecordOutcome {
     const {type: _type, ...server} = body;
     const entry = this.entries.get(server.backendServerId);
     if (!entry) {
@@ -116,7 +118,7 @@
     return VALID;
   }
 
-  remove(body: BodyOf<'remove-backend-server'>): Outcome {
+  remove(body: BodyOf<'remove-backend-server'>): RecordOutcome {
     return this.entries.delete(body.backendServerId)
       ? VALID
       : makeVoid(
@@ -135,7 +137,7 @@
     return this.entries.get(id)?.isLeaving ?? false;
   }
 
-  drain(body: BodyOf<'drain-backend-server'>): Outcome {
+  drain(body: BodyOf<'drain-backend-server'>): RecordOutcome {
     return this.update(body.backendServerId, entry => {
       const hasChanged = entry.isDraining !== body.isDraining;
       entry.isDraining = body.isDraining;
@@ -143,7 +145,7 @@
     });
   }
 
-  noteHostState(body: BodyOf<'note-host-state'>): Outcome {
+  noteHostState(body: BodyOf<'note-host-state'>): RecordOutcome {
     return this.update(body.backendServerId, entry => {
       const hasChanged = entry.isLeaving !== body.isLeaving;
       entry.isLeaving = body.isLeaving;
@@ -154,7 +156,7 @@
   private update(
     id: BackendServerId,
     apply: (entry: ServerEntry) => boolean,
-  ): Outcome {
+  ): RecordOutcome {
     const entry = this.entries.get(id);
     if (!entry) {
       return makeVoid('unknown-reference', `There is no backend server ${id}.`);
@@ -170,7 +172,7 @@
     author: NodeIncarnation,
     sequence: number,
     slotIds: string[],
-  ): Outcome {
+  ): RecordOutcome {
     const entry = this.entries.get(body.backendServerId);
     if (!entry) {
       return makeVoid(
@@ -195,7 +197,7 @@
     return VALID;
   }
 
-  yield(body: BodyOf<'yield-steward'>, author: NodeIncarnation): Outcome {
+  yield(body: BodyOf<'yield-steward'>, author: NodeIncarnation): RecordOutcome {
     const claim = this.findClaim(body.backendServerId);
     if (claim?.epoch !== body.epoch || claim.holder !== author) {
       return makeVoid('stale-epoch', 'The author does not hold this epoch.');
@@ -204,7 +206,10 @@
     return VALID;
   }
 
-  clearDoubt(body: BodyOf<'clear-doubt'>, author: NodeIncarnation): Outcome {
+  clearDoubt(
+    body: BodyOf<'clear-doubt'>,
+    author: NodeIncarnation,
+  ): RecordOutcome {
     const entry = this.entries.get(body.backendServerId);
     const doubt = entry?.doubts.find(other => other.epoch === body.epoch);
     if (!entry || !doubt) {
--- a/packages/answer-streams/src/abort_error.ts
+++ b/packages/answer-streams/src/abort_error.ts
@@ -2,7 +2,7 @@
 import {TypedError} from '@mimosatack/errors';
 
 /** A reason that is not a typed error counts as an exceeded deadline. */
-export function asAbortError(signal: AbortSignal): TypedError {
+export function toAbortError(signal: AbortSignal): TypedError {
   const reason: unknown = signal.reason;
   if (reason instanceof TypedError) return reason;
   return new TypedError(
--- a/packages/answer-streams/src/answer_fixture.ts
+++ b/packages/answer-streams/src/answer_fixture.ts
@@ -8,7 +8,7 @@
   END_OF_ANSWER,
   type AnswerLimits,
   type OpenStream,
-  type RepairCause,
+  type ResumeCause,
   type StreamEvent,
   formatEvent,
   readAnswer,
@@ -32,7 +32,7 @@
 export interface Reading {
   events: StreamEvent[];
   error: TypedError | null;
-  repairs: RepairCause[];
+  repairs: ResumeCause[];
 }
 
 export function makeChunk(
@@ -106,7 +106,7 @@
     random: new SeededRandom(1),
     limits: {...DEFAULT_ANSWER_LIMITS, ...overrides},
     signal,
-    onRepair: cause => reading.repairs.push(cause),
+    onResume: cause => reading.repairs.push(cause),
   });
   try {
     for await (const events of response) reading.events.push(...events);
--- a/packages/answer-streams/src/answer_limits.ts
+++ b/packages/answer-streams/src/answer_limits.ts
@@ -10,9 +10,9 @@
   /** Maximum size of the buffered out-of-order events, in characters. */
   maxWaitingChars: number;
   /** Time without new bytes after which a gap causes a resume. */
-  gapWaitMs: number;
+  gapTimeoutMs: number;
   /** Maximum number of consecutive resumes without progress. */
-  maxIdleResumes: number;
+  maxResumesWithoutProgress: number;
   /** Maximum number of resumes of one response. */
   maxResumes: number;
   /** Minimum delay before a resume after one without progress. */
@@ -24,8 +24,8 @@
   maxEventChars: 256 * 1024,
   maxWaitingEvents: 32,
   maxWaitingChars: 256 * 1024,
-  gapWaitMs: 100,
-  maxIdleResumes: 3,
+  gapTimeoutMs: 100,
+  maxResumesWithoutProgress: 3,
   maxResumes: 32,
   resumeDelayMs: 100,
 };
--- a/packages/answer-streams/src/answer_reader.ts
+++ b/packages/answer-streams/src/answer_reader.ts
@@ -5,7 +5,7 @@
 import {type Clock, sleep} from '@mimosatack/clock';
 import {TypedError, toTypedError} from '@mimosatack/errors';
 import {type RandomSource, addJitter} from '@mimosatack/random';
-import {asAbortError} from './abort_error.js';
+import {toAbortError} from './abort_error.js';
 import {type AnswerLimits} from './answer_limits.js';
 import {EventParser} from './event_parser.js';
 import {EventSequencer} from './event_sequencer.js';
@@ -19,7 +19,7 @@
 }
 
 /** Why a stream was resumed. */
-export type RepairCause = 'gap' | 'foreign-event' | 'cut-short' | 'connection';
+export type ResumeCause = 'gap' | 'foreign-event' | 'cut-short' | 'connection';
 
 export interface AnswerReaderOptions {
   /** The id by which the engine knows the request. */
@@ -36,12 +36,12 @@
   /** Stops reading; its reason becomes the error. */
   signal: AbortSignal;
   /** Called before every resume. */
-  onRepair?(cause: RepairCause, nextId: number, error: TypedError | null): void;
+  onResume?(cause: ResumeCause, nextId: number, error: TypedError | null): void;
 }
 
 /** Why reading from one connection stopped. */
 interface Interruption {
-  cause: RepairCause;
+  cause: ResumeCause;
   error: TypedError | null;
 }
 
@@ -83,7 +83,7 @@
 
   private async *readConnections(): AsyncGenerator<StreamEvent[], void> {
     this.current = this.options.first;
-    while (!this.sequencer.isWhole) {
+    while (!this.sequencer.isComplete) {
       const nextId = this.sequencer.nextId;
       const interruption = this.current
         ? yield* this.readConnection(this.current)
@@ -107,7 +107,7 @@
       if (step.status === 'ended') return {cause: 'cut-short', error: null};
       const ready = this.orderEvents(parser.push(step.bytes));
       if (ready.length > 0) yield ready;
-      if (this.sequencer.isWhole) return null;
+      if (this.sequencer.isComplete) return null;
       if (this.sequencer.needsResume) return this.makeGapInterruption();
     }
   }
@@ -140,16 +140,18 @@
     reading.catch(() => undefined);
     const {clock, limits} = this.options;
     const cancelTimeout = new AbortController();
-    const timeout = sleep(clock, limits.gapWaitMs, cancelTimeout.signal).then(
-      (): ReadStep => ({status: 'gap-timeout'}),
-    );
+    const timeout = sleep(
+      clock,
+      limits.gapTimeoutMs,
+      cancelTimeout.signal,
+    ).then((): ReadStep => ({status: 'gap-timeout'}));
     const step = await Promise.race([reading, timeout]);
     cancelTimeout.abort();
     return step;
   }
 
   private makeGapInterruption(): Interruption {
-    const hasForeign = this.sequencer.droppedForeign > 0;
+    const hasForeign = this.sequencer.foreignEventCount > 0;
     return {cause: hasForeign ? 'foreign-event' : 'gap', error: null};
   }
 
@@ -173,15 +175,19 @@
     this.current = null;
     this.throwIfAborted();
     const {sequencer, options} = this;
-    sequencer.forgetWaiting();
+    sequencer.discardBuffered();
     const isIdle = sequencer.nextId === nextIdBefore;
     this.resumes += 1;
     this.idleResumes = isIdle ? this.idleResumes + 1 : 0;
-    const {maxIdleResumes, maxResumes, resumeDelayMs} = options.limits;
+    const {
+      maxResumesWithoutProgress: maxIdleResumes,
+      maxResumes,
+      resumeDelayMs,
+    } = options.limits;
     if (this.idleResumes > maxIdleResumes || this.resumes > maxResumes) {
       throw this.makeFailure(error);
     }
-    options.onRepair?.(cause, sequencer.nextId, error);
+    options.onResume?.(cause, sequencer.nextId, error);
     if (this.idleResumes > 1) await this.pause(resumeDelayMs);
     this.throwIfAborted();
   }
@@ -197,7 +203,7 @@
 
   private throwIfAborted(): void {
     const {signal} = this.options;
-    if (signal.aborted) throw asAbortError(signal);
+    if (signal.aborted) throw toAbortError(signal);
   }
 
   private makeFailure(cause: TypedError | null): TypedError {
--- a/packages/answer-streams/src/continue_elsewhere.test.ts
+++ b/packages/answer-streams/src/continue_elsewhere.test.ts
@@ -6,7 +6,7 @@
   DeliveredText,
   END_OF_ANSWER,
   type StreamEvent,
-  continueElsewhere,
+  continueOnAnotherReplica,
   isDeterministic,
 } from './index.js';
 
@@ -14,12 +14,15 @@
 
 async function continueWith(delivered: string[], secondRun: string[]) {
   const text = new DeliveredText();
-  text.note(delivered.map((part, id) => makeChunk(id, part)));
+  text.addEvents(delivered.map((part, id) => makeChunk(id, part)));
   const rest: StreamEvent[] = [];
   try {
-    for await (const events of continueElsewhere(text, stream(secondRun))) {
+    for await (const events of continueOnAnotherReplica(
+      text,
+      stream(secondRun),
+    )) {
       rest.push(...events);
-      text.note(events);
+      text.addEvents(events);
     }
     return {rest, error: null};
   } catch (thrown) {
@@ -75,8 +78,8 @@
 
 test('a response with tool calls cannot be matched', async () => {
   const text = new DeliveredText();
-  text.note([{id: 0, data: '{"choices":[{"delta":{"tool_calls":[]}}]}'}]);
-  assert.not(text.canBeMatched);
+  text.addEvents([{id: 0, data: '{"choices":[{"delta":{"tool_calls":[]}}]}'}]);
+  assert.not(text.canVerifyPrefix);
 });
 
 test('only temperature 0 or a seed counts as deterministic', () => {
--- a/packages/answer-streams/src/continue_elsewhere.ts
+++ b/packages/answer-streams/src/continue_elsewhere.ts
@@ -5,7 +5,7 @@
 import {createHash} from 'node:crypto';
 import {TypedError} from '@mimosatack/errors';
 import {z} from 'zod';
-import {type StreamEvent, isEndOfAnswer} from './stream_event.js';
+import {type StreamEvent, isEndEvent} from './stream_event.js';
 
 const chunkSchema = z.looseObject({
   choices: z
@@ -45,15 +45,15 @@
   }
 
   /** Whether all delivered events were plain text of a single choice. */
-  get canBeMatched(): boolean {
+  get canVerifyPrefix(): boolean {
     return this.isPlainText;
   }
 
   /** Adds events that were delivered to the caller. */
-  note(events: readonly StreamEvent[]): void {
+  addEvents(events: readonly StreamEvent[]): void {
     events.forEach(event => {
       this.lastId = event.id;
-      if (isEndOfAnswer(event)) return;
+      if (isEndEvent(event)) return;
       const chunk = parseChunk(event);
       if (chunk) this.append(readText(chunk));
       else this.isPlainText = false;
@@ -79,11 +79,11 @@
  * yielded only after the second response has been found to begin with the
  * whole delivered text. Otherwise throws `stream-broken`.
  */
-export async function* continueElsewhere(
+export async function* continueOnAnotherReplica(
   delivered: DeliveredText,
   secondRun: AsyncIterable<StreamEvent[]>,
 ): AsyncGenerator<StreamEvent[], void> {
-  if (!delivered.canBeMatched) throw diverged('it is not plain text');
+  if (!delivered.canVerifyPrefix) throw diverged('it is not plain text');
   const verifier = new PrefixVerifier(delivered);
   for await (const events of secondRun) {
     const rest = events.flatMap(event => verifier.accept(event));
@@ -108,7 +108,7 @@
 
   accept(event: StreamEvent): StreamEvent[] {
     if (this.isVerified) return [{id: this.nextId++, data: event.data}];
-    if (isEndOfAnswer(event)) throw diverged('the second answer is shorter');
+    if (isEndEvent(event)) throw diverged('the second answer is shorter');
     const chunk = parseChunk(event);
     if (!chunk) throw diverged('the second answer is not plain text');
     return this.skipPrefix(chunk);
--- a/packages/answer-streams/src/event_sequencer.ts
+++ b/packages/answer-streams/src/event_sequencer.ts
@@ -1,5 +1,5 @@
 /** Orders the events of one response and drops events of other requests. */
-import {type StreamEvent, isEndOfAnswer} from './stream_event.js';
+import {type StreamEvent, isEndEvent} from './stream_event.js';
 
 export interface SequencerOptions {
   /** The id by which the engine knows the request. */
@@ -38,7 +38,7 @@
   }
 
   /** Whether the end event has been released. */
-  get isWhole(): boolean {
+  get isComplete(): boolean {
     return this.hasEnded;
   }
 
@@ -53,20 +53,18 @@
   }
 
   /** Number of dropped events that did not belong to this response. */
-  get droppedForeign(): number {
+  get foreignEventCount(): number {
     return this.foreignCount;
   }
 
   /** Accepts one event and returns the events that it releases. */
   accept(event: StreamEvent): StreamEvent[] {
-    if (this.isWhole) return [];
-    return isEndOfAnswer(event)
-      ? this.acceptEnd(event)
-      : this.acceptChunk(event);
+    if (this.isComplete) return [];
+    return isEndEvent(event) ? this.acceptEnd(event) : this.acceptChunk(event);
   }
 
   /** Discards buffered events; a resumed stream sends them again. */
-  forgetWaiting(): void {
+  discardBuffered(): void {
     this.unconfirmedEndId = this.pendingEnd?.id ?? this.unconfirmedEndId;
     this.buffered.clear();
     this.bufferedChars = 0;
@@ -152,7 +150,7 @@
   private complete(end: StreamEvent): StreamEvent[] {
     this.hasEnded = true;
     this.nextEventId = end.id + 1;
-    this.forgetWaiting();
+    this.discardBuffered();
     return [end];
   }
 
--- a/packages/answer-streams/src/measure_main.ts
+++ b/packages/answer-streams/src/measure_main.ts
@@ -86,7 +86,7 @@
   const before = cpuUsage();
   let sizeBytes = 0;
   for await (const events of openReader(stream, new AbortController().signal)) {
-    delivered?.note(events);
+    delivered?.addEvents(events);
     sizeBytes += Buffer.byteLength(events.map(formatEvent).join(''));
   }
   if (sizeBytes === 0) throw new Error('no event was relayed');
--- a/packages/answer-streams/src/request_token.test.ts
+++ b/packages/answer-streams/src/request_token.test.ts
@@ -1,6 +1,6 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {RequestTokenMint} from './index.js';
+import {RequestTokenSigner} from './index.js';
 
 const test = suite('request tokens');
 
@@ -12,14 +12,14 @@
 };
 
 function createToken() {
-  const mint = new RequestTokenMint('a-secret-of-the-cluster');
-  return {mint, token: mint.make(CONTENT, 'prairie')};
+  const mint = new RequestTokenSigner('a-secret-of-the-cluster');
+  return {mint, token: mint.issue(CONTENT, 'prairie')};
 }
 
 test('a token is valid on another node with the same secret', () => {
   const {token} = createToken();
-  const other = new RequestTokenMint('a-secret-of-the-cluster');
-  assert.equal(other.read(token, 'prairie', 999), CONTENT);
+  const other = new RequestTokenSigner('a-secret-of-the-cluster');
+  assert.equal(other.verify(token, 'prairie', 999), CONTENT);
 });
 
 test("forged, expired and other teams' tokens are rejected alike", () => {
@@ -31,7 +31,7 @@
       .toString('utf8')
       .replace('q1', 'q2'),
   ).toString('base64url');
-  const foreignToken = new RequestTokenMint('another-secret').make(
+  const foreignToken = new RequestTokenSigner('another-secret').issue(
     CONTENT,
     'prairie',
   );
@@ -44,9 +44,9 @@
     '',
     'x'.repeat(100_000),
   ];
-  texts.forEach(text => assert.is(mint.read(text, 'prairie', 0), null, text));
-  assert.is(mint.read(token, 'zorza', 0), null);
-  assert.is(mint.read(token, 'prairie', 1_000), null);
+  texts.forEach(text => assert.is(mint.verify(text, 'prairie', 0), null, text));
+  assert.is(mint.verify(token, 'zorza', 0), null);
+  assert.is(mint.verify(token, 'prairie', 1_000), null);
 });
 
 test('a token does not contain the name of the team', () => {
--- a/packages/answer-streams/src/request_token.ts
+++ b/packages/answer-streams/src/request_token.ts
@@ -31,10 +31,10 @@
 ]);
 
 /** Signs and verifies request tokens with the cluster secret. */
-export class RequestTokenMint {
+export class RequestTokenSigner {
   constructor(private readonly secret: string) {}
 
-  make(token: RequestToken, team: string): string {
+  issue(token: RequestToken, team: string): string {
     const content = JSON.stringify([
       token.backendServerId,
       token.engineRequestId,
@@ -50,7 +50,7 @@
    * Returns null alike for forged, expired and other teams' tokens, so that a
    * caller cannot find out which requests exist.
    */
-  read(text: string, team: string, nowMs: number): RequestToken | null {
+  verify(text: string, team: string, nowMs: number): RequestToken | null {
     const [version, payload, mac, ...rest] = text.split('.');
     const hasValidShape =
       text.length <= MAX_TOKEN_CHARS &&
--- a/packages/answer-streams/src/stream_event.ts
+++ b/packages/answer-streams/src/stream_event.ts
@@ -10,7 +10,7 @@
 /** Data of the event that ends a complete response. */
 export const END_OF_ANSWER = '[DONE]';
 
-export function isEndOfAnswer(event: StreamEvent): boolean {
+export function isEndEvent(event: StreamEvent): boolean {
   return event.data === END_OF_ANSWER;
 }
 
--- a/packages/answer-streams/src/whole_answer.ts
+++ b/packages/answer-streams/src/whole_answer.ts
@@ -1,7 +1,7 @@
 /** Reads and checks a response that is not streamed. */
 import {TypedError, toTypedError} from '@mimosatack/errors';
 import {z} from 'zod';
-import {asAbortError} from './abort_error.js';
+import {toAbortError} from './abort_error.js';
 import {type OpenStream} from './answer_reader.js';
 
 export interface WholeAnswerOptions {
@@ -63,7 +63,7 @@
 }
 
 function toReadError(thrown: unknown, signal: AbortSignal): TypedError {
-  if (signal.aborted) return asAbortError(signal);
+  if (signal.aborted) return toAbortError(signal);
   if (thrown instanceof TypedError) return thrown;
   return makeFailure('The answer was cut short.', toTypedError(thrown));
 }
@@ -72,7 +72,7 @@
 function checkResponse(body: Buffer, requestId: string): void {
   const parsed = responseSchema.safeParse(parseJson(body));
   if (!parsed.success)
-    throw makeFailure('The answer is not a whole JSON answer.');
+    {throw makeFailure('The answer is not a whole JSON answer.');}
   const {request_id: requestIdInBody, id} = parsed.data;
   const isMatch =
     requestIdInBody === undefined
--- a/packages/audit-trail/src/audit_entry.ts
+++ b/packages/audit-trail/src/audit_entry.ts
@@ -1,5 +1,5 @@
 /** One entry of the audit trail: a change that an operator asked for. */
-import {type Outcome} from '@mimosatack/agreed-state';
+import {type RecordOutcome} from '@mimosatack/agreed-state';
 import {DOCUMENT_KINDS} from '@mimosatack/records';
 import {z} from 'zod';
 
@@ -33,7 +33,7 @@
   id: z.string(),
   /** The teams whose content the entry shows; none for shared things. */
   teams: z.array(z.string()),
-  outcome: z.custom<Outcome>(isOutcome),
+  outcome: z.custom<RecordOutcome>(isOutcome),
   /** The content in force before; null when there was none. */
   before: contentSchema,
   /** The content that the change asked for; null for a deletion. */
@@ -46,7 +46,7 @@
 /** The content of a document, as plain values. */
 export type Content = z.infer<typeof contentSchema>;
 
-function isOutcome(value: unknown): value is Outcome {
+function isOutcome(value: unknown): value is RecordOutcome {
   const status = (value as {status?: unknown} | null)?.status;
   return status === 'valid' || status === 'void';
 }
--- a/packages/backend-connections/src/backend_connections.ts
+++ b/packages/backend-connections/src/backend_connections.ts
@@ -43,7 +43,7 @@
   }
 
   /** Closes the idle connections to a server that was removed. */
-  forget(address: SocketAddress): void {
+  closeIdle(address: SocketAddress): void {
     const key = formatAddress(address);
     const idle = this.idleByAddress.get(key) ?? [];
     this.idleByAddress.delete(key);
--- a/packages/bench-scheduling/src/deployment.ts
+++ b/packages/bench-scheduling/src/deployment.ts
@@ -109,7 +109,7 @@
     diskMb: 1_400_000,
     storeLoadsPerSecond: deployment.storeLoadsPerSecond,
     tokensPerEvent: deployment.tokensPerEvent,
-    canMoveRuns: true,
+    canMigrateRuns: true,
     canBackUpRuns: true,
     models: Array.from({length: deployment.modelCount}, (_, number) =>
       makeModel(number, deployment),
--- a/packages/bench-scheduling/src/play_requests.ts
+++ b/packages/bench-scheduling/src/play_requests.ts
@@ -114,7 +114,7 @@
     arrivals.forEach(({atMs, request}) =>
       this.at(atMs, () => {
         this.requests.set(request.askId, request);
-        this.scheduler.ask(request, this.nowMs);
+        this.scheduler.enqueue(request, this.nowMs);
       }),
     );
     const endMs = (arrivals[arrivals.length - 1]?.atMs ?? 0) + SETTLE_MS;
@@ -123,7 +123,9 @@
       this.runDue();
       this.engines.forEach(engine => this.endRuns(engine));
       this.scheduler.decide(this.nowMs).forEach(one => this.carryOut(one));
-      this.scheduler.listUnknown(this.nowMs).forEach(id => this.tellReport(id));
+      this.scheduler
+        .listEnginesToQuery(this.nowMs)
+        .forEach(id => this.tellReport(id));
     }
     return this.sumUp();
   }
@@ -144,9 +146,9 @@
     this.requests.forEach((request, askId) => {
       const engineId = this.running.get(askId);
       if (engineId !== undefined) {
-        this.scheduler.noteRunning(request, engineId, this.nowMs);
+        this.scheduler.recordRunning(request, engineId, this.nowMs);
       } else if (!this.ends.has(askId)) {
-        this.scheduler.ask(request, this.nowMs);
+        this.scheduler.enqueue(request, this.nowMs);
       }
     });
   }
@@ -171,8 +173,8 @@
     const {model, adapter} = request;
     if (!engine.canRun(model, adapter, this.nowMs)) {
       const result = engine.isDown ? 'unreachable' : 'not-taken';
-      this.scheduler.noteEnd(askId, engineId, result, null, this.nowMs);
-      this.scheduler.ask(request, this.nowMs);
+      this.scheduler.recordEnd(askId, engineId, result, null, this.nowMs);
+      this.scheduler.enqueue(request, this.nowMs);
       return;
     }
     engine.begin(request, this.nowMs);
@@ -184,7 +186,7 @@
       const {askId} = run.request;
       this.running.delete(askId);
       this.ends.set(askId, isOnTime(run) ? 'onTime' : 'late');
-      this.scheduler.noteEnd(
+      this.scheduler.recordEnd(
         askId,
         engine.id,
         'served',
@@ -202,7 +204,7 @@
     const {scheduler} = this;
     const answer = (outcome: OrderOutcome, afterMs: number) =>
       this.at(this.nowMs + afterMs, () =>
-        scheduler.noteOrderOutcome(order, outcome, this.nowMs),
+        scheduler.recordOrderOutcome(order, outcome, this.nowMs),
       );
     if (engine.isDown) return answer('unknown', LOST_ANSWER_MS);
     if (chance < lateOrders) {
@@ -220,9 +222,9 @@
   private tellReport(id: string): void {
     const engine = this.findEngine(id);
     if (!engine || engine.isDown) {
-      return this.scheduler.noteReportFailed(id, this.nowMs);
+      return this.scheduler.recordReportFailed(id, this.nowMs);
     }
-    this.scheduler.noteReport(id, engine.report(this.nowMs), this.nowMs);
+    this.scheduler.recordReport(id, engine.report(this.nowMs), this.nowMs);
     this.scheduler.putEngine(engine.describe(), this.nowMs);
   }
 
--- a/packages/bench-warming/src/measure_run.ts
+++ b/packages/bench-warming/src/measure_run.ts
@@ -1,6 +1,6 @@
 /** Runs one deployment through one scenario and measures it. */
 import {SeededRandom} from '@mimosatack/random';
-import {isServing} from '@mimosatack/agreed-state';
+import {isInServingWindow} from '@mimosatack/agreed-state';
 import {type ReplicaObservation} from '@mimosatack/stand-ins';
 import {readBaseSlotId} from '@mimosatack/steward-orders';
 import {ACCELERATORS, type MeasuredEvent, RUNNER_MIB} from './deployment.js';
@@ -122,7 +122,7 @@
   const nowMs = cluster.clock.wallMs();
   const serving = cluster.log.state.placement
     .list()
-    .filter(slot => slot.model === model && isServing(slot, nowMs))
+    .filter(slot => slot.model === model && isInServingWindow(slot, nowMs))
     .map(slot => ({slot, runner: cluster.findRunner(slot.backendServerId)}));
   const found = serving.find(({slot, runner}) => {
     if (!runner || runner.lostAtMs <= nowMs) return false;
--- a/packages/bench-warming/src/virtual_cluster.ts
+++ b/packages/bench-warming/src/virtual_cluster.ts
@@ -3,7 +3,7 @@
 import {
   LoadTimeEstimates,
   type WarmingPolicy,
-  makeLoadOutlook,
+  estimateSlotLoad,
 } from '@mimosatack/plan-warming';
 import {SeededRandom} from '@mimosatack/random';
 import {EngineStandIn, TransferModel} from '@mimosatack/stand-ins';
@@ -105,14 +105,14 @@
       outlook: slot => {
         const {configuration} = this.log.state;
         const nowMs = this.clock.wallMs();
-        const outlook = makeLoadOutlook(
+        const outlook = estimateSlotLoad(
           slot,
           this.loadTimes,
           configuration,
           nowMs,
         );
         // The baselines begin their loads when they were planned to.
-        return isAdaptive ? outlook : {...outlook, slowdown: 1, remoteMs: 0};
+        return isAdaptive ? outlook : {...outlook, slowdown: 1, storeLoadMs: 0};
       },
       onReport: state => this.loadTimes.observe(state, this.clock.wallMs()),
       canReach: node => this.canReach(node, index),
--- a/packages/bench-warming/src/virtual_planner.ts
+++ b/packages/bench-warming/src/virtual_planner.ts
@@ -3,7 +3,7 @@
 import {type ManualClock} from '@mimosatack/clock';
 import {
   type LoadTimeEstimates,
-  PlanningAgenda,
+  PlanningSchedule,
   StoreTimetable,
   type WarmingPolicy,
   findStoreUse,
@@ -39,7 +39,7 @@
   readonly demanded = new Set<string>();
   /** Every slot that was ever decided. */
   readonly decided = new Map<string, Slot>();
-  private readonly agenda = new PlanningAgenda({
+  private readonly agenda = new PlanningSchedule({
     firstRetryMs: 1_000,
     maxRetryMs: 30_000,
     patienceMs: 5_000,
@@ -69,15 +69,16 @@
     const byId = new Map(runners.map(r => [r.parts.backendServerId, r]));
     const fingerprint = fingerprintEvent({
       event,
-      held: log.state.placement.listFor({for: 'event', eventId}),
-      demanded: this.demanded,
+      held: log.state.placement.listForPurpose({for: 'event', eventId}),
+      requestedModels: this.demanded,
       nowMs,
-      markSlot: slot => (byId.get(slot.backendServerId)?.isLost ? 'l' : ''),
+      formatServerStatus: slot =>
+        byId.get(slot.backendServerId)?.isLost ? 'l' : '',
     });
     if (!this.agenda.isDue(eventId, fingerprint, nowMs)) return;
     const bodies = this.plan(eventId, nowMs);
-    if (bodies.length === 0) this.agenda.noteSettled(eventId, fingerprint);
-    else this.agenda.noteOpen(eventId, fingerprint, nowMs);
+    if (bodies.length === 0) this.agenda.recordSettled(eventId, fingerprint);
+    else this.agenda.recordUnsettled(eventId, fingerprint, nowMs);
     bodies.forEach(body => log.submit(body, 'planner'));
   }
 
@@ -89,7 +90,7 @@
     if (!event) return [];
     const plan = planEvent({
       event,
-      held: placement.listFor(purpose),
+      held: placement.listForPurpose(purpose),
       preemptible: listPreemptible(event, placement.list(), {
         nowMs,
         findEvent: id => configuration.findEvent(id),
@@ -112,7 +113,7 @@
       }),
       policy,
       loadTimes,
-      lanes: LANES,
+      maxConcurrentLoads: LANES,
       timetable: new StoreTimetable(
         LANES,
         placement
@@ -121,7 +122,7 @@
           .filter(use => use.untilMs > nowMs),
       ),
       nowMs,
-      demanded: this.demanded,
+      requestedModels: this.demanded,
       makeSlotId: () => `s${(this.slotCount += 1)}`,
     });
     const decide: RecordBody = {
--- a/packages/bench-warming/src/virtual_runner.ts
+++ b/packages/bench-warming/src/virtual_runner.ts
@@ -4,12 +4,12 @@
 import {type EngineStandIn} from '@mimosatack/stand-ins';
 import {
   EMPTY_STEWARD_MEMORY,
-  type LoadOutlook,
+  type ExpectedLoadTimes,
   type StewardStep,
   decideSteward,
-  findNextWatchMs,
+  findNextCheckMs,
   makeFencingNumber,
-  watchEngine,
+  checkForTakeover,
 } from '@mimosatack/steward-orders';
 import {type EngineState} from '@mimosatack/types';
 import {ADAPTER_MIB, START_MS} from './deployment.js';
@@ -22,7 +22,7 @@
   engine: EngineStandIn;
   backendServerId: string;
   failureDomain: number;
-  outlook(slot: Slot): LoadOutlook;
+  outlook(slot: Slot): ExpectedLoadTimes;
   onReport(engine: EngineState): void;
   /** Whether a node and the runner reach each other. */
   canReach(nodeIndex: number): boolean;
@@ -80,17 +80,18 @@
     const holder = this.nodeIndex;
     const look = (unfinishedBefore: ReadonlySet<string>) => {
       if (this.nodeIndex !== holder || !this.parts.canReach(nodeIndex)) return;
-      const slots = log.state.placement.listOn(backendServerId);
+      const slots = log.state.placement.listOnBackendServer(backendServerId);
       const nowMs = clock.wallMs();
-      const {isNeglected, unfinished} = watchEngine({
-        slots,
-        engine: engine.readState(),
-        rank: FIRST_SUCCESSOR,
-        nowMs,
-        unfinishedBefore,
-      });
+      const {shouldTakeOver: isNeglected, incomplete: unfinished} =
+        checkForTakeover({
+          slots,
+          engine: engine.readState(),
+          rank: FIRST_SUCCESSOR,
+          nowMs,
+          incompleteBefore: unfinishedBefore,
+        });
       if (isNeglected) return this.stepIn(nodeIndex);
-      const nextMs = findNextWatchMs(slots, FIRST_SUCCESSOR, nowMs);
+      const nextMs = findNextCheckMs(slots, FIRST_SUCCESSOR, nowMs);
       if (nextMs !== null) {
         clock.setTimer(nextMs - nowMs, () => look(unfinished));
       }
@@ -151,21 +152,22 @@
     this.report = state;
     this.parts.onReport(state);
     const step = decideSteward({
-      slots: log.state.placement.listOn(backendServerId),
+      slots: log.state.placement.listOnBackendServer(backendServerId),
       engine: state,
       memory: this.memory,
-      unresolved: new Set(),
+      unansweredSlotIds: new Set(),
       reservedMib: 0,
-      hasDoubts: log.state.stewardship.listDoubts(backendServerId).length > 0,
+      mayReceivePreviousOrders:
+        log.state.stewardship.listInDoubtClaims(backendServerId).length > 0,
       memoryOfAdapter: () => ADAPTER_MIB,
       drain: DRAIN,
-      outlook: slot => this.parts.outlook(slot),
+      findLoadTimes: slot => this.parts.outlook(slot),
       nowMs,
     });
     this.memory = step.memory;
     this.carryOut(step);
     const pollMs = nowMs < QUIET_UNTIL_MS ? QUIET_POLL_MS : POLL_MS;
-    const dueMs = (step.lookAgainAtMs ?? Infinity) - nowMs;
+    const dueMs = (step.nextDecisionAtMs ?? Infinity) - nowMs;
     return Math.max(1, Math.min(pollMs, dueMs));
   }
 
--- a/packages/caller-edge/src/caller_edge.ts
+++ b/packages/caller-edge/src/caller_edge.ts
@@ -120,7 +120,7 @@
       requestId: read instanceof TypedError ? null : read.requestId,
       closesConnection: () => gate.state !== 'serving' || !incoming.complete,
     });
-    if (!(read instanceof TypedError)) work.nameRequest(read.requestId);
+    if (!(read instanceof TypedError)) work.setRequestId(read.requestId);
     try {
       await this.serveRead(read, incoming, sink);
     } catch (thrown) {
--- a/packages/claim-keys/src/claim_keys.test.ts
+++ b/packages/claim-keys/src/claim_keys.test.ts
@@ -92,7 +92,7 @@
   const results = await Promise.all(
     nodes.map(async node => {
       const result = await node.claim(request, performance.now() + 2_000);
-      if (result.status === 'granted') node.noteRan(result.grant, ANSWER);
+      if (result.status === 'granted') node.recordRan(result.grant, ANSWER);
       return result.status;
     }),
   );
@@ -109,7 +109,7 @@
   const node = start('a');
   const firstGrant = await grant(node, request);
   const other = start('b');
-  node.noteRan(firstGrant, ANSWER);
+  node.recordRan(firstGrant, ANSWER);
   assert.is(await claim(other, request), 'ran');
   await stop();
 });
@@ -162,7 +162,7 @@
   const {clock, log, start, stop} = createFixture({claimTimeoutMs: MINUTE_MS});
   const node = start('a');
   const [known, fresh] = [createRequest('k1'), createRequest('k2')];
-  node.noteRan(await grant(node, known), ANSWER);
+  node.recordRan(await grant(node, known), ANSWER);
   await waitUntil(() => node.listStatus()[0]?.nextOffset === 2);
   log.setDown(true);
   await waitUntil(() => node.listStatus()[0]?.isFailing === true);
--- a/packages/claim-keys/src/claim_keys.ts
+++ b/packages/claim-keys/src/claim_keys.ts
@@ -45,7 +45,7 @@
   }
 
   /** Whether a key's creation time is too far ahead of this node's clock. */
-  isDatedAhead(issuedAtMs: number): boolean {
+  isFromFuture(issuedAtMs: number): boolean {
     return issuedAtMs > this.context.clock.wallMs() + this.options.aheadMs;
   }
 
@@ -68,11 +68,11 @@
   }
 
   /** @param answer null if the response was not kept. */
-  noteRan(grant: ClaimRecord, answer: KeptAnswer | null): void {
+  recordRan(grant: ClaimRecord, answer: KeptAnswer | null): void {
     this.openPartition(this.partitionOf(grant.keyHash)).noteRan(grant, answer);
   }
 
-  noteUnknown(grant: ClaimRecord): void {
+  recordUnknown(grant: ClaimRecord): void {
     this.openPartition(this.partitionOf(grant.keyHash)).noteUnknown(grant);
   }
 
--- a/packages/claim-keys/src/dated_key.ts
+++ b/packages/claim-keys/src/dated_key.ts
@@ -4,7 +4,7 @@
  */
 
 /** An idempotency key with its creation time. */
-export interface DatedKey {
+export interface TimestampedKey {
   /** The key in lower case. */
   key: string;
   issuedAtMs: number;
@@ -15,7 +15,7 @@
 const TIMESTAMP_HEX_CHARS = 12;
 
 /** Returns null if the text is not a UUID of version 7. */
-export function readDatedKey(text: string): DatedKey | null {
+export function parseTimestampedKey(text: string): TimestampedKey | null {
   const key = text.toLowerCase();
   if (!UUID_V7.test(key)) return null;
   const timestampHex = key.replace('-', '').slice(0, TIMESTAMP_HEX_CHARS);
--- a/packages/claim-keys/src/key_status.ts
+++ b/packages/claim-keys/src/key_status.ts
@@ -1,6 +1,6 @@
 /** Determines the status of a key for a request. */
 import {TypedError} from '@mimosatack/errors';
-import {type KeptAnswer, makeStillRunning} from '@mimosatack/unrepeatable';
+import {type KeptAnswer, makeStillRunningError} from '@mimosatack/unrepeatable';
 import {type ClaimKey, type ClaimEntry} from './claim_table.js';
 import {type ClaimRecord} from './claim_records.js';
 
@@ -70,7 +70,7 @@
 
 /** Creates the error for a request whose deadline passed without a grant. */
 export function createDeadlineError(keyStatus: KeyStatus | null): TypedError {
-  if (keyStatus?.status === 'running') return makeStillRunning();
+  if (keyStatus?.status === 'running') return makeStillRunningError();
   return new TypedError(
     'deadline-exceeded',
     'There was no time left to claim the key.',
--- a/packages/contain-requests/src/crash_evidence.test.ts
+++ b/packages/contain-requests/src/crash_evidence.test.ts
@@ -30,7 +30,7 @@
 
 /** Sorted, so that the order of arrival does not matter. */
 function listCuts(evidence: CrashEvidence): string[] {
-  return [...evidence.byRequest]
+  return [...evidence.cutsByRequest]
     .flatMap(([fingerprint, cuts]) =>
       [...cuts.keys()].map(serverLife => `${fingerprint} ${serverLife}`),
     )
@@ -59,10 +59,11 @@
       const evidence = makeEvidence();
       facts.forEach(fact => evidence.add(fact));
       const before = listCuts(evidence);
-      const repeated = [...evidence.byRequest].flatMap(([fingerprint, cuts]) =>
-        [...cuts].map(([serverLife, {atMs}]) =>
-          cut(fingerprint, serverLife, atMs),
-        ),
+      const repeated = [...evidence.cutsByRequest].flatMap(
+        ([fingerprint, cuts]) =>
+          [...cuts].map(([serverLife, {atMs}]) =>
+            cut(fingerprint, serverLife, atMs),
+          ),
       );
       assert.equal(
         repeated.map(fact => evidence.add(fact)).some(Boolean),
@@ -116,8 +117,11 @@
   Array.from({length: 100_000}, (_, at) =>
     evidence.add(cut(`other-${at}`, 'a')),
   );
-  assert.is(evidence.byRequest.get('bad')?.size, 3);
-  assert.ok(evidence.byRequest.size <= 2_000, `${evidence.byRequest.size}`);
+  assert.is(evidence.cutsByRequest.get('bad')?.size, 3);
+  assert.ok(
+    evidence.cutsByRequest.size <= 2_000,
+    `${evidence.cutsByRequest.size}`,
+  );
   assert.ok(evidence.listSince(0, Infinity).length <= 2_002);
 });
 
@@ -128,7 +132,7 @@
   assert.ok(evidence.add(cut('f', 'tried', -5, true)));
   assert.not(evidence.add(cut('f', '0', -20)));
   assert.ok(evidence.add(cut('f', 'late', -1)));
-  const incarnations = [...(evidence.byRequest.get('f')?.keys() ?? [])];
+  const incarnations = [...(evidence.cutsByRequest.get('f')?.keys() ?? [])];
   assert.equal(incarnations, ['3', '4', '5', '6', '7', '8', 'tried', 'late']);
 });
 
--- a/packages/contain-requests/src/crash_evidence.ts
+++ b/packages/contain-requests/src/crash_evidence.ts
@@ -67,7 +67,7 @@
   }
 
   /** The cuts of each request that was not served since. */
-  get byRequest(): ReadonlyMap<RequestFingerprint, CutsByIncarnation> {
+  get cutsByRequest(): ReadonlyMap<RequestFingerprint, CutsByIncarnation> {
     return this.cuts;
   }
 
--- a/packages/contain-requests/src/crash_exchange.test.ts
+++ b/packages/contain-requests/src/crash_exchange.test.ts
@@ -13,7 +13,7 @@
 function makeNode(incarnation: string, isTrier = false) {
   const logger = new MemoryEventLogger();
   const containment = new RequestContainment({
-    ...{clock, logger, isTrier: () => isTrier},
+    ...{clock, logger, isProbingNode: () => isTrier},
   });
   const exchange = new CrashExchange({clock, containment});
   return {incarnation, containment, exchange, logger};
@@ -24,8 +24,8 @@
 /** Returns the numbers of facts in the report and in the reply. */
 function exchangeHeartbeat(node: TestNode, holder: TestNode): [number, number] {
   const report = node.exchange.makeReport(holder.incarnation);
-  const reply = holder.exchange.answer(report);
-  if (reply) node.exchange.takeReply(holder.incarnation, report, reply);
+  const reply = holder.exchange.handleReport(report);
+  if (reply) node.exchange.handleReply(holder.incarnation, report, reply);
   return [report?.facts.length ?? 0, reply?.facts.length ?? 0];
 }
 
@@ -35,9 +35,9 @@
     makeNode(name),
   );
   if (!holder || !second || !third) throw new Error('expected three nodes');
-  holder.containment.noteCut('bad', 'a');
-  second.containment.noteCut('bad', 'b');
-  third.containment.noteCut('bad', 'c');
+  holder.containment.recordConnectionLoss('bad', 'a');
+  second.containment.recordConnectionLoss('bad', 'b');
+  third.containment.recordConnectionLoss('bad', 'c');
   exchangeHeartbeat(second, holder);
   exchangeHeartbeat(third, holder);
   assert.ok(holder.containment.isContained('bad'));
@@ -51,10 +51,10 @@
   const [holder, second] = ['n1', 'n2'].map(name => makeNode(name));
   if (!holder || !second) throw new Error('expected two nodes');
   assert.is(second.exchange.makeReport(holder.incarnation), null);
-  assert.is(holder.exchange.answer(null), null);
-  second.containment.noteCut('bad', 'a');
+  assert.is(holder.exchange.handleReport(null), null);
+  second.containment.recordConnectionLoss('bad', 'a');
   assert.is(exchangeHeartbeat(second, holder)[0], 1);
-  holder.containment.noteCut('bad', 'b');
+  holder.containment.recordConnectionLoss('bad', 'b');
   exchangeHeartbeat(second, holder);
   assert.equal(exchangeHeartbeat(second, holder), [0, 0]);
 });
@@ -62,12 +62,12 @@
 test('facts of a lost reply are sent again', () => {
   const [holder, second] = ['n1', 'n2'].map(name => makeNode(name));
   if (!holder || !second) throw new Error('expected two nodes');
-  holder.containment.noteCut('bad', 'a');
-  second.containment.noteCut('bad', 'b');
-  holder.exchange.answer(second.exchange.makeReport(holder.incarnation));
+  holder.containment.recordConnectionLoss('bad', 'a');
+  second.containment.recordConnectionLoss('bad', 'b');
+  holder.exchange.handleReport(second.exchange.makeReport(holder.incarnation));
   exchangeHeartbeat(second, holder);
-  assert.is(second.containment.evidence.byRequest.get('bad')?.size, 2);
-  assert.is(holder.containment.evidence.byRequest.get('bad')?.size, 2);
+  assert.is(second.containment.evidence.cutsByRequest.get('bad')?.size, 2);
+  assert.is(holder.containment.evidence.cutsByRequest.get('bad')?.size, 2);
 });
 
 /* Guards against losing the facts of a holder that crashes. */
@@ -75,7 +75,7 @@
   const [first, second, third] = ['n1', 'n2', 'n3'].map(name => makeNode(name));
   if (!first || !second || !third) throw new Error('expected three nodes');
   ['a', 'b', 'c'].forEach(serverLife =>
-    second.containment.noteCut('bad', serverLife),
+    second.containment.recordConnectionLoss('bad', serverLife),
   );
   exchangeHeartbeat(second, first);
   exchangeHeartbeat(second, third);
@@ -89,13 +89,13 @@
 test('a restarted holder at the same address receives all facts', () => {
   const [first, second] = ['n1', 'n2'].map(name => makeNode(name));
   if (!first || !second) throw new Error('expected two nodes');
-  second.containment.noteCut('bad', 'a');
+  second.containment.recordConnectionLoss('bad', 'a');
   exchangeHeartbeat(second, first);
   const restarted = makeNode('n1-again');
   const report = second.exchange.makeReport(first.incarnation);
-  const reply = restarted.exchange.answer(report);
+  const reply = restarted.exchange.handleReport(report);
   if (reply) {
-    second.exchange.takeReply(restarted.incarnation, report, reply);
+    second.exchange.handleReply(restarted.incarnation, report, reply);
   }
   assert.ok(restarted.containment.evidence.isEmpty);
   exchangeHeartbeat(second, restarted);
@@ -106,22 +106,22 @@
   const [holder, second] = ['n1', 'n2'].map(name => makeNode(name));
   if (!holder || !second) throw new Error('expected two nodes');
   Array.from({length: 450}, (_, at) =>
-    second.containment.noteCut(`f-${at}`, 'a'),
+    second.containment.recordConnectionLoss(`f-${at}`, 'a'),
   );
   const sent = [0, 0, 0, 0].map(() => exchangeHeartbeat(second, holder)[0]);
   assert.equal(sent, [200, 200, 50, 0]);
-  assert.is(holder.containment.evidence.byRequest.size, 450);
+  assert.is(holder.containment.evidence.cutsByRequest.size, 450);
 });
 
 test('a success releases the request at all nodes', () => {
   const [holder, second] = ['n1', 'n2'].map(name => makeNode(name));
   if (!holder || !second) throw new Error('expected two nodes');
   ['a', 'b', 'c'].forEach(serverLife =>
-    second.containment.noteCut('slow', serverLife),
+    second.containment.recordConnectionLoss('slow', serverLife),
   );
   exchangeHeartbeat(second, holder);
   clock.advance(1);
-  holder.containment.noteServed('slow');
+  holder.containment.recordSuccess('slow');
   exchangeHeartbeat(second, holder);
   assert.not(second.containment.isContained('slow'));
   assert.is(second.logger.fieldsOf('request-released').length, 1);
@@ -132,28 +132,30 @@
 test('one node probes a contained request, once at a time', () => {
   const [holder, second] = [makeNode('n1', true), makeNode('n2')];
   ['a', 'b', 'c'].forEach(serverLife =>
-    holder.containment.noteCut('common', serverLife),
+    holder.containment.recordConnectionLoss('common', serverLife),
   );
   exchangeHeartbeat(second, holder);
-  assert.not(holder.containment.claimTry('common'));
+  assert.not(holder.containment.claimProbe('common'));
   clock.advance(30_000);
-  assert.not(second.containment.claimTry('common'));
-  assert.ok(holder.containment.claimTry('common'));
-  assert.not(holder.containment.claimTry('common'));
-  holder.containment.noteServed('common');
-  holder.containment.endTry('common');
+  assert.not(second.containment.claimProbe('common'));
+  assert.ok(holder.containment.claimProbe('common'));
+  assert.not(holder.containment.claimProbe('common'));
+  holder.containment.recordSuccess('common');
+  holder.containment.endProbe('common');
   exchangeHeartbeat(second, holder);
   assert.not(second.containment.isContained('common'));
 });
 
 test('each probe that crashes a server delays the next one', () => {
   const {containment} = makeNode('n1', true);
-  ['a', 'b', 'c'].forEach(serverLife => containment.noteCut('bad', serverLife));
+  ['a', 'b', 'c'].forEach(serverLife =>
+    containment.recordConnectionLoss('bad', serverLife),
+  );
   const delaysS = ['d', 'e', 'f'].map(serverLife => {
     const startedAtMs = clock.monotonicMs();
-    while (!containment.claimTry('bad')) clock.advance(1_000);
-    containment.noteCut('bad', serverLife);
-    containment.endTry('bad');
+    while (!containment.claimProbe('bad')) clock.advance(1_000);
+    containment.recordConnectionLoss('bad', serverLife);
+    containment.endProbe('bad');
     return (clock.monotonicMs() - startedAtMs) / 1_000;
   });
   assert.equal(delaysS, [30, 240, 1_920]);
--- a/packages/contain-requests/src/crash_exchange.ts
+++ b/packages/contain-requests/src/crash_exchange.ts
@@ -47,7 +47,7 @@
    * Merges the holder's reply to a report. Ignores the reply of another process
    * at the holder's address, which does not acknowledge facts for the holder.
    */
-  takeReply(
+  handleReply(
     holder: NodeIncarnation,
     report: CrashReport | null,
     reply: CrashReply,
@@ -65,7 +65,7 @@
   }
 
   /** Called at the holder: merges a report, replies with the missing facts. */
-  answer(report: CrashReport | null): CrashReply | null {
+  handleReport(report: CrashReport | null): CrashReply | null {
     if (report) this.mergeFacts(report);
     if (this.evidence.lastSequence === 0) return null;
     return this.listFacts(report?.knownSequence ?? 0);
@@ -92,7 +92,7 @@
 
   private mergeFacts({facts}: Pick<CrashReport, 'facts'>): void {
     const nowMs = this.options.clock.monotonicMs();
-    this.options.containment.take(
+    this.options.containment.mergeFacts(
       facts.map(wireFact => fromWireFact(wireFact, nowMs)),
     );
   }
--- a/packages/contain-requests/src/request_containment.ts
+++ b/packages/contain-requests/src/request_containment.ts
@@ -2,9 +2,9 @@
 import {type Clock} from '@mimosatack/clock';
 import {type EventLogger} from '@mimosatack/logger';
 import {
-  type PathPrint,
+  type PathFingerprint,
   type RequestFingerprint,
-  toPathPrint,
+  toPathFingerprint,
 } from '@mimosatack/types';
 import {
   type CrashFact,
@@ -18,7 +18,7 @@
   clock: Clock;
   logger: EventLogger;
   /** Whether this node probes contained requests on behalf of all nodes. */
-  isTrier: () => boolean;
+  isProbingNode: () => boolean;
 }
 
 /**
@@ -36,7 +36,7 @@
   readonly evidence: CrashEvidence;
   /** The contained requests, each with the time of its next probe. */
   private probeAtMs: ReadonlyMap<RequestFingerprint, number> = new Map();
-  private suspectedPaths: ReadonlySet<PathPrint> = new Set();
+  private suspectedPaths: ReadonlySet<PathFingerprint> = new Set();
   private readonly activeProbes = new Set<RequestFingerprint>();
 
   constructor(private readonly options: RequestContainmentOptions) {
@@ -44,17 +44,17 @@
   }
 
   /** Whether any request is suspected; otherwise no request needs a check. */
-  get isWatching(): boolean {
+  get hasSuspects(): boolean {
     return !this.evidence.isEmpty;
   }
 
-  isPathWatched(pathPrint: PathPrint): boolean {
+  isPathSuspected(pathPrint: PathFingerprint): boolean {
     return this.suspectedPaths.has(pathPrint);
   }
 
   /** The contained requests; the one with the latest cut comes last. */
   get contained(): RequestFingerprint[] {
-    return [...this.evidence.byRequest.keys()].filter(fingerprint =>
+    return [...this.evidence.cutsByRequest.keys()].filter(fingerprint =>
       this.isContained(fingerprint),
     );
   }
@@ -70,36 +70,36 @@
    * Guards against containing a harmless request forever. A single node sends
    * one probe of a request at a time, with growing delays, to limit crashes.
    */
-  claimTry(fingerprint: RequestFingerprint): boolean {
+  claimProbe(fingerprint: RequestFingerprint): boolean {
     const atMs = this.probeAtMs.get(fingerprint) ?? Infinity;
-    const isDue = this.nowMs() >= atMs && this.options.isTrier();
+    const isDue = this.nowMs() >= atMs && this.options.isProbingNode();
     if (!isDue || this.activeProbes.has(fingerprint)) return false;
     this.activeProbes.add(fingerprint);
     return true;
   }
 
-  endTry(fingerprint: RequestFingerprint): void {
+  endProbe(fingerprint: RequestFingerprint): void {
     this.activeProbes.delete(fingerprint);
   }
 
   /** Records a connection that was lost while the server had the request. */
-  noteCut(
+  recordConnectionLoss(
     fingerprint: RequestFingerprint,
     serverLife: ServerIncarnation,
   ): void {
     const atMs = this.nowMs();
     const isTry = this.activeProbes.has(fingerprint);
-    this.take([{kind: 'cut', fingerprint, serverLife, atMs, isTry}]);
+    this.mergeFacts([{kind: 'cut', fingerprint, serverLife, atMs, isTry}]);
   }
 
   /** Records a complete success response. */
-  noteServed(fingerprint: RequestFingerprint): void {
-    if (!this.evidence.byRequest.has(fingerprint)) return;
-    this.take([{kind: 'served', fingerprint, atMs: this.nowMs()}]);
+  recordSuccess(fingerprint: RequestFingerprint): void {
+    if (!this.evidence.cutsByRequest.has(fingerprint)) return;
+    this.mergeFacts([{kind: 'served', fingerprint, atMs: this.nowMs()}]);
   }
 
   /** Merges facts of this node or of others. */
-  take(facts: readonly CrashFact[]): void {
+  mergeFacts(facts: readonly CrashFact[]): void {
     const isChanged = facts.map(fact => this.evidence.add(fact)).some(Boolean);
     if (isChanged) this.updateContained();
   }
@@ -107,11 +107,11 @@
   private updateContained(): void {
     this.evidence.expire();
     this.suspectedPaths = new Set(
-      [...this.evidence.byRequest.keys()].map(toPathPrint),
+      [...this.evidence.cutsByRequest.keys()].map(toPathFingerprint),
     );
     const before = this.probeAtMs;
     this.probeAtMs = new Map(
-      [...this.evidence.byRequest]
+      [...this.evidence.cutsByRequest]
         .filter(([, cuts]) => cuts.size >= CRASHES_TO_CONTAIN)
         .map(([fingerprint, cuts]) => [fingerprint, findNextProbeMs(cuts)]),
     );
@@ -123,7 +123,7 @@
     after: ReadonlyMap<RequestFingerprint, number>,
   ): void {
     const {logger} = this.options;
-    const {byRequest} = this.evidence;
+    const {cutsByRequest: byRequest} = this.evidence;
     [...after]
       .filter(([fingerprint, atMs]) => before.get(fingerprint) !== atMs)
       .forEach(([fingerprint, atMs]) =>
--- a/packages/contain-requests/src/virtual_fleet.ts
+++ b/packages/contain-requests/src/virtual_fleet.ts
@@ -84,7 +84,7 @@
       const incarnation = `n${at}`;
       const logger = new MemoryEventLogger();
       const containment = new RequestContainment({
-        ...{clock, logger, isTrier: () => false},
+        ...{clock, logger, isProbingNode: () => false},
       });
       const exchange = new CrashExchange({clock, containment});
       return {incarnation, containment, exchange, logger};
@@ -132,8 +132,8 @@
     if (!holder) return;
     this.nodes.slice(1).forEach(({exchange}) => {
       const report = exchange.makeReport(holder.incarnation);
-      const reply = holder.exchange.answer(report);
-      if (reply) exchange.takeReply(holder.incarnation, report, reply);
+      const reply = holder.exchange.handleReport(report);
+      if (reply) exchange.handleReply(holder.incarnation, report, reply);
     });
   }
 
@@ -149,7 +149,7 @@
     server.runs = server.runs.filter(({endsAtMs}) => endsAtMs > atMs);
     done.forEach(({body, node}) => {
       this.servedHarmless += 1;
-      node.containment.noteServed(body);
+      node.containment.recordSuccess(body);
     });
   }
 
@@ -161,7 +161,10 @@
       ...{incarnation: incarnation + 1, readyAtMs: atMs + RESTART_MS, runs: []},
     });
     runs.forEach(run =>
-      run.node.containment.noteCut(run.body, `${name}.${incarnation}`),
+      run.node.containment.recordConnectionLoss(
+        run.body,
+        `${name}.${incarnation}`,
+      ),
     );
     runs.forEach(run => this.retry(run));
   }
--- a/packages/dispatch-requests/src/backend_pools.ts
+++ b/packages/dispatch-requests/src/backend_pools.ts
@@ -75,7 +75,7 @@
   }
 
   /** Closes the connections to a removed backend server. */
-  async forget(baseUrl: string): Promise<void> {
+  async remove(baseUrl: string): Promise<void> {
     const pool = this.pools.get(baseUrl);
     this.pools.delete(baseUrl);
     await pool?.close();
--- a/packages/dispatch-requests/src/read_refusal.ts
+++ b/packages/dispatch-requests/src/read_refusal.ts
@@ -14,7 +14,7 @@
  * Converts a response with a status of 300 or more to an error. A request that
  * the engine rejects (4xx) has not run.
  */
-export async function readRefusal(
+export async function readErrorResponse(
   response: Dispatcher.ResponseData,
 ): Promise<TypedError> {
   const {statusCode} = response;
--- a/packages/drain-node/src/drain_gate.ts
+++ b/packages/drain-node/src/drain_gate.ts
@@ -25,19 +25,19 @@
   }
 
   /** Aborts when work in flight is cut off; `reason` is a `TypedError`. */
-  get cutSignal(): AbortSignal {
+  get abortSignal(): AbortSignal {
     return this.abortController.signal;
   }
 
   /** Sets the state for a shutdown phase; later phases keep refusing work. */
-  follow(phase: ShutdownPhase): void {
+  applyPhase(phase: ShutdownPhase): void {
     const isOpen =
       phase === 'starting' || phase === 'serving' || phase === 'leaving';
     this.current = isOpen ? phase : 'refusing';
   }
 
   /** Aborts the work in flight with an error that tells callers how to resume. */
-  cutOff(): void {
+  abortInFlight(): void {
     this.abortController.abort(
       new TypedError('shutting-down', 'The node had to stop at once.', {
         run: 'unknown',
--- a/packages/drain-node/src/in_flight.ts
+++ b/packages/drain-node/src/in_flight.ts
@@ -13,7 +13,7 @@
 
 /** Handle of one piece of work in flight. */
 export interface WorkHandle {
-  nameRequest(requestId: string): void;
+  setRequestId(requestId: string): void;
   /** Marks the work as finished; further calls have no effect. */
   end(): void;
 }
@@ -43,7 +43,7 @@
     };
     this.entries.add(entry);
     return {
-      nameRequest: requestId => {
+      setRequestId: requestId => {
         entry.requestId = requestId;
       },
       end: () => this.end(entry),
@@ -51,7 +51,7 @@
   }
 
   /** Resolves as soon as nothing is in flight. */
-  whenZero(): Promise<void> {
+  whenIdle(): Promise<void> {
     return this.count === 0
       ? Promise.resolve()
       : new Promise(resolve => this.waiters.push(resolve));
--- a/packages/drain-node/src/index.ts
+++ b/packages/drain-node/src/index.ts
@@ -1,10 +1,10 @@
 export {DrainGate, type GateState} from './drain_gate.js';
 export {InFlight, type WorkHandle, type WorkInFlight} from './in_flight.js';
 export {
-  type CutReason,
+  type ForcedStopReason,
   EXIT_CUT_OFF,
   EXIT_STOPPED,
-  type ShutdownInput,
+  type ShutdownEvent,
   type ShutdownPhase,
   ShutdownSequence,
   type ShutdownStep,
--- a/packages/drain-node/src/shutdown.test.ts
+++ b/packages/drain-node/src/shutdown.test.ts
@@ -5,21 +5,21 @@
 import {
   DrainGate,
   InFlight,
-  type ShutdownInput,
+  type ShutdownEvent,
   ShutdownSequence,
   ShutdownTask,
 } from './index.js';
 
 const sequences = suite('shutdown sequence');
 
-function applyAll(inputs: ShutdownInput[]) {
+function applyAll(inputs: ShutdownEvent[]) {
   const sequence = new ShutdownSequence();
-  const steps = inputs.flatMap(input => sequence.take(input));
+  const steps = inputs.flatMap(input => sequence.apply(input));
   return {phase: sequence.phase, steps: steps.map(step => step.type)};
 }
 
-const STOP: ShutdownInput = {type: 'stop-requested'};
-const STARTED: ShutdownInput = {type: 'started', isJoined: true};
+const STOP: ShutdownEvent = {type: 'stop-requested'};
+const STARTED: ShutdownEvent = {type: 'started', isJoined: true};
 
 sequences('a planned stop goes through all phases in order', () => {
   const {phase, steps} = applyAll([
@@ -57,7 +57,7 @@
 });
 
 sequences('a stopping node can be cut off in any phase, but only once', () => {
-  const cut: ShutdownInput = {type: 'cut', reason: 'second-signal'};
+  const cut: ShutdownEvent = {type: 'cut', reason: 'second-signal'};
   assert.equal(applyAll([STARTED, cut]).steps, []);
   assert.equal(applyAll([STARTED, STOP, cut, cut]).steps, [
     'announce',
@@ -88,7 +88,7 @@
       handOver: overrides.handOver ?? record('hand-over'),
       close: record('close'),
     },
-    tellCallersMs: TELL_CALLERS_MS,
+    addressExpiryMs: TELL_CALLERS_MS,
     graceMs: GRACE_MS,
   });
   return {clock, logger, inFlight, gate, performed, task};
@@ -117,10 +117,10 @@
 tasks('the end of the grace period logs the requests cut off', async () => {
   const {clock, logger, inFlight, gate, task} = createFixture();
   task.noteStarted(true);
-  inFlight.begin('POST /v1/completions').nameRequest('r1.x');
+  inFlight.begin('POST /v1/completions').setRequestId('r1.x');
   task.requestStop('SIGTERM');
   clock.advance(GRACE_MS);
-  assert.ok(gate.cutSignal.aborted);
+  assert.ok(gate.abortSignal.aborted);
   clock.advance(1_000);
   assert.is(await task.exited, 3);
   const [cut] = logger.fieldsOf('shutdown-cut-off');
@@ -135,7 +135,7 @@
   const {logger, inFlight, gate, task} = createFixture();
   task.noteStarted(true);
   const work = inFlight.begin('stream');
-  gate.cutSignal.addEventListener('abort', () => work.end());
+  gate.abortSignal.addEventListener('abort', () => work.end());
   task.requestStop('SIGTERM');
   task.requestStop('SIGINT');
   task.requestStop('SIGINT');
--- a/packages/drain-node/src/shutdown_sequence.ts
+++ b/packages/drain-node/src/shutdown_sequence.ts
@@ -20,7 +20,7 @@
   | 'ended';
 
 /** Events that drive the shutdown. */
-export type ShutdownInput =
+export type ShutdownEvent =
   /** Startup has finished; `isJoined` is true if the node joined the cluster. */
   | {type: 'started'; isJoined: boolean}
   | {type: 'stop-requested'}
@@ -30,10 +30,10 @@
   | {type: 'handed-over'}
   | {type: 'closed'}
   /** A second signal arrived, or the grace period has elapsed. */
-  | {type: 'cut'; reason: CutReason};
+  | {type: 'cut'; reason: ForcedStopReason};
 
 /** Why a shutdown was cut short. */
-export type CutReason = 'second-signal' | 'grace-over';
+export type ForcedStopReason = 'second-signal' | 'grace-over';
 
 /** Steps that the shutdown task performs. */
 export type ShutdownStep =
@@ -45,7 +45,7 @@
   | {type: 'refuse-new-work'}
   | {type: 'hand-over'}
   | {type: 'close'}
-  | {type: 'cut-off'; reason: CutReason; phase: ShutdownPhase}
+  | {type: 'cut-off'; reason: ForcedStopReason; phase: ShutdownPhase}
   | {type: 'exit'; exitCode: number};
 
 export const EXIT_STOPPED = 0;
@@ -68,7 +68,7 @@
   }
 
   /** Applies an event; returns no steps for events that come too late. */
-  take(input: ShutdownInput): readonly ShutdownStep[] {
+  apply(input: ShutdownEvent): readonly ShutdownStep[] {
     switch (input.type) {
       case 'started':
         return this.noteStarted(input.isJoined);
@@ -111,7 +111,7 @@
       : this.advance('serving', 'leaving', {type: 'announce'});
   }
 
-  private abort(reason: CutReason): readonly ShutdownStep[] {
+  private abort(reason: ForcedStopReason): readonly ShutdownStep[] {
     if (!this.isStopRequested || this.current === 'ended') return NO_STEPS;
     const phase = this.current;
     this.current = 'ended';
--- a/packages/drain-node/src/shutdown_task.ts
+++ b/packages/drain-node/src/shutdown_task.ts
@@ -4,8 +4,8 @@
 import {type EventLogger} from '@mimosatack/logger';
 import {type DrainGate} from './drain_gate.js';
 import {
-  type CutReason,
-  type ShutdownInput,
+  type ForcedStopReason,
+  type ShutdownEvent,
   type ShutdownPhase,
   ShutdownSequence,
   type ShutdownStep,
@@ -29,7 +29,7 @@
   gate: DrainGate;
   actions: ShutdownActions;
   /** How long callers may keep using a cached address of this node. */
-  tellCallersMs: number;
+  addressExpiryMs: number;
   /** Time limit for the whole shutdown. */
   graceMs: number;
 }
@@ -85,10 +85,10 @@
     this.scheduleInput(graceMs, {type: 'cut', reason: 'grace-over'});
   }
 
-  private take(input: ShutdownInput): void {
+  private take(input: ShutdownEvent): void {
     const previousPhase = this.phase;
-    const steps = this.sequence.take(input);
-    this.options.gate.follow(this.phase);
+    const steps = this.sequence.apply(input);
+    this.options.gate.applyPhase(this.phase);
     if (this.phase !== previousPhase && this.isStopping) this.logPhase();
     void this.runSteps(steps);
   }
@@ -98,7 +98,7 @@
   }
 
   private async runStep(step: ShutdownStep): Promise<void> {
-    const {actions, gate, tellCallersMs} = this.options;
+    const {actions, gate, addressExpiryMs: tellCallersMs} = this.options;
     switch (step.type) {
       case 'abort-start':
         return actions.abortStart();
@@ -106,7 +106,7 @@
         actions.announce();
         return this.scheduleInput(tellCallersMs, {type: 'callers-told'});
       case 'refuse-new-work':
-        await gate.inFlight.whenZero();
+        await gate.inFlight.whenIdle();
         return this.take({type: 'nothing-in-flight'});
       case 'hand-over':
         await this.runOrLog('hand-over', actions.handOver());
@@ -136,7 +136,7 @@
 
   /** Logs the work in flight, aborts it and allows time for the error replies. */
   private async abortInFlight(
-    reason: CutReason,
+    reason: ForcedStopReason,
     phase: ShutdownPhase,
   ): Promise<void> {
     const {gate, logger, clock, graceMs} = this.options;
@@ -148,11 +148,11 @@
       requests: requests.map(request => ({...request})),
       graceMs,
     });
-    gate.cutOff();
+    gate.abortInFlight();
     const noticeElapsed = new Promise<void>(resolve =>
       this.timers.push(clock.setTimer(ABORT_NOTICE_MS, resolve)),
     );
-    await Promise.race([gate.inFlight.whenZero(), noticeElapsed]);
+    await Promise.race([gate.inFlight.whenIdle(), noticeElapsed]);
   }
 
   private exit(exitCode: number): void {
@@ -172,7 +172,7 @@
     });
   }
 
-  private scheduleInput(delayMs: number, input: ShutdownInput): void {
+  private scheduleInput(delayMs: number, input: ShutdownEvent): void {
     const timer = this.options.clock.setTimer(delayMs, () => this.take(input));
     this.timers.push(timer);
   }
--- a/packages/engine-board/src/engine_board.ts
+++ b/packages/engine-board/src/engine_board.ts
@@ -61,7 +61,7 @@
    * @param nowMs monotonic; a report with a version goes stale unless another
    *     report from its steward follows.
    */
-  note(report: BackendReport, nowMs: number | null = null): boolean {
+  applyReport(report: BackendReport, nowMs: number | null = null): boolean {
     const id = report.backendServerId;
     return this.updateEntry(
       id,
@@ -71,7 +71,7 @@
   }
 
   /** Applies a warm state; returns false if a newer one is known. */
-  noteStatus(status: EngineStatus, nowMs: number): boolean {
+  applyStatus(status: EngineStatus, nowMs: number): boolean {
     const id = status.backendServerId;
     return this.updateEntry(
       id,
@@ -81,7 +81,7 @@
   }
 
   /** Applies a load sample; returns false if a newer one is known. */
-  noteLoad(sample: LoadSample, ageMs: number, nowMs: number): boolean {
+  applyLoad(sample: LoadSample, ageMs: number, nowMs: number): boolean {
     return this.updateEntry(
       sample.backendServerId,
       entry => entry.applyLoad(sample, ageMs, nowMs),
@@ -90,7 +90,7 @@
   }
 
   /** Applies a full engine state fetched from the engine's steward. */
-  noteEngine(engine: EngineState, version: ReportVersion): boolean {
+  applyEngine(engine: EngineState, version: ReportVersion): boolean {
     const id = engine.backendServerId;
     return this.updateEntry(
       id,
@@ -115,13 +115,13 @@
   }
 
   /** Resolves warm slots again after a change of the agreed state. */
-  refreshSlots(): void {
+  reindexWarm(): void {
     this.entries.forEach((entry, id) => {
       if (entry.status) this.indexWarm(id, entry);
     });
   }
 
-  forget(id: BackendServerId): void {
+  remove(id: BackendServerId): void {
     this.unindexWarm(id);
     this.entries.delete(id);
   }
--- a/packages/fakes/src/engine_fixtures.ts
+++ b/packages/fakes/src/engine_fixtures.ts
@@ -11,7 +11,7 @@
 const ENGINE: EngineSpec = {
   ...{slots: 32, cacheCapacityTokens: 100_000, memoryMb: 230_000},
   ...{adapterSlots: 8, hostMemoryMb: 0, diskMb: 0, storeLoadsPerSecond: 1},
-  ...{tokensPerEvent: 6, canMoveRuns: false, canBackUpRuns: false},
+  ...{tokensPerEvent: 6, canMigrateRuns: false, canBackUpRuns: false},
   models: [
     {
       ...{model: 'm0', memoryMb: 70_000, storeLoadMs: 6_000, diskLoadMs: 600},
--- a/packages/follow-log/src/submission.ts
+++ b/packages/follow-log/src/submission.ts
@@ -1,5 +1,5 @@
 /** Records that wait until they are read back from the log. */
-import {type FoldedRecord, type Outcome} from '@mimosatack/agreed-state';
+import {type FoldedRecord, type RecordOutcome} from '@mimosatack/agreed-state';
 import {type Timer} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
 import {type AgreedRecord} from '@mimosatack/records';
@@ -49,7 +49,7 @@
 }
 
 /** Turns a verdict into an error, or returns null for a valid record. */
-export function makeVoidError(outcome: Outcome): TypedError | null {
+export function makeVoidError(outcome: RecordOutcome): TypedError | null {
   if (outcome.status === 'valid') return null;
   const {reason, message} = outcome;
   switch (reason) {
--- a/packages/hold-duty/src/decide_claim.ts
+++ b/packages/hold-duty/src/decide_claim.ts
@@ -19,7 +19,7 @@
   /** Number of live nodes that claim before this one. */
   rank: number;
   /** Whether any other node still reaches the holder. */
-  isHeardByOthers: boolean;
+  isReachedByOthers: boolean;
 }
 
 /** Delay per rank, so that the first claim usually succeeds before the next. */
@@ -29,7 +29,7 @@
 
 /** Returns whether this node is to claim the duty now. */
 export function decideClaim(view: DutyView): boolean {
-  const {holder, contactForMs, rank, isHeardByOthers} = view;
+  const {holder, contactForMs, rank, isReachedByOthers: isHeardByOthers} = view;
   const waitMs = rank * CLAIM_STAGGER_MS;
   if (!holder) return contactForMs >= waitMs;
   if (holder.isSelf || holder.contact === 'alive') return false;
--- a/packages/hold-duty/src/duty_fixture.ts
+++ b/packages/hold-duty/src/duty_fixture.ts
@@ -21,9 +21,9 @@
 
   constructor(private readonly topic: MemoryKeyedTopic) {}
 
-  async readNewest() {
+  async readSnapshot() {
     this.failIfCut();
-    return this.topic.readNewest();
+    return this.topic.readSnapshot();
   }
 
   async readFrom(offset: number, waitMs: number, signal?: AbortSignal) {
@@ -92,13 +92,13 @@
       },
       key: 'scheduler',
       self: {nodeName: name, incarnation: `${name}.1`, address: `${name}:1`},
-      contactWith: () => (node.task.isHeld ? 'alive' : node.contact),
+      findHolderContact: () => (node.task.isHeld ? 'alive' : node.contact),
       findRank: () => rank,
-      isHeardByOthers: () => false,
-      quietUntilMs: () => -Infinity,
-      isCountedBy: () => true,
-      promisedUntilMs: () => node.grantEndsAtMs,
-      grantedUntilMs: (_token, sinceMs) => findGrantsEndMs(node, sinceMs),
+      isReachedByOthers: () => false,
+      claimHoldOffUntilMs: () => -Infinity,
+      isGrantorOf: () => true,
+      ownGrantEndsAtMs: () => node.grantEndsAtMs,
+      findGrantsEndMs: (_token, sinceMs) => findGrantsEndMs(node, sinceMs),
       leaseMs: LEASE_MS,
       isEligible: () => true,
       onHolder: () => undefined,
@@ -135,7 +135,7 @@
   const mayOrder = ({task, hasCrashed}: TestNode) =>
     !hasCrashed &&
     task.findAuthority() !== null &&
-    clock.monotonicMs() >= task.findQuietUntilMs(TARGET);
+    clock.monotonicMs() >= task.findOrdersBlockedUntilMs(TARGET);
   const listHolders = () => nodes.filter(mayOrder).map(({name}) => name);
   const stop = () => nodes.forEach(({task}) => task.stop());
   return {clock, topic, nodes, passTime, listHolders, mayOrder, stop};
--- a/packages/hold-duty/src/duty_properties.test.ts
+++ b/packages/hold-duty/src/duty_properties.test.ts
@@ -99,7 +99,7 @@
     if (kind === 'lost' || kind === 'late') topic.appendFault = kind;
     if (kind === 'release') {
       topic.appendFault = 'none';
-      topic.releaseLate();
+      topic.applyDelayedAppends();
     }
     for (let round = 0; round < 8; round += 1) {
       await passTime(100);
--- a/packages/hold-duty/src/duty_task.test.ts
+++ b/packages/hold-duty/src/duty_task.test.ts
@@ -10,7 +10,7 @@
   const claims = (contact: HolderContact, contactForMs: number, rank = 0) =>
     decideClaim({
       holder: {isSelf: false, contact},
-      ...{contactForMs, rank, isHeardByOthers: false},
+      ...{contactForMs, rank, isReachedByOthers: false},
     });
   assert.not(claims('alive', 60_000));
   assert.ok(claims('gone', 0));
@@ -26,7 +26,7 @@
     holder: {isSelf: false, contact: 'silent'},
     contactForMs: 60_000,
     rank: 0,
-    isHeardByOthers: true,
+    isReachedByOthers: true,
   });
   assert.not(isDue);
 });
@@ -76,7 +76,7 @@
   await passTime(500);
   assert.is(listHolders().length, 1);
   const [holder] = listHolders();
-  topic.releaseLate();
+  topic.applyDelayedAppends();
   await passTime(500);
   assert.equal(listHolders(), [holder]);
   assert.is(topic.records.length, 1);
--- a/packages/hold-duty/src/duty_task.ts
+++ b/packages/hold-duty/src/duty_task.ts
@@ -15,7 +15,7 @@
 import {type RandomSource} from '@mimosatack/random';
 import {type HolderContact, decideClaim} from './decide_claim.js';
 import {SuspensionWatch} from './suspension_watch.js';
-import {type LastOrders, TurnWait} from './turn_wait.js';
+import {type LastOrders, TakeoverWait} from './turn_wait.js';
 
 export {type HolderContact} from './decide_claim.js';
 
@@ -57,25 +57,25 @@
   key: string;
   self: Omit<DutyHolder, 'token'>;
   /** The state of the holder as this node's connections show it. */
-  contactWith: (holder: DutyHolder) => HolderContact;
+  findHolderContact: (holder: DutyHolder) => HolderContact;
   /** Number of live nodes that claim before this one. */
   findRank: () => number;
-  isHeardByOthers: () => boolean;
+  isReachedByOthers: () => boolean;
   /** When the lease grant of this node ends; the node does not claim before. */
-  promisedUntilMs: () => number;
+  ownGrantEndsAtMs: () => number;
   /** When the startup delay ends; the process does not claim before. */
-  quietUntilMs: () => number;
+  claimHoldOffUntilMs: () => number;
   /**
    * Whether a holder's process requires this node's grant when it relies on
    * lease grants, since it has answered one.
    */
-  isCountedBy: (incarnation: string) => boolean;
+  isGrantorOf: (incarnation: string) => boolean;
   /**
    * When the first of the other nodes' lease grants for a token ends; grants
    * received before `sinceMs` do not count. Minus infinity when there is no
    * other node, or when a grant is missing.
    */
-  grantedUntilMs: (token: number, sinceMs: number) => number;
+  findGrantsEndMs: (token: number, sinceMs: number) => number;
   /**
    * Whether targets refuse orders with an old fencing token. Otherwise the
    * holder must have a valid lease for each order.
@@ -134,7 +134,7 @@
   private leaseRenewedAtMs = -Infinity;
   /** When the newest holder record was read, or received from a peer. */
   private recordSeenAtMs = -Infinity;
-  private readonly turnWait: TurnWait;
+  private readonly turnWait: TakeoverWait;
   private isClaiming = false;
   private isStopped = false;
   private readonly suspensionWatch: SuspensionWatch;
@@ -143,7 +143,7 @@
     const {clock, random, topic} = options;
     this.contactSinceMs = clock.monotonicMs();
     this.suspensionWatch = new SuspensionWatch(clock);
-    this.turnWait = new TurnWait(options.leaseMs);
+    this.turnWait = new TakeoverWait(options.leaseMs);
     this.follower = new KeyedFollower({
       ...{clock, random, topic, table: this.table},
       waitMs: () => LONG_POLL_MS,
@@ -194,7 +194,7 @@
       this.leaseRenewedAtMs > trustedSinceMs ? this.leaseEndsAtMs : -Infinity;
     return Math.max(
       leaseEndsAtMs,
-      this.options.grantedUntilMs(token, trustedSinceMs),
+      this.options.findGrantsEndMs(token, trustedSinceMs),
     );
   }
 
@@ -202,7 +202,7 @@
    * Until when this holder must not send orders to a target, since orders of
    * the previous holder may still arrive or arrived less than a lease ago.
    */
-  findQuietUntilMs(target: string): number {
+  findOrdersBlockedUntilMs(target: string): number {
     return this.options.isFenced
       ? -Infinity
       : this.turnWait.findBlockedUntilMs(target);
@@ -267,7 +267,12 @@
   }
 
   private tick(): void {
-    const {clock, findRank, isHeardByOthers, isEligible} = this.options;
+    const {
+      clock,
+      findRank,
+      isReachedByOthers: isHeardByOthers,
+      isEligible,
+    } = this.options;
     const nowMs = clock.monotonicMs();
     this.updateContact(nowMs);
     const isReadable = this.follower.isReachable;
@@ -281,7 +286,7 @@
       },
       contactForMs: nowMs - this.contactSinceMs,
       rank: findRank(),
-      isHeardByOthers: isHeardByOthers(),
+      isReachedByOthers: isHeardByOthers(),
     });
     if (isDue || this.isRenewalDue(nowMs)) void this.claim();
   }
@@ -291,7 +296,11 @@
    * Neither applies with fencing, or when the holder's process has exited.
    */
   private isClaimBlocked(nowMs: number): boolean {
-    const {isFenced, quietUntilMs, promisedUntilMs} = this.options;
+    const {
+      isFenced,
+      claimHoldOffUntilMs: quietUntilMs,
+      ownGrantEndsAtMs: promisedUntilMs,
+    } = this.options;
     if (isFenced || this.isHeld || !this.current) return false;
     if (this.contact === 'ended') return false;
     if (nowMs < quietUntilMs()) return true;
@@ -307,7 +316,7 @@
 
   private updateContact(nowMs: number): void {
     const contact = this.current
-      ? this.options.contactWith(this.current)
+      ? this.options.findHolderContact(this.current)
       : 'none';
     if (contact === this.contact) return;
     this.contact = contact;
@@ -354,7 +363,12 @@
    * include this node's grant when `isCountedBy` says so.
    */
   private findLatestOrderMs({incarnation}: DutyHolder): number {
-    const {clock, leaseMs, promisedUntilMs, isCountedBy} = this.options;
+    const {
+      clock,
+      leaseMs,
+      ownGrantEndsAtMs: promisedUntilMs,
+      isGrantorOf: isCountedBy,
+    } = this.options;
     const nowMs = clock.monotonicMs();
     const renewedLeaseMs = RENEWED_LEASE_FRACTION * leaseMs;
     const upperBoundMs = nowMs + renewedLeaseMs;
--- a/packages/hold-duty/src/turn_wait.test.ts
+++ b/packages/hold-duty/src/turn_wait.test.ts
@@ -1,6 +1,6 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {TurnWait} from './turn_wait.js';
+import {TakeoverWait} from './turn_wait.js';
 
 const test = suite('wait after a takeover');
 
@@ -12,13 +12,13 @@
 }
 
 test('there is no wait before the first takeover', () => {
-  assert.is(new TurnWait(LEASE_MS).findBlockedUntilMs('e1'), -Infinity);
+  assert.is(new TakeoverWait(LEASE_MS).findBlockedUntilMs('e1'), -Infinity);
 });
 
 // Guards against seconds without orders to idle engines after a planned restart
 // of the holder.
 test('targets without a recent order need no wait', () => {
-  const wait = new TurnWait(LEASE_MS);
+  const wait = new TakeoverWait(LEASE_MS);
   wait.noteTakeover('a.1', 10_000);
   assert.is(
     wait.findBlockedUntilMs('e2'),
@@ -30,7 +30,7 @@
 });
 
 test('the last orders may be reported before the takeover is known', () => {
-  const wait = new TurnWait(LEASE_MS);
+  const wait = new TakeoverWait(LEASE_MS);
   wait.noteLastOrders(makeLastOrders('a.1', 9_000));
   wait.noteTakeover('a.1', 10_000);
   assert.is(wait.findBlockedUntilMs('e2'), -Infinity);
@@ -39,7 +39,7 @@
 // Guards against ignoring orders of the holder before the previous one, which
 // the report of the previous holder does not contain.
 test('the wait covers the takeover before the last one', () => {
-  const wait = new TurnWait(LEASE_MS);
+  const wait = new TakeoverWait(LEASE_MS);
   wait.noteTakeover('a.1', 10_000);
   wait.noteTakeover('b.1', 10_400);
   wait.noteLastOrders(makeLastOrders('b.1', 10_300));
@@ -52,7 +52,7 @@
 // Guards against using a holder's report of an earlier term after the holder
 // got the duty back and sent more orders.
 test('a report of last orders is used for one term only', () => {
-  const wait = new TurnWait(LEASE_MS);
+  const wait = new TakeoverWait(LEASE_MS);
   wait.noteLastOrders(makeLastOrders('a.1', 1_000));
   wait.noteTakeover('a.1', 1_000);
   wait.discardLastOrders('a.1');
--- a/packages/hold-duty/src/turn_wait.ts
+++ b/packages/hold-duty/src/turn_wait.ts
@@ -16,7 +16,7 @@
  * its last order to each target; for a lost holder only the latest time of any
  * order is known.
  */
-export class TurnWait {
+export class TakeoverWait {
   private endsAtMs = -Infinity;
   /** End of the waits after takeovers before the last one. */
   private earlierEndsAtMs = -Infinity;
--- a/packages/keyed-store/src/keyed_follower.ts
+++ b/packages/keyed-store/src/keyed_follower.ts
@@ -76,7 +76,7 @@
    * When the last successful read started, on the monotonic clock. The table
    * holds all records that the store accepted before then.
    */
-  get asOfMs(): number {
+  get lastSuccessStartMs(): number {
     return this.lastSuccessStartedAtMs;
   }
 
@@ -146,7 +146,7 @@
 
   private async loadSnapshot(): Promise<KeyedChange[]> {
     const {topic, table} = this.options;
-    const snapshot = await topic.readNewest();
+    const snapshot = await topic.readSnapshot();
     this.hasSnapshot = true;
     return table.applySnapshot(snapshot);
   }
--- a/packages/keyed-store/src/keyed_topic.ts
+++ b/packages/keyed-store/src/keyed_topic.ts
@@ -50,7 +50,7 @@
  * store is unreachable.
  */
 export interface KeyedTopic {
-  readNewest(): Promise<KeyedSnapshot>;
+  readSnapshot(): Promise<KeyedSnapshot>;
   /** Waits up to `waitMs` if there is no record at `offset` yet. */
   readFrom(
     offset: number,
--- a/packages/keyed-store/src/memory_keyed_topic.ts
+++ b/packages/keyed-store/src/memory_keyed_topic.ts
@@ -32,7 +32,7 @@
     return this.records.length;
   }
 
-  async readNewest(): Promise<KeyedSnapshot> {
+  async readSnapshot(): Promise<KeyedSnapshot> {
     this.readCount += 1;
     this.failIfDown();
     const newest = new Map(this.records.map(record => [record.key, record]));
@@ -78,7 +78,7 @@
   }
 
   /** Applies the appends that `late` has delayed. */
-  releaseLate(): void {
+  applyDelayedAppends(): void {
     this.delayed.splice(0).forEach(apply => apply());
   }
 
@@ -127,5 +127,8 @@
 }
 
 function makeUnavailable(): TypedError {
-  return new TypedError('platform-unavailable', 'The topic is unreachable.');
+  return new TypedError(
+    'platform-unavailable',
+    'The topic can not be reached.',
+  );
 }
--- a/packages/membership/src/hashing.ts
+++ b/packages/membership/src/hashing.ts
@@ -9,7 +9,7 @@
 }
 
 /** Returns a hex hash, used as a sort key. */
-export function hashOrder(text: string): string {
+export function hashSortKey(text: string): string {
   return createHash('sha1').update(text).digest('hex');
 }
 
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -12,5 +12,5 @@
   membershipMessageSchema,
 } from './messages.js';
 export {DEFAULT_MEMBERSHIP_OPTIONS, type MembershipOptions} from './options.js';
-export {hashOrder} from './hashing.js';
+export {hashSortKey} from './hashing.js';
 export {rankMembers} from './rank_members.js';
--- a/packages/membership/src/member.ts
+++ b/packages/membership/src/member.ts
@@ -45,7 +45,7 @@
 /** A member in this node's view. */
 export interface Member extends MemberRecord {
   /** When the member got its current status in this node's view. */
-  sinceMs: number;
+  statusSinceMs: number;
 }
 
 const STATUS_RANK: Readonly<Record<MemberStatus, number>> = {
@@ -74,6 +74,6 @@
 
 /** Drops the fields that are local to this node. */
 export function toRecord(member: Member): MemberRecord {
-  const {sinceMs: _, ...record} = member;
+  const {statusSinceMs: _, ...record} = member;
   return record;
 }
--- a/packages/membership/src/member_table.ts
+++ b/packages/membership/src/member_table.ts
@@ -144,12 +144,12 @@
     const gone = entries
       .map(({member}) => member)
       .filter(member => member.status === 'gone')
-      .sort((first, second) => second.sinceMs - first.sinceMs);
+      .sort((first, second) => second.statusSinceMs - first.statusSinceMs);
     gone
       .filter(
         (member, index) =>
           index >= this.limits.maxGoneCount ||
-          member.sinceMs + this.limits.goneKeepMs <= nowMs,
+          member.statusSinceMs + this.limits.goneKeepMs <= nowMs,
       )
       .forEach(member => this.remove(member.nodeName));
   }
@@ -164,9 +164,9 @@
     const isSameIncarnation = before?.member.startedAtMs === record.startedAtMs;
     const isSameStatus =
       isSameIncarnation && before.member.status === record.status;
-    const sinceMs = isSameStatus ? before.member.sinceMs : nowMs;
+    const sinceMs = isSameStatus ? before.member.statusSinceMs : nowMs;
     this.entries.set(record.nodeName, {
-      member: {...record, sinceMs},
+      member: {...record, statusSinceMs: sinceMs},
       leftGracefully:
         record.status === 'leaving' ||
         (record.status === 'gone' &&
--- a/packages/membership/src/membership.test.ts
+++ b/packages/membership/src/membership.test.ts
@@ -82,7 +82,7 @@
 replacement('a leaving hint from the host list expires', () => {
   const network = createNetwork();
   const node = network.get(addressOf(0));
-  node.noteHint({nodeName: nameOf(3), state: 'leaving'}, network.nowMs);
+  node.applyHint({nodeName: nameOf(3), state: 'leaving'}, network.nowMs);
   assert.is(statusOf(node, nameOf(3)), 'leaving');
   network.run(MINUTE_MS);
   assert.is(statusOf(node, nameOf(3)), 'alive');
@@ -93,7 +93,7 @@
 replacement('a gone hint does not drop a node that answers', () => {
   const network = createNetwork();
   const node = network.get(addressOf(0));
-  node.noteHint({nodeName: nameOf(3), state: 'gone'}, network.nowMs);
+  node.applyHint({nodeName: nameOf(3), state: 'gone'}, network.nowMs);
   assert.is(countGone(network, 10_000), 0);
 });
 
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -113,10 +113,10 @@
    * this node's view only and expires after `hintKeepMs`. A `gone` hint
    * triggers a probe, because it may refer to a previous host of that name.
    */
-  noteHint({nodeName, state}: MembershipHint, nowMs: number): void {
+  applyHint({nodeName, state}: MembershipHint, nowMs: number): void {
     if (state === 'gone') this.probing.verifyGoneReport(nodeName, null);
     else {
-      this.gossip.table.hintLeaving(nodeName, nowMs + this.options.hintKeepMs);
+      this.gossip.table.hintLeaving(nodeName, nowMs + this.options.hintTtlMs);
     }
   }
 
--- a/packages/membership/src/options.ts
+++ b/packages/membership/src/options.ts
@@ -28,11 +28,11 @@
   /** Number of seeds contacted per attempt to join. */
   joinSeedCount: number;
   /** Retention time of gone members. */
-  goneKeepMs: number;
+  goneRetentionMs: number;
   /** Maximum number of retained gone members. */
   maxGoneCount: number;
   /** Lifetime of a `leaving` hint from the platform's host list. */
-  hintKeepMs: number;
+  hintTtlMs: number;
 }
 
 /** With 8 nodes, a crashed node is declared gone within about 3 s. */
@@ -50,9 +50,9 @@
   seedPeriodMs: 10_000,
   joinRetryMs: 1_000,
   joinSeedCount: 3,
-  goneKeepMs: 3 * 60 * 60 * 1000,
+  goneRetentionMs: 3 * 60 * 60 * 1000,
   maxGoneCount: 1024,
-  hintKeepMs: 15_000,
+  hintTtlMs: 15_000,
 };
 
 const RETRANSMIT_FACTOR = 3;
--- a/packages/membership/src/probe_targets.ts
+++ b/packages/membership/src/probe_targets.ts
@@ -1,5 +1,5 @@
 /** Selects the peers that a node probes. */
-import {hashOrder} from './hashing.js';
+import {hashSortKey} from './hashing.js';
 import {type Member} from './member.js';
 
 /**
@@ -13,7 +13,7 @@
   minCount: number,
 ): Member[] {
   const ring = members
-    .map(member => ({member, order: hashOrder(member.nodeName)}))
+    .map(member => ({member, order: hashSortKey(member.nodeName)}))
     .sort((first, second) => (first.order < second.order ? -1 : 1))
     .map(({member}) => member);
   const selfIndex = ring.findIndex(member => member.nodeName === selfName);
--- a/packages/node-links/src/confirmation_fixture.ts
+++ b/packages/node-links/src/confirmation_fixture.ts
@@ -1,11 +1,11 @@
 /** A test node with a configuration version and a clock of its own. */
 import {ManualClock, SuspensionAwareClock} from '@mimosatack/clock';
-import {ToldConfirmation} from './told_confirmation.js';
+import {ConfirmationExchange} from './told_confirmation.js';
 
 export class TestNode {
   readonly host = new ManualClock();
   readonly clock = new SuspensionAwareClock(this.host);
-  readonly confirmation = new ToldConfirmation(this);
+  readonly confirmation = new ConfirmationExchange(this);
   asOfMs = -Infinity;
   version = 3;
   readonly ownReadMs = 1_000;
@@ -29,7 +29,7 @@
   }
 
   hello(holder: string) {
-    const confirmedBeatMs = this.confirmation.findBeatMs(holder);
+    const confirmedBeatMs = this.confirmation.findConfirmedBeatMs(holder);
     return {configurationVersion: this.version, confirmedBeatMs};
   }
 }
--- a/packages/node-links/src/duty_order.ts
+++ b/packages/node-links/src/duty_order.ts
@@ -1,8 +1,8 @@
 /** The order in which nodes claim a duty. */
-import {type KnownNode} from './known_node.js';
+import {type RegisteredNode} from './known_node.js';
 import {type RosterEntry} from './node_roster.js';
 
-type ClaimCandidate = Pick<KnownNode, 'nodeName' | 'cores'>;
+type ClaimCandidate = Pick<RegisteredNode, 'nodeName' | 'cores'>;
 
 /**
  * Returns how many nodes claim the duty before `self`. Nodes with the most
--- a/packages/node-links/src/holder_inquiry.test.ts
+++ b/packages/node-links/src/holder_inquiry.test.ts
@@ -1,13 +1,13 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
 import {chooseNodesToAsk} from './holder_inquiry.js';
-import {type KnownNode} from './known_node.js';
+import {type RegisteredNode} from './known_node.js';
 
 const test = suite('nodes asked about a silent holder');
 
 const DOMAINS = ['a', 'b', 'c', 'd', 'e', 'f'];
 
-function makeNode(nodeName: string, failureDomain = 'a'): KnownNode {
+function makeNode(nodeName: string, failureDomain = 'a'): RegisteredNode {
   return {
     ...{nodeName, incarnation: 'life', failureDomain, cores: 1},
     peerAddress: `${nodeName}:1`,
@@ -15,7 +15,7 @@
   };
 }
 
-function makeNodes(perDomain: number): KnownNode[] {
+function makeNodes(perDomain: number): RegisteredNode[] {
   return DOMAINS.flatMap(domain =>
     Array.from({length: perDomain}, (_, index) =>
       makeNode(`front-${domain}-${index}`, domain),
@@ -23,7 +23,7 @@
   );
 }
 
-function makeHolder({nodeName}: KnownNode) {
+function makeHolder({nodeName}: RegisteredNode) {
   return {nodeName, incarnation: 'life', address: `${nodeName}:1`, token: 1};
 }
 
--- a/packages/node-links/src/holder_inquiry.ts
+++ b/packages/node-links/src/holder_inquiry.ts
@@ -1,6 +1,6 @@
 /** Asks other nodes whether they are in contact with a silent duty holder. */
 import {type DutyHolder} from '@mimosatack/hold-duty';
-import {type KnownNode} from './known_node.js';
+import {type RegisteredNode} from './known_node.js';
 import {type NodeMessage} from './messages.js';
 
 export type SendRequest = (
@@ -22,10 +22,10 @@
  * partitioned together.
  */
 export function chooseNodesToAsk(
-  self: KnownNode,
+  self: RegisteredNode,
   holder: DutyHolder,
-  nodes: readonly KnownNode[],
-): KnownNode[] {
+  nodes: readonly RegisteredNode[],
+): RegisteredNode[] {
   const others = nodes
     .filter(
       ({nodeName}) =>
--- a/packages/node-links/src/known_node.ts
+++ b/packages/node-links/src/known_node.ts
@@ -14,14 +14,14 @@
 });
 
 /** A registered node. */
-export type KnownNode = z.infer<typeof nodeSchema>;
+export type RegisteredNode = z.infer<typeof nodeSchema>;
 
-export function encodeNode(node: KnownNode): Uint8Array {
+export function encodeNode(node: RegisteredNode): Uint8Array {
   return Buffer.from(JSON.stringify(node));
 }
 
 /** Decodes a registration record; returns null if the value is malformed. */
-export function decodeNode(value: Uint8Array): KnownNode | null {
+export function decodeNode(value: Uint8Array): RegisteredNode | null {
   try {
     return nodeSchema.parse(JSON.parse(Buffer.from(value).toString('utf8')));
   } catch {
--- a/packages/node-links/src/messages.ts
+++ b/packages/node-links/src/messages.ts
@@ -3,7 +3,10 @@
   crashReplySchema,
   crashReportSchema,
 } from '@mimosatack/contain-requests';
-import {fromHolderSchema, toHolderSchema} from '@mimosatack/schedule-service';
+import {
+  fromHolderMessageSchema,
+  toHolderMessageSchema,
+} from '@mimosatack/schedule-service';
 import {quotaReplySchema, quotaReportSchema} from '@mimosatack/team-quotas';
 import * as z from 'zod';
 import {nodeSchema} from './known_node.js';
@@ -118,8 +121,8 @@
     fromOffset: z.number(),
   }),
   recordsSchema,
-  z.object({type: z.literal('to-holder'), body: toHolderSchema}),
-  z.object({type: z.literal('from-holder'), body: fromHolderSchema}),
+  z.object({type: z.literal('to-holder'), body: toHolderMessageSchema}),
+  z.object({type: z.literal('from-holder'), body: fromHolderMessageSchema}),
 ]);
 
 export type NodeMessage = z.infer<typeof messageSchema>;
--- a/packages/node-links/src/node_links.ts
+++ b/packages/node-links/src/node_links.ts
@@ -6,7 +6,10 @@
 import {toTypedError} from '@mimosatack/errors';
 import {type DutyHolder, type HolderContact} from '@mimosatack/hold-duty';
 import {type PeerTransport} from '@mimosatack/peer-transport';
-import {type FromHolder, type ToHolder} from '@mimosatack/schedule-service';
+import {
+  type FromHolderMessage,
+  type ToHolderMessage,
+} from '@mimosatack/schedule-service';
 import {startPeriodic} from '@mimosatack/tasks';
 import {HolderContacts} from './holder_contacts.js';
 import {toLastOrders} from './last_orders.js';
@@ -31,7 +34,7 @@
 import {RecordCatchUp} from './record_catch_up.js';
 import {ReceivedServingList, ServingList} from './serving_list.js';
 import {SilentNodes} from './silent_nodes.js';
-import {ToldConfirmation} from './told_confirmation.js';
+import {ConfirmationExchange} from './told_confirmation.js';
 
 /** Several heartbeats fit into the time after which a holder counts as silent. */
 const HEARTBEAT_INTERVAL_MS = 250;
@@ -48,7 +51,7 @@
   private readonly catchUp: RecordCatchUp;
   private readonly grants: LeaseGrants;
   private readonly silentNodes: SilentNodes;
-  private readonly confirmations: ToldConfirmation;
+  private readonly confirmations: ConfirmationExchange;
   private readonly servingList: ServingList;
   private readonly receivedServingList = new ReceivedServingList();
   private readonly holdOffEndsAtMs: number;
@@ -61,7 +64,7 @@
     this.roster = new NodeRoster(clock);
     this.grants = new LeaseGrants(clock);
     this.silentNodes = new SilentNodes(clock);
-    this.confirmations = new ToldConfirmation(options.confirmation);
+    this.confirmations = new ConfirmationExchange(options.confirmation);
     this.servingList = new ServingList(clock, self.incarnation, () =>
       this.listServing(),
     );
@@ -94,22 +97,22 @@
   }
 
   /** Time until which this node's grants keep it from claiming the duty. */
-  get promisedUntilMs(): number {
+  get ownGrantEndsAtMs(): number {
     return this.grants.endsAtMs;
   }
 
   /** Time until which this process does not claim the duty after its start. */
-  get quietUntilMs(): number {
+  get claimHoldOffUntilMs(): number {
     return this.holdOffEndsAtMs;
   }
 
   /** Whether a holder process needs a grant from this node for its lease. */
-  isCountedBy(incarnation: string): boolean {
+  isGrantorOf(incarnation: string): boolean {
     return this.grants.isGrantorOf(incarnation);
   }
 
   /** Time until which all other known nodes have granted this node the lease. */
-  grantedUntilMs(token: number, sinceMs: number): number {
+  findGrantsEndMs(token: number, sinceMs: number): number {
     const {self, listNodes} = this.options;
     const registered = listNodes().map(({nodeName}) => nodeName);
     const names = new Set([...registered, ...this.roster.listNames()]);
@@ -126,7 +129,7 @@
   }
 
   /** Whether a live holder forwards the registered nodes to this node. */
-  get isToldOfNodes(): boolean {
+  get receivesNodeRecords(): boolean {
     const holder = this.options.holder();
     if (!holder || this.isSelf(holder)) return false;
     return (
@@ -135,7 +138,7 @@
     );
   }
 
-  sendToHolder(message: ToHolder): boolean {
+  sendToHolder(message: ToHolderMessage): boolean {
     const {holder: findHolder, onToHolder, self} = this.options;
     const holder = findHolder();
     if (!holder || this.contactWith(holder) !== 'alive') return false;
@@ -146,7 +149,7 @@
     return true;
   }
 
-  sendToNode(address: string, message: FromHolder): void {
+  sendToNode(address: string, message: FromHolderMessage): void {
     const {self, onFromHolder} = this.options;
     if (address === self.peerAddress) onFromHolder(message);
     else this.transport.send(address, {type: 'from-holder', body: message});
@@ -193,7 +196,7 @@
     const isAlive = this.contactWith(holder) === 'alive';
     if (isAlive === this.wasAlive) return;
     this.wasAlive = isAlive;
-    this.options.onContact(isAlive);
+    this.options.onHolderContactChange(isAlive);
   }
 
   /**
@@ -221,7 +224,7 @@
    * Sends a last grant that also covers the next process of this node, so that
    * the holder can renew its lease while this node restarts.
    */
-  sayGoodbye(): void {
+  sendFinalGrant(): void {
     const holder = this.options.holder();
     if (!holder || this.isSelf(holder)) return;
     const {nodeName, incarnation} = this.options.self;
@@ -238,7 +241,7 @@
   }
 
   /** Tells other nodes which orders this node sent before it stopped scheduling. */
-  tellLastOrders(
+  sendLastOrders(
     message: LastOrdersMessage,
     addresses: readonly string[] = this.roster.listAddresses(),
   ): void {
@@ -259,7 +262,9 @@
     const promise = this.issueGrant(holder);
     const crashes = this.options.crashes.makeReport(holder.incarnation);
     const quotas = this.options.quotas.makeReport();
-    const confirmedBeatMs = this.confirmations.findBeatMs(holder.incarnation);
+    const confirmedBeatMs = this.confirmations.findConfirmedBeatMs(
+      holder.incarnation,
+    );
     const sentAtMs = this.options.clock.monotonicMs();
     const sentAtSuspensionAwareMs = this.options.confirmation.nowMs;
     try {
@@ -276,12 +281,12 @@
       this.handleCrashReply(crashes, reply);
       const isFromHolder = reply.incarnation === holder.incarnation;
       if (isFromHolder) {
-        this.confirmations.takeWelcome(
+        this.confirmations.handleWelcome(
           holder.incarnation,
           reply,
           sentAtSuspensionAwareMs,
         );
-        if (reply.quotas) this.options.quotas.takeReply(reply.quotas);
+        if (reply.quotas) this.options.quotas.applyReply(reply.quotas);
       }
       if (promise && isFromHolder) this.grants.noteReply(holder, sentAtMs);
     } catch (thrown) {
@@ -313,7 +318,7 @@
     {incarnation, crashes}: Welcome,
   ): void {
     if (!crashes) return;
-    this.options.crashes.takeReply(incarnation, report, crashes);
+    this.options.crashes.handleReply(incarnation, report, crashes);
   }
 
   private async askOthers(holder: DutyHolder): Promise<void> {
@@ -335,10 +340,10 @@
       case 'hello':
         this.roster.note(from, message.status);
         this.catchUp.compare(from, message.status);
-        this.confirmations.takeHello(message.status);
+        this.confirmations.handleHello(message.status);
         return this.makeWelcome(message.status);
       case 'introduction':
-        options.onNodes(message.nodes);
+        options.onNodesIntroduced(message.nodes);
         options.onHolder(message.holder);
         return undefined;
       case 'last-orders':
@@ -374,8 +379,8 @@
       beatMs: options.clock.monotonicMs(),
       holder: options.holder(),
       ...this.servingList.describeFor(servingListId),
-      crashes: options.crashes.answer(crashes),
-      quotas: options.quotas.answer(incarnation, quotas),
+      crashes: options.crashes.handleReport(crashes),
+      quotas: options.quotas.answerReport(incarnation, quotas),
       ...this.confirmations.describe(),
       serversAgeMs: Number.isFinite(ageMs) ? ageMs : null,
       ...{configurationVersion, serversEndOffset, nodesEndOffset},
--- a/packages/node-links/src/node_links_options.ts
+++ b/packages/node-links/src/node_links_options.ts
@@ -4,10 +4,13 @@
 import {type TypedError} from '@mimosatack/errors';
 import {type DutyHolder, type LastOrders} from '@mimosatack/hold-duty';
 import {type RandomSource} from '@mimosatack/random';
-import {type FromHolder, type ToHolder} from '@mimosatack/schedule-service';
+import {
+  type FromHolderMessage,
+  type ToHolderMessage,
+} from '@mimosatack/schedule-service';
 import {type QuotaReply, type QuotaReport} from '@mimosatack/team-quotas';
 import {type NodeIncarnation, type SocketAddress} from '@mimosatack/types';
-import {type KnownNode} from './known_node.js';
+import {type RegisteredNode} from './known_node.js';
 import {type RecordsMessage, type SharedTopic} from './messages.js';
 import {type NodeStatus} from './node_status.js';
 
@@ -21,8 +24,11 @@
 /** Exchanges the usage of team quotas with other nodes over heartbeats. */
 export interface QuotaExchange {
   makeReport(): QuotaReport | null;
-  takeReply(reply: QuotaReply): void;
-  answer(node: NodeIncarnation, report: QuotaReport | null): QuotaReply | null;
+  applyReply(reply: QuotaReply): void;
+  answerReport(
+    node: NodeIncarnation,
+    report: QuotaReport | null,
+  ): QuotaReply | null;
 }
 
 /** The last time at which this node's configuration was known to be current. */
@@ -40,13 +46,13 @@
 export interface NodeLinksOptions {
   clock: Clock;
   random: RandomSource;
-  self: KnownNode;
+  self: RegisteredNode;
   listenAddress: SocketAddress;
   clusterSecret: string;
   /** The current duty holder, if known. */
   holder: () => DutyHolder | null;
   /** Lists all registered nodes. */
-  listNodes: () => readonly KnownNode[];
+  listNodes: () => readonly RegisteredNode[];
   readStatus: () => NodeStatus;
   /** Exchanges reports of servers that crashed while serving a request. */
   crashes: CrashExchange;
@@ -58,16 +64,16 @@
   onRecords: (message: RecordsMessage, from: string) => void;
   onHolder: (holder: DutyHolder) => void;
   /** Called with the nodes that the duty holder has introduced. */
-  onNodes: (nodes: readonly KnownNode[]) => void;
+  onNodesIntroduced: (nodes: readonly RegisteredNode[]) => void;
   /** Called when a registered node has been silent for too long. */
-  onNodeLost: (node: KnownNode) => void;
+  onNodeLost: (node: RegisteredNode) => void;
   /** Called with the last orders of a holder that has stopped scheduling. */
   onLastOrders: (lastOrders: LastOrders) => void;
   /** Called with a message for this node's scheduler. */
-  onToHolder: (from: string, message: ToHolder) => void;
-  onFromHolder: (message: FromHolder) => void;
+  onToHolder: (from: string, message: ToHolderMessage) => void;
+  onFromHolder: (message: FromHolderMessage) => void;
   onServingNodes: (nodeNames: readonly string[]) => void;
   /** Called when contact with the duty holder is established or lost. */
-  onContact: (isAlive: boolean) => void;
+  onHolderContactChange: (isAlive: boolean) => void;
   onFault: (error: TypedError) => void;
 }
--- a/packages/node-links/src/silent_nodes.test.ts
+++ b/packages/node-links/src/silent_nodes.test.ts
@@ -1,12 +1,12 @@
 import {ManualClock} from '@mimosatack/clock';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {type KnownNode} from './known_node.js';
+import {type RegisteredNode} from './known_node.js';
 import {SilentNodes} from './silent_nodes.js';
 
 const test = suite('silent nodes');
 
-function makeNode(nodeName: string): KnownNode {
+function makeNode(nodeName: string): RegisteredNode {
   return {
     ...{nodeName, incarnation: `${nodeName}.1`, peerAddress: `${nodeName}:1`},
     ...{callerAddress: {ip: '127.0.0.1', port: 1}, failureDomain: 'a'},
@@ -28,7 +28,7 @@
     clock.advance(250);
   }
   const {introduce, remove} = update();
-  const nameOf = ({nodeName}: KnownNode) => nodeName;
+  const nameOf = ({nodeName}: RegisteredNode) => nodeName;
   return {introduce: introduce.map(nameOf), remove: remove.map(nameOf)};
 }
 
--- a/packages/node-links/src/silent_nodes.ts
+++ b/packages/node-links/src/silent_nodes.ts
@@ -1,6 +1,6 @@
 /** Tracks registered nodes from which the duty holder receives no heartbeats. */
 import {type Clock} from '@mimosatack/clock';
-import {type KnownNode} from './known_node.js';
+import {type RegisteredNode} from './known_node.js';
 
 /** Two missed heartbeats. */
 const SILENT_AFTER_MS = 500;
@@ -10,9 +10,9 @@
 /** Silent nodes by the action to take. */
 export interface SilentNodeActions {
   /** Nodes to introduce the holder to, since they may have restarted. */
-  introduce: readonly KnownNode[];
+  introduce: readonly RegisteredNode[];
   /** Nodes to remove from the list of registered nodes. */
-  remove: readonly KnownNode[];
+  remove: readonly RegisteredNode[];
 }
 
 export class SilentNodes {
@@ -22,7 +22,7 @@
 
   /** @param heardAtMs time of a node's last heartbeat; -Infinity for never. */
   update(
-    registered: readonly KnownNode[],
+    registered: readonly RegisteredNode[],
     heardAtMs: (nodeName: string) => number,
   ): SilentNodeActions {
     const nowMs = this.clock.monotonicMs();
--- a/packages/node-links/src/told_confirmation.test.ts
+++ b/packages/node-links/src/told_confirmation.test.ts
@@ -18,7 +18,7 @@
   holder.asOfMs = holder.nowMs;
   advance(400);
   const sentAtMs = node.nowMs;
-  node.confirmation.takeWelcome('h', holder.describe(), sentAtMs);
+  node.confirmation.handleWelcome('h', holder.describe(), sentAtMs);
   assert.is(node.ageMs, 400);
   advance(100);
   assert.is(node.ageMs, 500);
@@ -31,30 +31,30 @@
   const sentAtMs = node.nowMs;
   const welcome = holder.describe();
   advance(6_000);
-  node.confirmation.takeWelcome('h', welcome, sentAtMs);
+  node.confirmation.handleWelcome('h', welcome, sentAtMs);
   assert.is(node.ageMs, 6_000);
 });
 
 // Guards against a holder that trusts old heartbeats after a suspension.
 test('a heartbeat that was read late confirms nothing newer', () => {
   const {holder, node, advance} = startNodes();
-  node.confirmation.takeWelcome('h', holder.describe(), node.nowMs);
+  node.confirmation.handleWelcome('h', holder.describe(), node.nowMs);
   advance(100);
   node.asOfMs = node.nowMs;
   const hello = node.hello('h');
   advance(1_000);
   holder.host.suspend(5_000);
-  holder.confirmation.takeHello(hello);
+  holder.confirmation.handleHello(hello);
   assert.is(holder.ageMs, 6_000);
 });
 
 test('the holder adopts the confirmation of a node that reads the store', () => {
   const {holder, node, advance} = startNodes();
   advance(9_000);
-  node.confirmation.takeWelcome('h', holder.describe(), node.nowMs);
+  node.confirmation.handleWelcome('h', holder.describe(), node.nowMs);
   advance(50);
   node.asOfMs = node.nowMs - 20;
-  holder.confirmation.takeHello(node.hello('h'));
+  holder.confirmation.handleHello(node.hello('h'));
   assert.is(holder.ageMs, 20);
 });
 
@@ -62,18 +62,18 @@
   const {holder, node} = startNodes();
   holder.asOfMs = holder.nowMs;
   holder.version = 4;
-  node.confirmation.takeWelcome('h', holder.describe(), node.nowMs);
+  node.confirmation.handleWelcome('h', holder.describe(), node.nowMs);
   assert.is(node.ageMs, Infinity);
   node.version = 5;
-  node.confirmation.takeWelcome('h', holder.describe(), node.nowMs);
+  node.confirmation.handleWelcome('h', holder.describe(), node.nowMs);
   assert.is(node.ageMs, 0);
 });
 
 test("a clock sample of one holder is not used for another holder's clock", () => {
   const {holder, node} = startNodes();
-  node.confirmation.takeWelcome('h', holder.describe(), node.nowMs);
+  node.confirmation.handleWelcome('h', holder.describe(), node.nowMs);
   node.asOfMs = node.nowMs;
-  assert.is(node.confirmation.findBeatMs('other'), null);
+  assert.is(node.confirmation.findConfirmedBeatMs('other'), null);
 });
 
 test.run();
--- a/packages/node-links/src/told_confirmation.ts
+++ b/packages/node-links/src/told_confirmation.ts
@@ -24,13 +24,13 @@
  * the reader measured before: a node uses the send time of its heartbeat, the
  * holder the timestamp of a `welcome` that the node has received.
  */
-export class ToldConfirmation {
+export class ConfirmationExchange {
   private holderClock: HolderClockSample | null = null;
 
   constructor(private readonly confirmation: ConfigurationConfirmation) {}
 
   /** Time of the last confirmation on the holder's clock; null if unknown. */
-  findBeatMs(holderIncarnation: string): number | null {
+  findConfirmedBeatMs(holderIncarnation: string): number | null {
     const {holderClock} = this;
     const {asOfMs} = this.confirmation;
     if (holderClock?.incarnation !== holderIncarnation) return null;
@@ -39,7 +39,7 @@
   }
 
   /** @param sentAtMs send time of the heartbeat that the welcome answers. */
-  takeWelcome(
+  handleWelcome(
     incarnation: string,
     {configurationVersion, awakeBeatMs, confirmedAgeMs}: WelcomeConfirmation,
     sentAtMs: number,
@@ -54,7 +54,10 @@
   }
 
   /** Called on the holder for each heartbeat. */
-  takeHello({configurationVersion, confirmedBeatMs}: HelloConfirmation): void {
+  handleHello({
+    configurationVersion,
+    confirmedBeatMs,
+  }: HelloConfirmation): void {
     if (confirmedBeatMs === null) return;
     const asOfMs = Math.min(confirmedBeatMs, this.confirmation.nowMs);
     this.confirmation.noteConfirmed(configurationVersion, asOfMs);
--- a/packages/node-links/src/told_confirmation_properties.test.ts
+++ b/packages/node-links/src/told_confirmation_properties.test.ts
@@ -91,14 +91,14 @@
           }
           case 'hello': {
             const hello = node.hello(holderName);
-            schedule(() => holder.confirmation.takeHello(hello));
+            schedule(() => holder.confirmation.handleHello(hello));
             break;
           }
           case 'welcome': {
             const sentAtMs = node.nowMs;
             const welcome = holder.describe();
             schedule(() =>
-              node.confirmation.takeWelcome(holderName, welcome, sentAtMs),
+              node.confirmation.handleWelcome(holderName, welcome, sentAtMs),
             );
             break;
           }
--- a/packages/node/src/demand_planner.ts
+++ b/packages/node/src/demand_planner.ts
@@ -1,6 +1,10 @@
 /** Plans replicas for requests outside events. */
 import {type ResolvedEvent} from '@mimosatack/agreed-state';
-import {DemandTable, isDemandDue, planDemand} from '@mimosatack/plan-warming';
+import {
+  DemandTable,
+  isDemandPlanDue,
+  planDemand,
+} from '@mimosatack/plan-warming';
 import {type RecordBody} from '@mimosatack/records';
 import {makeDecisionRecord, makeEndAndExtendRecords} from './plan_records.js';
 import {type PlannerTaskOptions} from './planner_task.js';
@@ -26,7 +30,7 @@
    * replica.
    */
   noteMiss(modelText: string, nowMs: number): void {
-    this.demand.noteMiss(modelText, nowMs);
+    this.demand.recordMiss(modelText, nowMs);
   }
 
   /** The models of an event for which a request found no warm replica. */
@@ -39,9 +43,9 @@
 
   plan(nowMs: number): RecordBody[] {
     this.view.listActiveModels().forEach(model => {
-      this.demand.noteUse(model, nowMs);
+      this.demand.recordUse(model, nowMs);
     });
-    this.demand.forgetBefore(nowMs - DEMAND_RETENTION_MS);
+    this.demand.evictBefore(nowMs - DEMAND_RETENTION_MS);
     return this.models.flatMap(model => this.planModel(model, nowMs));
   }
 
@@ -57,7 +61,7 @@
       held: this.view.listHeld(purpose),
       nowMs,
     };
-    if (!isDemandDue(planInput)) return [];
+    if (!isDemandPlanDue(planInput)) return [];
     if (this.options.findRank(`demand ${model}`) !== 0) return [];
     const plan = planDemand({
       ...this.options,
--- a/packages/node/src/engine_steward.ts
+++ b/packages/node/src/engine_steward.ts
@@ -11,7 +11,7 @@
 import {
   type DrainLimits,
   EMPTY_STEWARD_MEMORY,
-  type LoadOutlook,
+  type ExpectedLoadTimes,
   type OrderIntent,
   type StewardStep,
   decideSteward,
@@ -37,7 +37,7 @@
   orderDoubtMs: number;
   drain: DrainLimits;
   /** What is currently known about the loads of a slot. */
-  outlook(slot: Slot): LoadOutlook;
+  outlook(slot: Slot): ExpectedLoadTimes;
 }
 
 /** Consecutive failed reads after which an engine counts as unreachable. */
@@ -190,7 +190,8 @@
       await this.send(intent);
     }
     if (this.rank === 0) this.writeRecords(step);
-    if (step.lookAgainAtMs !== null) this.scheduleStep(step.lookAgainAtMs);
+    if (step.nextDecisionAtMs !== null)
+      {this.scheduleStep(step.nextDecisionAtMs);}
   }
 
   /**
@@ -208,19 +209,20 @@
 
   private decide(engine: EngineState): StewardStep {
     const {placement, configuration, stewardship} = this.options.follower.state;
-    const slots = placement.listOn(engine.backendServerId);
+    const slots = placement.listOnBackendServer(engine.backendServerId);
     const nowMs = this.options.clock.wallMs();
     return decideSteward({
       slots,
       engine,
       memory: this.memory,
-      unresolved: this.unacknowledged.list(),
-      hasDoubts: stewardship.listDoubts(engine.backendServerId).length > 0,
+      unansweredSlotIds: this.unacknowledged.list(),
+      mayReceivePreviousOrders:
+        stewardship.listInDoubtClaims(engine.backendServerId).length > 0,
       memoryOfAdapter: (model, adapter) =>
         configuration.find('model', model)?.content.adapters[adapter]
           ?.memoryMib ?? 0,
       drain: this.options.drain,
-      outlook: slot => this.options.outlook(slot),
+      findLoadTimes: slot => this.options.outlook(slot),
       nowMs,
       reservedMib: this.sumReservedMib(slots, engine, nowMs),
     });
--- a/packages/node/src/engine_watch.test.ts
+++ b/packages/node/src/engine_watch.test.ts
@@ -1,7 +1,7 @@
 import {type Slot} from '@mimosatack/agreed-state';
 import {ManualClock} from '@mimosatack/clock';
 import {type EngineControl} from '@mimosatack/platform';
-import {WATCH_PATIENCE_MS} from '@mimosatack/steward-orders';
+import {TAKEOVER_DELAY_MS} from '@mimosatack/steward-orders';
 import {type EngineState} from '@mimosatack/types';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
@@ -99,7 +99,7 @@
     () => [makeSlot(LOAD_AT_MS)],
     LOAD_AT_MS + 1_000,
   );
-  assert.is(takeoverMs, LOAD_AT_MS + WATCH_PATIENCE_MS);
+  assert.is(takeoverMs, LOAD_AT_MS + TAKEOVER_DELAY_MS);
 });
 
 test('does not take over while the holder loads', async () => {
--- a/packages/node/src/engine_watch.ts
+++ b/packages/node/src/engine_watch.ts
@@ -2,7 +2,7 @@
 import {type Slot} from '@mimosatack/agreed-state';
 import {type Clock, type Timer} from '@mimosatack/clock';
 import {type EngineControl} from '@mimosatack/platform';
-import {findNextWatchMs, watchEngine} from '@mimosatack/steward-orders';
+import {findNextCheckMs, checkForTakeover} from '@mimosatack/steward-orders';
 
 export interface EngineWatchOptions {
   clock: Clock;
@@ -41,7 +41,7 @@
     const nowMs = this.options.clock.wallMs();
     const slots = this.options.listSlots();
     this.noteSlots(slots, nowMs);
-    const nextMs = findNextWatchMs(
+    const nextMs = findNextCheckMs(
       this.listKnownLongEnough(slots, nowMs),
       this.options.rank,
       nowMs,
@@ -71,13 +71,14 @@
     const nowMs = this.options.clock.wallMs();
     const slots = this.listKnownLongEnough(this.options.listSlots(), nowMs);
     if (engine) {
-      const {isNeglected, unfinished} = watchEngine({
-        slots,
-        engine,
-        rank: this.options.rank,
-        nowMs,
-        unfinishedBefore: this.unfinished,
-      });
+      const {shouldTakeOver: isNeglected, incomplete: unfinished} =
+        checkForTakeover({
+          slots,
+          engine,
+          rank: this.options.rank,
+          nowMs,
+          incompleteBefore: this.unfinished,
+        });
       this.unfinished = unfinished;
       if (isNeglected) {
         this.stop();
--- a/packages/node/src/key_tasks.ts
+++ b/packages/node/src/key_tasks.ts
@@ -3,7 +3,7 @@
 import {type RandomSource} from '@mimosatack/random';
 import {UnrepeatableRunner} from '@mimosatack/serve-callers';
 import {type DaemonSettings} from '@mimosatack/settings';
-import {type TicketMint} from '@mimosatack/unrepeatable';
+import {type TicketSigner} from '@mimosatack/unrepeatable';
 import {ClaimTask} from './claim_task.js';
 import {type NodeRanking} from './node_ranking.js';
 import {type PeerTask} from './peer_task.js';
@@ -16,7 +16,7 @@
   settings: DaemonSettings;
   incarnation: string;
   logTimeoutMs: number;
-  mint: TicketMint;
+  mint: TicketSigner;
   peers: PeerTask;
   ranking: NodeRanking;
 }
@@ -44,8 +44,8 @@
       claims: this.claims.keys,
       owners: {
         findProcess: incarnation => peers.findProcess(incarnation),
-        findKeeper: partition => this.claims.findKeeper(partition),
-        askHeirs: query => this.tickets.askHeirs(query),
+        findPartitionOwner: partition => this.claims.findKeeper(partition),
+        askSuccessors: query => this.tickets.askHeirs(query),
       },
     });
   }
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -1,6 +1,6 @@
 /** Builds the tasks and servers of one node and connects them. */
 import {randomUUID} from 'node:crypto';
-import {RequestTokenMint} from '@mimosatack/answer-streams';
+import {RequestTokenSigner} from '@mimosatack/answer-streams';
 import {type Clock} from '@mimosatack/clock';
 import {EngineBoard} from '@mimosatack/engine-board';
 import {type TypedError, toTypedError} from '@mimosatack/errors';
@@ -10,13 +10,13 @@
 import {type RandomSource} from '@mimosatack/random';
 import {
   AbandonedRequests,
-  type Answering,
+  type RequestRouting,
   buildCallerServer,
-  makeAnswering,
+  makeRequestRouting,
 } from '@mimosatack/serve-callers';
 import {type DaemonSettings} from '@mimosatack/settings';
 import {type Periodic, startPeriodic} from '@mimosatack/tasks';
-import {TicketMint} from '@mimosatack/unrepeatable';
+import {TicketSigner} from '@mimosatack/unrepeatable';
 import {type FastifyInstance} from 'fastify';
 import {CheckpointTask} from './checkpoint_task.js';
 import {type HostListTask} from './host_list_task.js';
@@ -79,11 +79,11 @@
   private readonly hosts: HostListTask;
   private readonly planner: PlannerTask;
   private readonly hints: StewardHints;
-  private readonly answering: Answering;
+  private readonly answering: RequestRouting;
   private readonly callerServer: FastifyInstance;
   private readonly operations: Operations;
   private readonly periodics: Periodic[] = [];
-  private readonly mint: TicketMint;
+  private readonly mint: TicketSigner;
   private readonly keys: KeyTasks;
   private readonly deadProcesses: DeadProcesses;
   private readonly ranking: NodeRanking;
@@ -102,7 +102,7 @@
       close: () => this.close(),
     });
     this.incarnation = `${settings.nodeName}.${randomUUID().slice(0, 8)}`;
-    this.mint = new TicketMint(settings.clusterSecret);
+    this.mint = new TicketSigner(settings.clusterSecret);
     this.deadProcesses = new DeadProcesses(clock, ORDER_DOUBT_MS);
     this.log = new HttpLogService({
       baseUrl: settings.logUrl,
@@ -148,13 +148,17 @@
     this.callerServer = buildCallerServer({
       ...this.options,
       ...this.answering,
-      gate: this.shutdown.gate,
-      tokens: new RequestTokenMint(settings.clusterSecret),
+      drainGate: this.shutdown.gate,
+      tokens: new RequestTokenSigner(settings.clusterSecret),
       abandoned: this.abandoned,
-      tellResumed: (incarnation, engineRequestId) =>
+      notifyResumed: (incarnation, engineRequestId) =>
         this.peers.sendResumed(incarnation, engineRequestId),
       ...{incarnation: this.incarnation, state: () => this.follower.state},
-      ...{board: this.board, mint: this.mint, unrepeatable: this.keys.runner},
+      ...{
+        board: this.board,
+        tokenSigner: this.mint,
+        unrepeatable: this.keys.runner,
+      },
       limits: settings,
       serverFactory: this.operations.callerServerFactory,
       listEntries: () => this.peers.listEntries().map(toEntry),
@@ -268,14 +272,14 @@
     every(STORE_LIMITS_INTERVAL_MS, readLimits);
   }
 
-  private makeAnswering(): Answering {
-    return makeAnswering({
+  private makeAnswering(): RequestRouting {
+    return makeRequestRouting({
       ...this.options,
       ...this.options.settings,
       state: () => this.follower.state,
       board: this.board,
       countNodes: () => this.peers.listUsable().length,
-      noteDemand: modelText =>
+      reportDemand: modelText =>
         forwardDemand(modelText, {
           ...{incarnation: this.incarnation, ranking: this.ranking},
           ...{peers: this.peers, planner: this.planner},
--- a/packages/node/src/node_ranking.ts
+++ b/packages/node/src/node_ranking.ts
@@ -6,8 +6,8 @@
 
 export interface MemberSource {
   /** Increases whenever `listDeciders` may have changed. */
-  readonly decidersVersion: number;
-  listDeciders(): Member[];
+  readonly writersVersion: number;
+  listWriters(): Member[];
 }
 
 interface KeyRanking {
@@ -48,13 +48,13 @@
   }
 
   private rank(key: string): KeyRanking {
-    if (this.version !== this.source.decidersVersion) {
-      this.version = this.source.decidersVersion;
+    if (this.version !== this.source.writersVersion) {
+      this.version = this.source.writersVersion;
       this.rankings.clear();
     }
     const known = this.rankings.get(key);
     if (known) return known;
-    const ranked = rankMembers(key, this.source.listDeciders());
+    const ranked = rankMembers(key, this.source.listWriters());
     const ranking = {
       topNodes: ranked.slice(0, MAX_LISTED_NODES),
       ownRank: ranked.findIndex(member => member.incarnation === this.self),
--- a/packages/node/src/node_shutdown.ts
+++ b/packages/node/src/node_shutdown.ts
@@ -33,7 +33,7 @@
     this.gate = new DrainGate(new InFlight(clock));
     this.task = new ShutdownTask({
       ...{clock, logger, graceMs, gate: this.gate},
-      tellCallersMs: entriesTtlMs + LEAVE_PROPAGATION_MS,
+      addressExpiryMs: entriesTtlMs + LEAVE_PROPAGATION_MS,
       actions: {
         // `start` checks itself whether a stop was requested.
         abortStart: () => undefined,
--- a/packages/node/src/peer_task.ts
+++ b/packages/node/src/peer_task.ts
@@ -115,7 +115,7 @@
   }
 
   /** Increases whenever the result of `listDeciders` may have changed. */
-  get decidersVersion(): number {
+  get writersVersion(): number {
     return (this.membership?.version ?? 0) + this.progress.version;
   }
 
@@ -132,7 +132,7 @@
    * all members if none does. Guards against an event that stays unplanned
    * because the node responsible for it cannot reach the log.
    */
-  listDeciders(): Member[] {
+  listWriters(): Member[] {
     const usable = this.listUsable();
     const deciders = usable.filter(member => this.mayDecide(member));
     return deciders.length === 0 ? usable : deciders;
@@ -300,7 +300,7 @@
   private noteNodesLeaving(nodeNames: readonly string[]): void {
     const nowMs = this.options.clock.monotonicMs();
     nodeNames.forEach(nodeName =>
-      this.membership?.noteHint({nodeName, state: 'leaving'}, nowMs),
+      this.membership?.applyHint({nodeName, state: 'leaving'}, nowMs),
     );
     if (nodeNames.includes(this.options.nodeName)) this.leave();
   }
--- a/packages/node/src/planner_task.ts
+++ b/packages/node/src/planner_task.ts
@@ -7,7 +7,7 @@
 import {
   type EventPlan,
   type LoadTimeEstimates,
-  PlanningAgenda,
+  PlanningSchedule,
   type WarmingPolicy,
   fingerprintEvent,
   listPreemptible,
@@ -60,7 +60,7 @@
 const MAX_PLANNING_RANK = 2;
 
 export class PlannerTask extends Task<PlannerMessage> {
-  private readonly agenda = new PlanningAgenda(AGENDA_OPTIONS);
+  private readonly agenda = new PlanningSchedule(AGENDA_OPTIONS);
   private readonly demand: DemandPlanner;
   private readonly unplaced = new Map<EventId, UnplacedReplicas[]>();
   private readonly view: PlannerView;
@@ -145,7 +145,7 @@
     const isQuiet =
       inputKey === this.lastInputKey &&
       nowMs < this.nextBoundaryMs &&
-      !this.agenda.hasOpen;
+      !this.agenda.hasUnsettled;
     this.lastInputKey = inputKey;
     return isQuiet;
   }
@@ -157,7 +157,7 @@
       .flatMap(({startsAtMs, endsAtMs}) => [startsAtMs, endsAtMs])
       .filter(atMs => atMs > nowMs);
     this.nextBoundaryMs = Math.min(Infinity, ...boundariesMs);
-    this.agenda.keepOnly(new Set(events.map(event => event.eventId)));
+    this.agenda.retainOnly(new Set(events.map(event => event.eventId)));
     [...this.unplaced.keys()]
       .filter(eventId => !configuration.findEvent(eventId))
       .forEach(eventId => this.unplaced.delete(eventId));
@@ -179,16 +179,16 @@
     if (!this.agenda.isDue(eventId, fingerprint, nowMs)) return false;
     const rank = this.options.findRank(`event ${eventId}`);
     const mayPlan = rank >= 0 && rank <= MAX_PLANNING_RANK;
-    return mayPlan && this.agenda.isTurn(eventId, rank, nowMs);
+    return mayPlan && this.agenda.isRankDue(eventId, rank, nowMs);
   }
 
   private fingerprint(event: ResolvedEvent, nowMs: number): string {
     return fingerprintEvent({
       event,
       held: this.view.listHeld({for: 'event', eventId: event.eventId}),
-      demanded: this.demand.listMissed(event),
+      requestedModels: this.demand.listMissed(event),
       nowMs,
-      markSlot: slot => this.view.fingerprintSlot(slot),
+      formatServerStatus: slot => this.view.fingerprintSlot(slot),
     });
   }
 
@@ -209,7 +209,7 @@
         findEvent: id => configuration.findEvent(id),
       }),
       nowMs,
-      demanded: this.demand.listMissed(event),
+      requestedModels: this.demand.listMissed(event),
     });
     const bodies: RecordBody[] = [
       ...makeEndAndExtendRecords(plan),
@@ -218,9 +218,9 @@
     this.view.reserve(plan.decide);
     this.noteUnplaced(event, plan, nowMs);
     if (bodies.length === 0 && plan.unplaced.length === 0) {
-      this.agenda.noteSettled(event.eventId, fingerprint);
+      this.agenda.recordSettled(event.eventId, fingerprint);
     } else {
-      this.agenda.noteOpen(event.eventId, fingerprint, nowMs);
+      this.agenda.recordUnsettled(event.eventId, fingerprint, nowMs);
     }
     return bodies;
   }
--- a/packages/node/src/planner_view.ts
+++ b/packages/node/src/planner_view.ts
@@ -10,7 +10,7 @@
   StoreTimetable,
   findStoreUse,
   makeServerView,
-  takeRoom,
+  reserveMemory,
 } from '@mimosatack/plan-warming';
 import {type WeightStoreLimits} from '@mimosatack/platform';
 import {type SlotPlan, type SlotPurpose} from '@mimosatack/records';
@@ -28,7 +28,7 @@
 export interface PlanningParts {
   servers: readonly ServerView[];
   timetable: StoreTimetable;
-  lanes: number;
+  maxConcurrentLoads: number;
 }
 
 const DEFAULT_LIMITS: WeightStoreLimits = {
@@ -74,14 +74,14 @@
   }
 
   listHeld(purpose: SlotPurpose): Slot[] {
-    return this.state.placement.listFor(purpose);
+    return this.state.placement.listForPurpose(purpose);
   }
 
   planningParts(): PlanningParts {
     this.parts ??= {
       servers: this.listServers(),
       timetable: this.makeTimetable(),
-      lanes: this.lanes,
+      maxConcurrentLoads: this.maxConcurrentLoads,
     };
     return this.parts;
   }
@@ -90,7 +90,7 @@
   reserve(plans: readonly SlotPlan[]): void {
     if (plans.length === 0) return;
     const parts = this.planningParts();
-    this.parts = {...parts, servers: takeRoom(parts.servers, plans)};
+    this.parts = {...parts, servers: reserveMemory(parts.servers, plans)};
   }
 
   /** Changes when planning for the slot's backend server may change. */
@@ -177,7 +177,7 @@
     return this.options.follower.state;
   }
 
-  private get lanes(): number {
+  private get maxConcurrentLoads(): number {
     return Math.max(
       1,
       Math.floor(this.limits.fullSpeedLoads * PLANNED_LOAD_SHARE),
@@ -225,6 +225,6 @@
       .list()
       .map(findStoreUse)
       .filter(use => use.untilMs > this.nowMs);
-    return new StoreTimetable(this.lanes, uses);
+    return new StoreTimetable(this.maxConcurrentLoads, uses);
   }
 }
--- a/packages/node/src/report_task.ts
+++ b/packages/node/src/report_task.ts
@@ -13,8 +13,8 @@
 import {type Member} from '@mimosatack/membership';
 import {type RandomSource} from '@mimosatack/random';
 import {
-  type Now,
-  PullPlan,
+  type ClockReading,
+  FullStateRequests,
   type ReportMessage,
   ReportSharing,
   type StewardTerm,
@@ -44,7 +44,7 @@
 /** Shares reports through the peer transport. */
 export class ReportTask extends Task<ReportTaskMessage> {
   private readonly sharing: ReportSharing;
-  private readonly pulls: PullPlan;
+  private readonly pulls: FullStateRequests;
   private lastState: AgreedState | null = null;
   private lastSequence = -1;
   private nodesKey = '';
@@ -54,10 +54,10 @@
     onError: TaskErrorHandler,
   ) {
     super('reports', onError);
-    this.pulls = new PullPlan(options.board);
+    this.pulls = new FullStateRequests(options.board);
     this.sharing = new ReportSharing({
       ...options,
-      isWatched: (_id, engineSlotId) =>
+      needsSlotUsage: (_id, engineSlotId) =>
         options.follower.state.placement.find(readBaseSlotId(engineSlotId))
           ?.purpose.for === 'demand',
     });
@@ -92,7 +92,7 @@
     for (const steward of this.listStewards(id)) {
       const pulled = await peers.pullEngine(steward.peerAddress, id);
       if (!pulled) continue;
-      board.noteEngine(pulled.engine, pulled.version);
+      board.applyEngine(pulled.engine, pulled.version);
       return pulled.engine;
     }
     return board.find(id)?.engine ?? null;
@@ -126,7 +126,7 @@
     this.lastState = state;
     this.lastSequence = state.sequence;
     const {stewardship} = state;
-    this.sharing.setRunners(
+    this.sharing.setBackendServers(
       stewardship.listBackendServers().map(({backendServerId}) => {
         const claim = stewardship.findClaim(backendServerId);
         return {
@@ -136,7 +136,7 @@
         };
       }),
     );
-    this.options.board.refreshSlots();
+    this.options.board.reindexWarm();
   }
 
   private syncNodes(): void {
@@ -147,13 +147,13 @@
     this.sharing.setNodes(nodes);
   }
 
-  private pullDue({monotonicMs}: Now): void {
+  private pullDue({monotonicMs}: ClockReading): void {
     const ids = this.options.follower.state.stewardship
       .listBackendServers()
       .map(server => server.backendServerId);
-    this.pulls.takeDue(ids, monotonicMs).forEach(id => {
+    this.pulls.takeDueRequests(ids, monotonicMs).forEach(id => {
       void this.readEngine(id).then(engine => {
-        if (engine) this.pulls.noteDone(id);
+        if (engine) this.pulls.markCompleted(id);
       });
     });
   }
@@ -181,7 +181,7 @@
     this.options.peers.sendReport(toAddress, message);
   }
 
-  private readClock(): Now {
+  private readClock(): ClockReading {
     const {clock} = this.options;
     return {monotonicMs: clock.monotonicMs(), wallMs: clock.wallMs()};
   }
@@ -192,13 +192,15 @@
   {placement}: AgreedState,
   id: BackendServerId,
 ): SlotContent[] {
-  return placement.listOn(id).flatMap(({slotId, model, adapters}) => [
-    {engineSlotId: slotId, slotId, model, adapter: null},
-    ...adapters.map(adapter => ({
-      engineSlotId: formatAdapterSlotId(slotId, adapter),
-      slotId,
-      model,
-      adapter,
-    })),
-  ]);
+  return placement
+    .listOnBackendServer(id)
+    .flatMap(({slotId, model, adapters}) => [
+      {engineSlotId: slotId, slotId, model, adapter: null},
+      ...adapters.map(adapter => ({
+        engineSlotId: formatAdapterSlotId(slotId, adapter),
+        slotId,
+        model,
+        adapter,
+      })),
+    ]);
 }
--- a/packages/node/src/steward_hints.ts
+++ b/packages/node/src/steward_hints.ts
@@ -3,8 +3,11 @@
 import {type Clock} from '@mimosatack/clock';
 import {type EngineBoard} from '@mimosatack/engine-board';
 import {type LogFollower} from '@mimosatack/follow-log';
-import {LoadTimeEstimates, makeLoadOutlook} from '@mimosatack/plan-warming';
-import {type DrainLimits, type LoadOutlook} from '@mimosatack/steward-orders';
+import {LoadTimeEstimates, estimateSlotLoad} from '@mimosatack/plan-warming';
+import {
+  type DrainLimits,
+  type ExpectedLoadTimes,
+} from '@mimosatack/steward-orders';
 
 /** Assumed maximum difference between the clocks of two nodes. */
 const CLOCK_SKEW_MS = 500;
@@ -35,9 +38,14 @@
   }
 
   /** What is currently known about the loads of a slot. */
-  outlook(slot: Slot): LoadOutlook {
+  outlook(slot: Slot): ExpectedLoadTimes {
     const {clock, follower} = this.options;
     const {configuration} = follower.state;
-    return makeLoadOutlook(slot, this.loadTimes, configuration, clock.wallMs());
+    return estimateSlotLoad(
+      slot,
+      this.loadTimes,
+      configuration,
+      clock.wallMs(),
+    );
   }
 }
--- a/packages/node/src/steward_task.test.ts
+++ b/packages/node/src/steward_task.test.ts
@@ -221,7 +221,7 @@
     await takeOver(bench);
     await second.tick(10);
     const listDoubts = () =>
-      second.follower.state.stewardship.listDoubts('r1').length;
+      second.follower.state.stewardship.listInDoubtClaims('r1').length;
     assert.is(listDoubts(), 1);
     second.evidence = 'host-gone';
     await second.tickUntil(() => listDoubts() === 0);
--- a/packages/node/src/steward_task.ts
+++ b/packages/node/src/steward_task.ts
@@ -5,7 +5,7 @@
 import {
   type AgreedState,
   type BackendServer,
-  type Doubt,
+  type InDoubtClaim,
   type Slot,
   type StewardClaim,
 } from '@mimosatack/agreed-state';
@@ -18,7 +18,10 @@
 import {type BodyOf, type RecordBody} from '@mimosatack/records';
 import {type StewardTerm} from '@mimosatack/share-reports';
 import {decideRole, isFree} from '@mimosatack/steward-claims';
-import {type DrainLimits, type LoadOutlook} from '@mimosatack/steward-orders';
+import {
+  type DrainLimits,
+  type ExpectedLoadTimes,
+} from '@mimosatack/steward-orders';
 import {Task, type TaskErrorHandler} from '@mimosatack/tasks';
 import {type BackendServerId, type NodeIncarnation} from '@mimosatack/types';
 import {EngineSteward} from './engine_steward.js';
@@ -58,7 +61,7 @@
    */
   orderDoubtMs: number;
   drain: DrainLimits;
-  outlook(slot: Slot): LoadOutlook;
+  outlook(slot: Slot): ExpectedLoadTimes;
 }
 
 /** What happened to the backend servers of a stopping node. */
@@ -104,7 +107,7 @@
       incarnation: options.incarnation,
       connect: ({backendServerId, baseUrl}) =>
         options.connect(backendServerId, baseUrl),
-      listSlots: id => options.follower.state.placement.listOn(id),
+      listSlots: id => options.follower.state.placement.listOnBackendServer(id),
       onTakeover: () => this.post({type: 'tick'}),
     });
   }
@@ -316,7 +319,7 @@
     const id = server.backendServerId;
     const rank = this.options.findOwnRank(id);
     const mayProve = rank >= 0 && rank < PROVING_NODE_COUNT;
-    state.stewardship.listDoubts(id).forEach(doubt => {
+    state.stewardship.listInDoubtClaims(id).forEach(doubt => {
       const evidence = this.findEvidence(doubt, mayProve);
       if (!evidence) return;
       void this.submit(`doubt ${id} ${doubt.epoch}`, {
@@ -329,7 +332,7 @@
   }
 
   private findEvidence(
-    doubt: Doubt,
+    doubt: InDoubtClaim,
     mayProve: boolean,
   ): BodyOf<'clear-doubt'>['evidence'] | null {
     if (doubt.formerHolder === this.options.incarnation) {
--- a/packages/node/src/test_fixtures.ts
+++ b/packages/node/src/test_fixtures.ts
@@ -128,8 +128,8 @@
         drain: {clockSkewMs: 0, foldLagMs: 0, maxRequestMs: 1_000},
         outlook: () => ({
           startsAtMs: null,
-          remoteMs: 0,
-          nearMs: {memory: 0, disk: 0},
+          storeLoadMs: 0,
+          cachedLoadMs: {memory: 0, disk: 0},
           slowdown: 1,
         }),
       },
--- a/packages/node/src/ticket_task.ts
+++ b/packages/node/src/ticket_task.ts
@@ -104,7 +104,7 @@
       case 'ticket-page':
         return {
           type: 'ticket-page-taken',
-          isTaken: this.inherited.takePage(message.page),
+          isTaken: this.inherited.addPage(message.page),
         };
       case 'find-ticket':
         return {
--- a/packages/peer-transport/src/authentication.ts
+++ b/packages/peer-transport/src/authentication.ts
@@ -3,7 +3,7 @@
 import {type IncomingHttpHeaders} from 'node:http';
 import {type Clock} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
-import {type PeerOrigin} from './options.js';
+import {type PeerIdentity} from './options.js';
 
 const ADDRESS_HEADER = 'x-peer-address';
 const NAME_HEADER = 'x-peer-node';
@@ -16,7 +16,7 @@
 
 /** Returns the headers that authenticate a connection of this node. */
 export function createAuthHeaders(
-  origin: PeerOrigin,
+  origin: PeerIdentity,
   clusterSecret: string,
   clock: Clock,
 ): Record<string, string> {
@@ -56,7 +56,7 @@
   ) {}
 
   /** Returns the peer; throws `unauthorized` if its signature is invalid. */
-  verify(headers: IncomingHttpHeaders): PeerOrigin {
+  verify(headers: IncomingHttpHeaders): PeerIdentity {
     const origin = readOrigin(headers);
     const [timeMs = '', nonce = '', mac = ''] = readHeader(
       headers,
@@ -75,7 +75,7 @@
     return origin;
   }
 
-  private checkAge(timeMs: number, origin: PeerOrigin): void {
+  private checkAge(timeMs: number, origin: PeerIdentity): void {
     if (Math.abs(this.clock.wallMs() - timeMs) <= MAX_AGE_MS) return;
     throw createUnauthorizedError(
       origin,
@@ -88,7 +88,7 @@
    * Guards against replay of a recorded handshake: a nonce is kept for as long
    * as its signature is valid.
    */
-  private checkNonce(nonce: string, origin: PeerOrigin): void {
+  private checkNonce(nonce: string, origin: PeerIdentity): void {
     const nowMs = this.clock.monotonicMs();
     [...this.nonces]
       .filter(([, untilMs]) => untilMs <= nowMs)
@@ -108,7 +108,7 @@
   clusterSecret: string,
   timeMs: string,
   nonce: string,
-  {address, nodeName}: PeerOrigin,
+  {address, nodeName}: PeerIdentity,
 ): Buffer {
   return createHmac('sha256', clusterSecret)
     .update([timeMs, nonce, address, nodeName].join('\n'))
@@ -120,7 +120,7 @@
   return given.length === expected.length && timingSafeEqual(given, expected);
 }
 
-function readOrigin(headers: IncomingHttpHeaders): PeerOrigin {
+function readOrigin(headers: IncomingHttpHeaders): PeerIdentity {
   return {
     address: readHeader(headers, ADDRESS_HEADER),
     nodeName: parseNodeName(headers),
@@ -133,7 +133,7 @@
 }
 
 function createUnauthorizedError(
-  {address, nodeName}: PeerOrigin,
+  {address, nodeName}: PeerIdentity,
   reason: string,
   remedy: string,
 ): TypedError {
--- a/packages/peer-transport/src/index.ts
+++ b/packages/peer-transport/src/index.ts
@@ -1,7 +1,7 @@
 export {
   PEER_UNREACHABLE,
   type PeerCounters,
-  type PeerOrigin,
+  type PeerIdentity,
   type PeerTransportOptions,
 } from './options.js';
 export {PeerTransport} from './peer_transport.js';
--- a/packages/peer-transport/src/options.ts
+++ b/packages/peer-transport/src/options.ts
@@ -7,7 +7,7 @@
 export const PEER_UNREACHABLE: ErrorKind = 'peer-unreachable';
 
 /** Identity of a peer. */
-export interface PeerOrigin {
+export interface PeerIdentity {
   /** Address on which the peer accepts connections. */
   address: string;
   nodeName: string;
@@ -35,7 +35,7 @@
   /** Validates incoming messages. */
   schema: z.ZodType<M>;
   /** Handles a message; the result is the reply if the message is a request. */
-  onMessage(from: PeerOrigin, message: M): Promise<M | void> | M | void;
+  onMessage(from: PeerIdentity, message: M): Promise<M | void> | M | void;
   /** Receives errors that indicate a wrong configuration or a faulty node. */
   onFault(error: TypedError): void;
 }
--- a/packages/peer-transport/src/peer_fixture.ts
+++ b/packages/peer-transport/src/peer_fixture.ts
@@ -4,7 +4,7 @@
 import * as assert from 'uvu/assert';
 import * as z from 'zod';
 import {
-  type PeerOrigin,
+  type PeerIdentity,
   PeerTransport,
   type PeerTransportOptions,
 } from './index.js';
@@ -24,7 +24,7 @@
 export interface TestPeer {
   transport: PeerTransport<TestMessage>;
   address: string;
-  received: Array<{from: PeerOrigin; text: string}>;
+  received: Array<{from: PeerIdentity; text: string}>;
   faults: TypedError[];
 }
 
--- a/packages/peer-transport/src/peer_link.ts
+++ b/packages/peer-transport/src/peer_link.ts
@@ -3,7 +3,7 @@
 import {TypedError, toTypedError} from '@mimosatack/errors';
 import {type RawData, type WebSocket} from 'ws';
 import {type Frame, type FrameCodec} from './frame_codec.js';
-import {type PeerCounters, type PeerOrigin} from './options.js';
+import {type PeerCounters, type PeerIdentity} from './options.js';
 
 /** Close codes of RFC 6455. */
 const CLOSE_NORMAL = 1000;
@@ -35,7 +35,7 @@
   private pongTimer: Timer | null = null;
 
   constructor(
-    readonly peer: PeerOrigin,
+    readonly peer: PeerIdentity,
     private readonly socket: WebSocket,
     private readonly side: 'client' | 'server',
     private readonly context: LinkContext<M>,
--- a/packages/peer-transport/src/peer_server.ts
+++ b/packages/peer-transport/src/peer_server.ts
@@ -13,7 +13,7 @@
   type ConnectionVerifier,
   createNodeNameHeader,
 } from './authentication.js';
-import {type PeerOrigin} from './options.js';
+import {type PeerIdentity} from './options.js';
 
 export interface PeerServerOptions {
   listenHost: string;
@@ -21,7 +21,7 @@
   nodeName: string;
   maxMessageBytes: number;
   verifier: ConnectionVerifier;
-  onConnection(peer: PeerOrigin, socket: WebSocket): void;
+  onConnection(peer: PeerIdentity, socket: WebSocket): void;
   onFault(error: TypedError): void;
 }
 
--- a/packages/peer-transport/src/peer_transport.ts
+++ b/packages/peer-transport/src/peer_transport.ts
@@ -15,7 +15,7 @@
 import {openConnection} from './open_connection.js';
 import {
   type PeerCounters,
-  type PeerOrigin,
+  type PeerIdentity,
   type PeerTransportOptions,
   createCounters,
 } from './options.js';
@@ -158,13 +158,13 @@
     }
   }
 
-  private accept(peer: PeerOrigin, socket: WebSocket): void {
+  private accept(peer: PeerIdentity, socket: WebSocket): void {
     const link = this.registerLink(peer, socket, 'server');
     this.channelTo(peer.address).attach(link);
   }
 
   private registerLink(
-    peer: PeerOrigin,
+    peer: PeerIdentity,
     socket: WebSocket,
     side: 'client' | 'server',
   ): PeerLink<M> {
--- a/packages/plan-warming/src/baseline_policies.ts
+++ b/packages/plan-warming/src/baseline_policies.ts
@@ -9,7 +9,7 @@
 /** Never preloads: the first request for a model waits for its load. */
 export class LoadOnFirstRequestPolicy implements WarmingPolicy {
   readonly policyName = 'load-on-first-request';
-  readonly maxAheadMs = 0;
+  readonly maxLeadMs = 0;
 
   chooseTimes(): null {
     return null;
@@ -19,14 +19,14 @@
 /** Starts every load a fixed time before the event starts. */
 export class FixedLeadPolicy implements WarmingPolicy {
   readonly policyName = 'fixed-lead';
-  readonly maxAheadMs: number;
+  readonly maxLeadMs: number;
 
   constructor(leadMs: number) {
-    this.maxAheadMs = leadMs;
+    this.maxLeadMs = leadMs;
   }
 
   chooseTimes(request: WarmingRequest): WarmingTimes | null {
-    const loadAtMs = request.startsAtMs - this.maxAheadMs;
+    const loadAtMs = request.startsAtMs - this.maxLeadMs;
     return loadWithoutStaging(request, Math.max(request.nowMs, loadAtMs));
   }
 }
--- a/packages/plan-warming/src/demand_table.ts
+++ b/packages/plan-warming/src/demand_table.ts
@@ -29,7 +29,7 @@
    *
    * @param modelText `model` or `model:adapter`.
    */
-  noteMiss(modelText: string, nowMs: number): void {
+  recordMiss(modelText: string, nowMs: number): void {
     const [model = '', adapter] = modelText.split(':', 2);
     const entry = this.touch(model, nowMs);
     entry.lastMissMs = nowMs;
@@ -43,7 +43,7 @@
   }
 
   /** Records a request for a model that runs or was sent. */
-  noteUse(model: string, nowMs: number): void {
+  recordUse(model: string, nowMs: number): void {
     this.touch(model, nowMs);
   }
 
@@ -54,7 +54,7 @@
   }
 
   /** Removes models that were last requested before `sinceMs`. */
-  forgetBefore(sinceMs: number): void {
+  evictBefore(sinceMs: number): void {
     [...this.entries]
       .filter(([, entry]) => (entry.lastUseMs ?? 0) < sinceMs)
       .forEach(([model]) => this.entries.delete(model));
--- a/packages/plan-warming/src/index.ts
+++ b/packages/plan-warming/src/index.ts
@@ -3,7 +3,7 @@
   LoadOnFirstRequestPolicy,
 } from './baseline_policies.js';
 export {DemandTable} from './demand_table.js';
-export {type SlotOutlook, makeLoadOutlook} from './load_outlook.js';
+export {type SlotLoadEstimate, estimateSlotLoad} from './load_outlook.js';
 export {
   DEFAULT_LOAD_TIMES,
   LoadTimeEstimates,
@@ -15,7 +15,7 @@
   type DemandPlan,
   type DemandPlanInput,
   type DemandState,
-  isDemandDue,
+  isDemandPlanDue,
   planDemand,
 } from './plan_demand.js';
 export {
@@ -27,18 +27,18 @@
   planEvent,
 } from './plan_event.js';
 export {
-  type AgendaOptions,
-  PlanningAgenda,
+  type PlanningScheduleOptions,
+  PlanningSchedule,
   fingerprintEvent,
 } from './planning_agenda.js';
 export {listPreemptible} from './preempt_slots.js';
-export {expectReplicaLoad} from './replica_placer.js';
-export {ServerRoom} from './server_room.js';
+export {estimateReplicaLoad} from './replica_placer.js';
+export {ServerMemory} from './server_room.js';
 export {
   type ServerView,
-  type ServerViewParts,
+  type ServerViewInput,
   makeServerView,
-  takeRoom,
+  reserveMemory,
 } from './server_view.js';
 export {
   StoreTimetable,
--- a/packages/plan-warming/src/load_time_estimates.test.ts
+++ b/packages/plan-warming/src/load_time_estimates.test.ts
@@ -37,7 +37,7 @@
 }
 
 test('uses the nominal store rate until a load is observed', () => {
-  const {storeMs} = setUp().expect({model: 'm', adapter: null}, 'remote');
+  const {storeMs} = setUp().estimate({model: 'm', adapter: null}, 'remote');
   assert.is(storeMs, 1_000);
 });
 
@@ -45,7 +45,7 @@
   const estimates = setUp();
   observeLoad(estimates, 'big', 0);
   const expectRemote = (model: string) =>
-    estimates.expect({model, adapter: null}, 'remote').storeMs;
+    estimates.estimate({model, adapter: null}, 'remote').storeMs;
   assert.is(expectRemote('big'), 5_000);
   assert.is(expectRemote('other'), 1_000);
 });
--- a/packages/plan-warming/src/load_time_estimates.ts
+++ b/packages/plan-warming/src/load_time_estimates.ts
@@ -24,21 +24,21 @@
 
 /** Provides expected load times of a base model or adapter by cache tier. */
 export interface LoadTimeSource {
-  expect(ref: Omit<ModelRef, 'version'>, tier: CacheTier): LoadTimes;
+  estimate(ref: Omit<ModelRef, 'version'>, tier: CacheTier): LoadTimes;
 }
 
 /** Load times that are assumed until loads have been observed. */
 export interface LoadTimeDefaults {
   limits: WeightStoreLimits;
   /** Load time from a local cache, by tier. */
-  nearMs: Record<'memory' | 'disk', number>;
+  cachedLoadMs: Record<'memory' | 'disk', number>;
   /** Initialization after a transfer from the weight store. */
   initMs: number;
 }
 
 export const DEFAULT_LOAD_TIMES: LoadTimeDefaults = {
   limits: {loadsPerSecond: 3, fullSpeedLoads: 4},
-  nearMs: {memory: 400, disk: 700},
+  cachedLoadMs: {memory: 400, disk: 700},
   initMs: 300,
 };
 
@@ -121,7 +121,7 @@
   }
 
   /** Drops the state of an engine that no longer exists. */
-  forget(backendServerId: string): void {
+  removeEngine(backendServerId: string): void {
     this.ongoingLoads
       .get(backendServerId)
       ?.forEach(load => this.activeTransfers.delete(load));
@@ -129,7 +129,7 @@
     this.latestReports.delete(backendServerId);
   }
 
-  expect(ref: Omit<ModelRef, 'version'>, tier: CacheTier): LoadTimes {
+  estimate(ref: Omit<ModelRef, 'version'>, tier: CacheTier): LoadTimes {
     const window = this.series.get(seriesKey(ref, tier));
     const expectedMs = window?.quantile(0.99);
     const medianMs = window?.quantile(0.5) ?? 0;
@@ -166,7 +166,7 @@
   private expectCachedLoadMs(tier: 'memory' | 'disk'): number {
     return (
       this.series.get(allModelsKey(tier))?.quantile(0.99) ??
-      this.defaults.nearMs[tier]
+      this.defaults.cachedLoadMs[tier]
     );
   }
 
--- a/packages/plan-warming/src/measure_main.ts
+++ b/packages/plan-warming/src/measure_main.ts
@@ -125,9 +125,9 @@
       fingerprintEvent({
         event,
         held: log.listHeld(event.eventId),
-        demanded: new Set(),
+        requestedModels: new Set(),
         nowMs: 0,
-        markSlot: () => '',
+        formatServerStatus: () => '',
       }),
     );
   }),
--- a/packages/plan-warming/src/need_state.ts
+++ b/packages/plan-warming/src/need_state.ts
@@ -98,7 +98,7 @@
     need.adapters.join(',') === slot.adapters.join(',');
   if (!isSameReplica || slot.decidedAt > event.revision) return isSameReplica;
   const aheadMs = event.startsAtMs - slot.loadAtMs;
-  const isTooEarly = nowMs < event.startsAtMs && aheadMs > policy.maxAheadMs;
+  const isTooEarly = nowMs < event.startsAtMs && aheadMs > policy.maxLeadMs;
   const isTooLate = slot.loadAtMs > Math.max(event.startsAtMs, nowMs);
   return !isTooEarly && !isTooLate;
 }
--- a/packages/plan-warming/src/plan_demand.test.ts
+++ b/packages/plan-warming/src/plan_demand.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import {DemandTable} from './demand_table.js';
 import {LoadTimeEstimates} from './load_time_estimates.js';
-import {isDemandDue, planDemand} from './plan_demand.js';
+import {isDemandPlanDue, planDemand} from './plan_demand.js';
 import {FixtureLog, MODEL_MIB, makeServers} from './test_fixtures.js';
 
 const test = suite('demand planning');
@@ -24,7 +24,7 @@
       model,
       content: document.content,
       demand: demand.find(model),
-      held: placement.listFor(purpose),
+      held: placement.listForPurpose(purpose),
       idleSlots: placement.list().filter(slot => slot.model !== model),
       servers: log.listViews({}),
       loadTimes: new LoadTimeEstimates(),
@@ -56,9 +56,9 @@
 test('plans one load for a burst of misses on many routers', () => {
   // Guards against overloading the weight store with one load per miss.
   const {log, demand, plan} = setUp();
-  Array.from({length: 50}, () => demand.noteMiss('m1', 1_000));
+  Array.from({length: 50}, () => demand.recordMiss('m1', 1_000));
   plan('m1', 1_000);
-  demand.noteMiss('m1', 1_500);
+  demand.recordMiss('m1', 1_500);
   plan('m1', 1_500);
   const [slot, ...more] = log.state.placement.list();
   assert.is(slot?.loadAtMs, 1_000);
@@ -67,9 +67,9 @@
 
 test('extends a slot in use and lets an unused one expire', () => {
   const {log, demand, plan} = setUp();
-  demand.noteMiss('m1', 0);
+  demand.recordMiss('m1', 0);
   plan('m1', 0);
-  demand.noteUse('m1', KEEP_WARM_MS / 2);
+  demand.recordUse('m1', KEEP_WARM_MS / 2);
   const [extension] = plan('m1', KEEP_WARM_MS / 2).extend;
   assert.is(extension?.untilMs, 1.5 * KEEP_WARM_MS);
   assert.is(plan('m1', KEEP_WARM_MS).extend.length, 0);
@@ -78,9 +78,9 @@
 
 test('ends the slot of an idle model when another model needs memory', () => {
   const {log, demand, plan} = setUp(MODEL_MIB);
-  demand.noteMiss('m1', 0);
+  demand.recordMiss('m1', 0);
   plan('m1', 0);
-  demand.noteMiss('m2', 1);
+  demand.recordMiss('m2', 1);
   const short = plan('m2', 1);
   assert.ok(short.isUnplaced);
   assert.is(short.end[0]?.reason, 'idle');
@@ -91,7 +91,7 @@
 
 test('loads a requested adapter with its base model', () => {
   const {demand, plan} = setUp();
-  demand.noteMiss('m1:a', 0);
+  demand.recordMiss('m1:a', 0);
   assert.equal(plan('m1', 0).decide[0]?.adapters, ['a']);
 });
 
@@ -100,14 +100,14 @@
   const content = log.state.configuration.find('model', 'm1')?.content;
   if (!content) throw new Error('There is no model.');
   const look = {content, demand: demand.find('m1'), held: [], nowMs: 0};
-  assert.not(isDemandDue(look));
-  demand.noteMiss('m1', 0);
-  assert.ok(isDemandDue({...look, demand: demand.find('m1')}));
+  assert.not(isDemandPlanDue(look));
+  demand.recordMiss('m1', 0);
+  assert.ok(isDemandPlanDue({...look, demand: demand.find('m1')}));
 });
 
 test('bounds the number of models in the demand table', () => {
   const demand = new DemandTable();
-  Array.from({length: 5_000}, (_unused, i) => demand.noteMiss(`m${i}`, i));
+  Array.from({length: 5_000}, (_unused, i) => demand.recordMiss(`m${i}`, i));
   assert.is(demand.models.length, 1_024);
   assert.is(demand.find('m4999').lastMissMs, 4_999);
 });
--- a/packages/plan-warming/src/plan_demand.ts
+++ b/packages/plan-warming/src/plan_demand.ts
@@ -57,7 +57,7 @@
 >;
 
 /** Whether a planning run for a model could produce changes. */
-export function isDemandDue(snapshot: DemandSnapshot): boolean {
+export function isDemandPlanDue(snapshot: DemandSnapshot): boolean {
   return needsReplica(snapshot) || listExpiring(snapshot).length > 0;
 }
 
@@ -150,7 +150,7 @@
         ({server, room, isLeaving}) =>
           server.backendServerId === slot.backendServerId &&
           !isLeaving &&
-          room.hasRoom(slot.memoryMib, slot.untilMs, untilMs),
+          room.hasFree(slot.memoryMib, slot.untilMs, untilMs),
       ),
     )
     .map(slot => slot.slotId);
--- a/packages/plan-warming/src/plan_event.ts
+++ b/packages/plan-warming/src/plan_event.ts
@@ -1,6 +1,6 @@
 /** Plans the replicas of one event: slots to decide, end and extend. */
 import {
-  type EndReason,
+  type SlotEndReason,
   type ResolvedEvent,
   type ResolvedNeed,
   type Slot,
@@ -9,8 +9,8 @@
 import {type LoadTimeSource} from './load_time_estimates.js';
 import {type NeedState, assessNeed} from './need_state.js';
 import {chooseSlotsToPreempt} from './preempt_slots.js';
-import {ReplicaPlacer, expectReplicaLoad} from './replica_placer.js';
-import {type ServerView, takeRoom} from './server_view.js';
+import {ReplicaPlacer, estimateReplicaLoad} from './replica_placer.js';
+import {type ServerView, reserveMemory} from './server_view.js';
 import {type StoreTimetable} from './store_timetable.js';
 import {
   type WarmingPolicy,
@@ -29,17 +29,17 @@
   policy: WarmingPolicy;
   loadTimes: LoadTimeSource;
   /** How many planned loads may use the weight store at once. */
-  lanes: number;
+  maxConcurrentLoads: number;
   timetable: StoreTimetable;
   nowMs: number;
   /** Models with recent requests. */
-  demanded: ReadonlySet<string>;
+  requestedModels: ReadonlySet<string>;
   makeSlotId: () => string;
 }
 
 export interface SlotEnding {
   slotIds: string[];
-  reason: EndReason;
+  reason: SlotEndReason;
 }
 
 export interface SlotExtension {
@@ -99,7 +99,7 @@
       ...ending.map(slot => ({...slot, status: 'ending' as const})),
     ],
     held: [...held, ...placed],
-    servers: takeRoom(extended.servers, placed),
+    servers: reserveMemory(extended.servers, placed),
   });
   return {
     decide: placed.slice(0, MAX_SLOTS_PER_RECORD),
@@ -156,16 +156,16 @@
   needs: readonly NeedState[],
   input: EventPlanInput,
 ): ReplicaPlacer {
-  const {event, loadTimes, lanes} = input;
+  const {event, loadTimes, maxConcurrentLoads: lanes} = input;
   const storeMs = needs.reduce(
     (sumMs, {need}) =>
       sumMs +
-      need.replicas * expectReplicaLoad(need, 'remote', loadTimes).storeMs,
+      need.replicas * estimateReplicaLoad(need, 'remote', loadTimes).storeMs,
     0,
   );
   const chooseTimes = (model: string, request: WarmingRequest) =>
     input.policy.chooseTimes(request) ??
-    (input.demanded.has(model)
+    (input.requestedModels.has(model)
       ? loadWithoutStaging(request, request.nowMs)
       : null);
   return new ReplicaPlacer(
@@ -190,7 +190,7 @@
   );
 }
 
-function endAll(slots: readonly Slot[], reason: EndReason): SlotEnding[] {
+function endAll(slots: readonly Slot[], reason: SlotEndReason): SlotEnding[] {
   const slotIds = slots
     .filter(slot => slot.status === 'decided')
     .map(slot => slot.slotId)
@@ -214,7 +214,10 @@
         ({server}) => server.backendServerId === slot.backendServerId,
       );
       return view?.room.fits(plan)
-        ? {slotIds: [...slotIds, slot.slotId], views: takeRoom(views, [plan])}
+        ? {
+            slotIds: [...slotIds, slot.slotId],
+            views: reserveMemory(views, [plan]),
+          }
         : {slotIds, views};
     },
     {slotIds: [], views: [...servers]},
--- a/packages/plan-warming/src/planning_agenda.test.ts
+++ b/packages/plan-warming/src/planning_agenda.test.ts
@@ -1,6 +1,6 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {PlanningAgenda, fingerprintEvent} from './planning_agenda.js';
+import {PlanningSchedule, fingerprintEvent} from './planning_agenda.js';
 import {FixtureLog, makeServers, minutes} from './test_fixtures.js';
 
 const test = suite('planning agenda');
@@ -15,11 +15,11 @@
     fingerprintEvent({
       event,
       held: log.listHeld('e'),
-      demanded: new Set(),
+      requestedModels: new Set(),
       nowMs,
-      markSlot: () => mark,
+      formatServerStatus: () => mark,
     });
-  return {log, event, fingerprint, agenda: new PlanningAgenda(OPTIONS)};
+  return {log, event, fingerprint, agenda: new PlanningSchedule(OPTIONS)};
 }
 
 test('plans an event again only when its inputs change', () => {
@@ -28,9 +28,9 @@
   log.apply('e', log.plan('e', 0));
   const decided = fingerprint(1);
   assert.ok(agenda.isDue('e', decided, 1));
-  agenda.noteSettled('e', decided);
+  agenda.recordSettled('e', decided);
   assert.not(agenda.isDue('e', fingerprint(2), 2));
-  assert.not(agenda.hasOpen);
+  assert.not(agenda.hasUnsettled);
   assert.ok(agenda.isDue('e', fingerprint(2, 'lost'), 2));
   assert.ok(agenda.isDue('e', fingerprint(event.endsAtMs), event.endsAtMs));
 });
@@ -40,7 +40,7 @@
   const tries = Array.from({length: 20}, (_unused, second) => second * 1_000);
   const tried = tries.filter(nowMs => {
     if (!agenda.isDue('e', 'short', nowMs)) return false;
-    agenda.noteOpen('e', 'short', nowMs);
+    agenda.recordUnsettled('e', 'short', nowMs);
     return true;
   });
   assert.equal(tried, [0, 1_000, 3_000, 7_000, 11_000, 15_000, 19_000]);
@@ -51,10 +51,10 @@
   // write to the log.
   const {agenda} = setUp();
   agenda.isDue('e', 'changed', 100);
-  assert.ok(agenda.isTurn('e', 0, 100));
-  assert.not(agenda.isTurn('e', 1, 5_000));
-  assert.ok(agenda.isTurn('e', 1, 5_100));
-  assert.not(agenda.isTurn('e', 2, 5_100));
+  assert.ok(agenda.isRankDue('e', 0, 100));
+  assert.not(agenda.isRankDue('e', 1, 5_000));
+  assert.ok(agenda.isRankDue('e', 1, 5_100));
+  assert.not(agenda.isRankDue('e', 2, 5_100));
 });
 
 test.run();
--- a/packages/plan-warming/src/planning_agenda.ts
+++ b/packages/plan-warming/src/planning_agenda.ts
@@ -9,15 +9,15 @@
   event: ResolvedEvent;
   held: readonly Slot[];
   /** Models with recent requests. */
-  demanded: ReadonlySet<string>;
+  requestedModels: ReadonlySet<string>;
   nowMs: number;
   /** A text for a slot whose backend server is lost or leaving, else ''. */
-  markSlot(slot: Slot): string;
+  formatServerStatus(slot: Slot): string;
 }
 
 /** A short text that changes when a planning run may have a new result. */
 export function fingerprintEvent(inputs: EventInputs): string {
-  const {event, held, demanded, nowMs} = inputs;
+  const {event, held, requestedModels: demanded, nowMs} = inputs;
   const phase =
     nowMs >= event.endsAtMs
       ? 'over'
@@ -27,7 +27,7 @@
   const slots = held.map(
     slot =>
       `${slot.slotId}${slot.status === 'ending' ? '-' : '+'}` +
-      `${slot.untilMs}${inputs.markSlot(slot)}`,
+      `${slot.untilMs}${inputs.formatServerStatus(slot)}`,
   );
   const requested = event.needs
     .filter(need => demanded.has(need.model))
@@ -46,7 +46,7 @@
   retryMs: number;
 }
 
-export interface AgendaOptions {
+export interface PlanningScheduleOptions {
   /** Delay of the first retry; it doubles with each further retry. */
   firstRetryMs: number;
   maxRetryMs: number;
@@ -55,13 +55,13 @@
 }
 
 /** Keeps the planning state of each event. */
-export class PlanningAgenda {
+export class PlanningSchedule {
   private readonly entries = new Map<string, AgendaEntry>();
 
-  constructor(private readonly options: AgendaOptions) {}
+  constructor(private readonly options: PlanningScheduleOptions) {}
 
   /** Whether any event is due or waits for a retry. */
-  get hasOpen(): boolean {
+  get hasUnsettled(): boolean {
     return [...this.entries.values()].some(
       entry => entry.dueSinceMs !== Infinity,
     );
@@ -83,13 +83,13 @@
    * take over after a wait, in case the responsible node (rank 0) is up but
    * cannot write to the log. The log accepts only one of two concurrent plans.
    */
-  isTurn(key: string, rank: number, nowMs: number): boolean {
+  isRankDue(key: string, rank: number, nowMs: number): boolean {
     const waitedMs = nowMs - this.findOrAddEntry(key).dueSinceMs;
     return waitedMs >= rank * this.options.patienceMs;
   }
 
   /** Records a planning run without changes. */
-  noteSettled(key: string, fingerprint: string): void {
+  recordSettled(key: string, fingerprint: string): void {
     this.entries.set(key, {
       ...this.makeEntry(),
       settledFingerprint: fingerprint,
@@ -97,7 +97,7 @@
   }
 
   /** Records a planning run with changes or unplaced replicas. */
-  noteOpen(key: string, fingerprint: string, nowMs: number): void {
+  recordUnsettled(key: string, fingerprint: string, nowMs: number): void {
     const entry = this.findOrAddEntry(key);
     const {firstRetryMs, maxRetryMs} = this.options;
     entry.retryMs =
@@ -109,7 +109,7 @@
   }
 
   /** Drops the entries of all other events. */
-  keepOnly(keys: ReadonlySet<string>): void {
+  retainOnly(keys: ReadonlySet<string>): void {
     [...this.entries.keys()]
       .filter(key => !keys.has(key))
       .forEach(key => this.entries.delete(key));
--- a/packages/plan-warming/src/preempt_slots.ts
+++ b/packages/plan-warming/src/preempt_slots.ts
@@ -161,5 +161,5 @@
   const room = view.room.withHolds(freed);
   const [last, ...before] = plans.toReversed();
   if (!last) return true;
-  return before.reduce((all, plan) => all.with(plan), room).fits(last);
+  return before.reduce((all, plan) => all.withPlan(plan), room).fits(last);
 }
--- a/packages/plan-warming/src/replica_placer.ts
+++ b/packages/plan-warming/src/replica_placer.ts
@@ -2,7 +2,7 @@
 import {type SlotPlan} from '@mimosatack/records';
 import {type CacheTier} from '@mimosatack/types';
 import {type LoadTimeSource} from './load_time_estimates.js';
-import {type ServerRoom} from './server_room.js';
+import {type ServerMemory} from './server_room.js';
 import {type ServerView, findReplicaTier, rankTier} from './server_view.js';
 import {type StoreTimetable, findStoreUse} from './store_timetable.js';
 import {
@@ -40,7 +40,7 @@
 
 /** Places replicas; each one reserves memory and weight store time. */
 export class ReplicaPlacer {
-  private readonly rooms = new Map<string, ServerRoom>();
+  private readonly rooms = new Map<string, ServerMemory>();
   private readonly failureDomains: ReadonlyMap<string, string>;
 
   constructor(
@@ -78,11 +78,11 @@
       other => other.server.backendServerId === plan.backendServerId,
     );
     if (!view) return;
-    this.rooms.set(plan.backendServerId, this.findRoom(view).with(plan));
+    this.rooms.set(plan.backendServerId, this.findRoom(view).withPlan(plan));
     this.input.timetable.add(findStoreUse(plan));
   }
 
-  private findRoom(view: ServerView): ServerRoom {
+  private findRoom(view: ServerView): ServerMemory {
     return this.rooms.get(view.server.backendServerId) ?? view.room;
   }
 
@@ -116,7 +116,7 @@
   }
 
   private expectLoad(spec: ReplicaSpec, tier: CacheTier): ReplicaLoadTimes {
-    return expectReplicaLoad(spec, tier, this.input.loadTimes);
+    return estimateReplicaLoad(spec, tier, this.input.loadTimes);
   }
 
   /**
@@ -168,15 +168,15 @@
  * Estimates the load of a replica: the base model first, then its adapters,
  * which share the weight store and are initialized in parallel.
  */
-export function expectReplicaLoad(
+export function estimateReplicaLoad(
   spec: {model: string; adapters: readonly string[]},
   tier: CacheTier,
   source: LoadTimeSource,
 ): ReplicaLoadTimes {
   const {model} = spec;
-  const base = source.expect({model, adapter: null}, tier);
+  const base = source.estimate({model, adapter: null}, tier);
   const adapters = spec.adapters.map(adapter =>
-    source.expect({model, adapter}, tier),
+    source.estimate({model, adapter}, tier),
   );
   const adapterInitMs = Math.max(0, ...adapters.map(times => times.initMs));
   const all = [base, ...adapters];
