--- a/packages/plan-warming/src/server_room.ts
+++ b/packages/plan-warming/src/server_room.ts
@@ -7,30 +7,30 @@
 import {type SlotPlan} from '@mimosatack/records';
 
 /** Immutable reservations over time; tells whether a replica fits. */
-export class ServerRoom {
+export class ServerMemory {
   constructor(
     readonly memoryMib: number,
     private readonly holds: readonly MemoryHold[],
   ) {}
 
   /** A copy with one more planned replica. */
-  with(plan: SlotPlan): ServerRoom {
+  withPlan(plan: SlotPlan): ServerMemory {
     return this.withHolds(listSlotHolds(plan));
   }
 
   /** A copy with more holds; a hold of negative size frees memory. */
-  withHolds(holds: readonly MemoryHold[]): ServerRoom {
-    return new ServerRoom(this.memoryMib, [...this.holds, ...holds]);
+  withHolds(holds: readonly MemoryHold[]): ServerMemory {
+    return new ServerMemory(this.memoryMib, [...this.holds, ...holds]);
   }
 
   /** Whether a planned replica fits throughout its slot, staging included. */
   fits(plan: SlotPlan): boolean {
     return listSlotHolds(plan).every(hold =>
-      this.hasRoom(hold.memoryMib, hold.fromMs, hold.untilMs),
+      this.hasFree(hold.memoryMib, hold.fromMs, hold.untilMs),
     );
   }
 
-  hasRoom(memoryMib: number, fromMs: number, untilMs: number): boolean {
+  hasFree(memoryMib: number, fromMs: number, untilMs: number): boolean {
     return this.findPeakMib(fromMs, untilMs) + memoryMib <= this.memoryMib;
   }
 
@@ -54,7 +54,7 @@
       .toSorted((a, b) => a - b);
     return (
       [fromMs, ...laterMs].find(atMs =>
-        this.hasRoom(memoryMib, atMs, atMs + durationMs),
+        this.hasFree(memoryMib, atMs, atMs + durationMs),
       ) ?? null
     );
   }
--- a/packages/plan-warming/src/server_view.ts
+++ b/packages/plan-warming/src/server_view.ts
@@ -5,12 +5,12 @@
 import {type BackendServer, type MemoryHold} from '@mimosatack/agreed-state';
 import {type SlotPlan} from '@mimosatack/records';
 import {type CacheTier, type EngineState} from '@mimosatack/types';
-import {ServerRoom} from './server_room.js';
+import {ServerMemory} from './server_room.js';
 
 /** The planner's view of one backend server. */
 export interface ServerView {
   server: BackendServer;
-  room: ServerRoom;
+  room: ServerMemory;
   /** Whether the server is being drained; its slots move elsewhere. */
   isLeaving: boolean;
   /** Whether the engine has stopped responding; its slots still count. */
@@ -21,7 +21,7 @@
   isWarm(slotId: string): boolean;
 }
 
-export interface ServerViewParts {
+export interface ServerViewInput {
   server: BackendServer;
   holds: readonly MemoryHold[];
   /** The latest report of the server's engine, if any. */
@@ -30,11 +30,11 @@
   isLost: boolean;
 }
 
-export function makeServerView(parts: ServerViewParts): ServerView {
+export function makeServerView(parts: ServerViewInput): ServerView {
   const {server, holds, engine, isLeaving, isLost} = parts;
   return {
     server,
-    room: new ServerRoom(server.memoryMib, holds),
+    room: new ServerMemory(server.memoryMib, holds),
     isLeaving,
     isLost,
     findTier: (model, adapter, version) =>
@@ -49,7 +49,7 @@
 }
 
 /** Copies of the views with the memory of the plans reserved. */
-export function takeRoom(
+export function reserveMemory(
   views: readonly ServerView[],
   plans: readonly SlotPlan[],
 ): ServerView[] {
@@ -58,7 +58,10 @@
       plan => plan.backendServerId === view.server.backendServerId,
     );
     if (own.length === 0) return view;
-    return {...view, room: own.reduce((room, p) => room.with(p), view.room)};
+    return {
+      ...view,
+      room: own.reduce((room, p) => room.withPlan(p), view.room),
+    };
   });
 }
 
--- a/packages/plan-warming/src/test_fixtures.ts
+++ b/packages/plan-warming/src/test_fixtures.ts
@@ -1,7 +1,7 @@
 /** Test fixtures that build small agreed states and planner inputs. */
 import {
   AgreedState,
-  type Outcome,
+  type RecordOutcome,
   type ResolvedEvent,
   type Slot,
 } from '@mimosatack/agreed-state';
@@ -57,7 +57,7 @@
     models.forEach(model => this.putModel(model));
   }
 
-  write(body: RecordBody): Outcome {
+  write(body: RecordBody): RecordOutcome {
     this.recordCount += 1;
     const record = {
       recordId: `record-${this.recordCount}`,
@@ -139,16 +139,16 @@
       servers: this.listViews(conditions),
       policy: new TimetablePolicy({coldStartWeight: 0.5, idleWeight: 0.5}),
       loadTimes: new LoadTimeEstimates(),
-      lanes: MAX_CONCURRENT_LOADS,
+      maxConcurrentLoads: MAX_CONCURRENT_LOADS,
       timetable: this.makeTimetable(),
       nowMs,
-      demanded: new Set(),
+      requestedModels: new Set(),
       makeSlotId: () => this.makeSlotId(),
     };
   }
 
   /** Writes a plan and returns the outcome of each record. */
-  apply(eventId: string, plan: EventPlan): Outcome[] {
+  apply(eventId: string, plan: EventPlan): RecordOutcome[] {
     const purpose = {for: 'event' as const, eventId};
     const event = this.state.configuration.findEvent(eventId);
     const bodies: RecordBody[] = [
@@ -185,7 +185,7 @@
   }
 
   listHeld(eventId: string): Slot[] {
-    return this.state.placement.listFor({for: 'event', eventId});
+    return this.state.placement.listForPurpose({for: 'event', eventId});
   }
 
   listViews({
--- a/packages/plan-warming/src/timetable_policy.test.ts
+++ b/packages/plan-warming/src/timetable_policy.test.ts
@@ -1,6 +1,6 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {ServerRoom} from './server_room.js';
+import {ServerMemory} from './server_room.js';
 import {StoreTimetable} from './store_timetable.js';
 import {minutes} from './test_fixtures.js';
 import {TimetablePolicy} from './timetable_policy.js';
@@ -23,7 +23,7 @@
     near: {storeMs: 0, initMs: 700, spreadMs: 0},
     eventStoreMs: 1_000,
     timetable: new StoreTimetable(1),
-    room: new ServerRoom(100, []),
+    room: new ServerMemory(100, []),
     ...parts,
   };
 }
@@ -80,7 +80,7 @@
 test('stages before another event reserves the memory', () => {
   const fromMs = START_MS - minutes(20);
   const hold = {fromMs, untilMs: START_MS, memoryMib: 100};
-  const times = choose({room: new ServerRoom(100, [hold])});
+  const times = choose({room: new ServerMemory(100, [hold])});
   assert.ok((times?.stage?.untilMs ?? Infinity) <= fromMs);
   assert.is(times?.loadAtMs, START_MS);
 });
--- a/packages/plan-warming/src/timetable_policy.ts
+++ b/packages/plan-warming/src/timetable_policy.ts
@@ -34,7 +34,7 @@
 /** Trades cold starts against idle time by the operator's weights. */
 export class TimetablePolicy implements WarmingPolicy {
   readonly policyName = 'timetable';
-  readonly maxAheadMs = MAX_AHEAD_MS;
+  readonly maxLeadMs = MAX_AHEAD_MS;
   private readonly weightRatio: number;
 
   constructor(weights: WarmingWeights) {
--- a/packages/plan-warming/src/warming_policy.ts
+++ b/packages/plan-warming/src/warming_policy.ts
@@ -1,6 +1,6 @@
 /** The interface of the policies that decide when replicas are loaded. */
 import {type CacheTier} from '@mimosatack/types';
-import {type ServerRoom} from './server_room.js';
+import {type ServerMemory} from './server_room.js';
 import {type StoreTimetable} from './store_timetable.js';
 
 /** Expected duration of loading a replica's base model, then its adapters. */
@@ -30,7 +30,7 @@
   /** Time that the store needs for all replicas of the event. */
   eventStoreMs: number;
   timetable: StoreTimetable;
-  room: ServerRoom;
+  room: ServerMemory;
 }
 
 /** Load times of one replica. */
@@ -49,7 +49,7 @@
    * The usual maximum lead of a load before the event start. If an event
    * change makes a slot's lead longer, the slot is planned again.
    */
-  readonly maxAheadMs: number;
+  readonly maxLeadMs: number;
   /** Returns null to not preload the replica, or if memory is short. */
   chooseTimes(request: WarmingRequest): WarmingTimes | null;
 }
--- a/packages/retry-requests/src/decide_retry.test.ts
+++ b/packages/retry-requests/src/decide_retry.test.ts
@@ -8,8 +8,8 @@
 const FAILED: FailedAttempt = {
   attempts: 1,
   isRepeatable: true,
-  hasAnswerBegun: false,
-  isWorthRetrying: true,
+  hasResponseStarted: false,
+  isRetryable: true,
   remainingMs: 1_000,
 };
 
@@ -18,8 +18,8 @@
     decideRetry({...FAILED, ...change}, new RetryBudget(0.1));
   assert.is(decide({}), 'retry');
   assert.is(decide({isRepeatable: false}), 'unrepeatable');
-  assert.is(decide({hasAnswerBegun: true}), 'answer-begun');
-  assert.is(decide({isWorthRetrying: false}), 'pointless');
+  assert.is(decide({hasResponseStarted: true}), 'answer-begun');
+  assert.is(decide({isRetryable: false}), 'pointless');
   assert.is(decide({attempts: 3}), 'too-many-attempts');
   assert.is(decide({remainingMs: 0}), 'deadline');
 });
--- a/packages/retry-requests/src/decide_retry.ts
+++ b/packages/retry-requests/src/decide_retry.ts
@@ -8,9 +8,9 @@
   /** Whether the request may run more than once. */
   isRepeatable: boolean;
   /** Whether the caller has received any part of the answer. */
-  hasAnswerBegun: boolean;
+  hasResponseStarted: boolean;
   /** Whether another backend server may succeed where this one failed. */
-  isWorthRetrying: boolean;
+  isRetryable: boolean;
   /** Time left until the deadline of the request. */
   remainingMs: number;
 }
@@ -34,8 +34,8 @@
   budget: RetryBudget,
 ): RetryDecision {
   if (!failed.isRepeatable) return 'unrepeatable';
-  if (failed.hasAnswerBegun) return 'answer-begun';
-  if (!failed.isWorthRetrying) return 'pointless';
+  if (failed.hasResponseStarted) return 'answer-begun';
+  if (!failed.isRetryable) return 'pointless';
   if (failed.attempts >= MAX_ATTEMPTS) return 'too-many-attempts';
   if (failed.remainingMs < MIN_REMAINING_MS) return 'deadline';
   return budget.trySpend() ? 'retry' : 'budget-spent';
--- a/packages/route-requests/src/circuit_table.ts
+++ b/packages/route-requests/src/circuit_table.ts
@@ -45,7 +45,7 @@
   }
 
   /** Whether the server is slow but not failing, and so usable as a last resort. */
-  isMerelySlow(id: BackendServerId): boolean {
+  isSlowOnly(id: BackendServerId): boolean {
     return this.circuits.get(id)?.cause === 'slow';
   }
 
@@ -84,7 +84,7 @@
   }
 
   /** Ends a probe without a result, such as a cancelled request. */
-  noteNeutral(id: BackendServerId): void {
+  noteInconclusive(id: BackendServerId): void {
     const circuit = this.circuits.get(id);
     if (circuit) circuit.isProbing = false;
   }
--- a/packages/route-requests/src/index.ts
+++ b/packages/route-requests/src/index.ts
@@ -2,7 +2,7 @@
 export {type PrefixCacheEvent, PrefixTable} from './prefix_table.js';
 export {type PrefixHasher, Sha256PrefixHasher} from './prefix_hasher.js';
 export {
-  type Outcome,
+  type RequestOutcome,
   type RouteDecision,
   type RouteRequest,
 } from './route_types.js';
--- a/packages/route-requests/src/route_types.ts
+++ b/packages/route-requests/src/route_types.ts
@@ -11,7 +11,7 @@
   /** The model and the hashes of the prompt's first blocks. */
   prefix?: {model: string; hashes: readonly string[]};
   /** Whether to skip servers without free capacity. */
-  needsRoom?: boolean;
+  requiresCapacity?: boolean;
 }
 
 /** `full`: usable servers have no capacity; `none`: no server is usable. */
@@ -19,7 +19,7 @@
   {status: 'chosen'; id: BackendServerId} | {status: 'full'} | {status: 'none'};
 
 /** Result of a request, as a signal about the server; `neutral` carries none. */
-export type Outcome =
+export type RequestOutcome =
   | {status: 'answered'; group: string; firstByteMs: number}
   | {status: 'failed'}
   | {status: 'neutral'};
--- a/packages/route-requests/src/router.ts
+++ b/packages/route-requests/src/router.ts
@@ -11,7 +11,7 @@
 import {LeavingSet} from './leaving_set.js';
 import {type PrefixCacheEvent, PrefixTable} from './prefix_table.js';
 import {
-  type Outcome,
+  type RequestOutcome,
   type RouteDecision,
   type RouteRequest,
 } from './route_types.js';
@@ -107,14 +107,19 @@
    * cost is described in `ServerLoad`.
    */
   route(routeRequest: RouteRequest): RouteDecision {
-    const {candidates, excluded, avoidedDomains, prefix, needsRoom} =
-      routeRequest;
+    const {
+      candidates,
+      excluded,
+      avoidedDomains,
+      prefix,
+      requiresCapacity: needsRoom,
+    } = routeRequest;
     const request: TimedRequest = {
       candidates,
       excluded,
       avoidedDomains,
       prefix,
-      needsRoom,
+      requiresCapacity: needsRoom,
       nowMs: this.nowMs(),
     };
     const sample = this.sample(request);
@@ -136,15 +141,18 @@
     }
   }
 
-  noteDone(id: BackendServerId, outcome: Outcome = {status: 'neutral'}): void {
+  noteDone(
+    id: BackendServerId,
+    outcome: RequestOutcome = {status: 'neutral'},
+  ): void {
     this.loads.get(id)?.noteDone(this.nowMs());
     this.noteOutcome(id, outcome);
   }
 
   /** Records an outcome before the request is done, such as a late first byte. */
-  noteOutcome(id: BackendServerId, outcome: Outcome): void {
+  noteOutcome(id: BackendServerId, outcome: RequestOutcome): void {
     const nowMs = this.nowMs();
-    if (outcome.status === 'neutral') return this.circuits.noteNeutral(id);
+    if (outcome.status === 'neutral') return this.circuits.noteInconclusive(id);
     if (outcome.status === 'failed') {
       if (this.circuits.noteFailure(id, nowMs)) this.handleOpened(id);
       return;
@@ -223,7 +231,7 @@
     const allowed = available.filter(id => this.circuits.allows(id, nowMs));
     return allowed.length > 0
       ? allowed
-      : available.filter(id => this.circuits.isMerelySlow(id));
+      : available.filter(id => this.circuits.isSlowOnly(id));
   }
 
   private avoidDomains(
@@ -282,7 +290,10 @@
     return [...ids.slice(start), ...ids.slice(0, start)];
   }
 
-  private hasCapacity(id: BackendServerId, {needsRoom}: TimedRequest): boolean {
+  private hasCapacity(
+    id: BackendServerId,
+    {requiresCapacity: needsRoom}: TimedRequest,
+  ): boolean {
     const load = needsRoom ? this.loads.get(id) : undefined;
     return load?.hasCapacity ?? true;
   }
--- a/packages/schedule-models/src/engine_incarnations.test.ts
+++ b/packages/schedule-models/src/engine_incarnations.test.ts
@@ -48,7 +48,7 @@
 test('a report of a new incarnation replaces the old state', () => {
   const {old} = makeIncarnations();
   const sim = new SchedulerSimulation([old]);
-  sim.scheduler.noteReport('e1', makeReport(), 500);
+  sim.scheduler.recordReport('e1', makeReport(), 500);
   assert.equal(listResidents(sim), []);
 });
 
@@ -74,7 +74,7 @@
   const late = makeReport({
     ...{startedAtMs: 1_000, orderCount: 7, residents: reported},
   });
-  sim.scheduler.noteReport('e1', late, 1_300);
+  sim.scheduler.recordReport('e1', late, 1_300);
   assert.equal(listResidents(sim), []);
   assert.is(sim.scheduler.listEngines()[0]?.orders.acceptedCount, 0);
 });
@@ -84,10 +84,10 @@
   const {old, restarted} = makeIncarnations();
   const sim = new SchedulerSimulation([restarted]);
   sim.scheduler.putEngine(old, 1_000);
-  assert.equal(sim.scheduler.listUnknown(1_000), ['e1']);
+  assert.equal(sim.scheduler.listEnginesToQuery(1_000), ['e1']);
   const reported = [{model: 'warm', adapters: []}];
   const report = makeReport({startedAtMs: 1_000, residents: reported});
-  sim.scheduler.noteReport('e1', report, 5_000);
+  sim.scheduler.recordReport('e1', report, 5_000);
   assert.equal(listResidents(sim), ['warm']);
 });
 
@@ -97,7 +97,7 @@
   assert.equal(listResidents(sim), RESIDENT);
   const reported = RESIDENT.map(model => ({model, adapters: []}));
   const report = makeReport({startedAtMs: null, residents: reported});
-  sim.scheduler.noteReport('e1', report, 200);
+  sim.scheduler.recordReport('e1', report, 200);
   assert.equal(listResidents(sim), RESIDENT);
 });
 
@@ -112,11 +112,11 @@
     ...{engineId: 'e1', operation: 'load' as const, model: 'other'},
     ...{adapter: null, expectedCount: 0},
   };
-  sim.scheduler.noteOrderSent(order);
+  sim.scheduler.recordOrderSent(order);
   sim.scheduler.putEngine(restarted, 1_000);
-  sim.scheduler.noteReport('e1', makeReport(), 1_000);
-  sim.scheduler.noteOrderSent({...order, model: 'warm'});
-  sim.scheduler.noteOrderOutcome(order, 'accepted', 1_010);
+  sim.scheduler.recordReport('e1', makeReport(), 1_000);
+  sim.scheduler.recordOrderSent({...order, model: 'warm'});
+  sim.scheduler.recordOrderOutcome(order, 'accepted', 1_010);
   assert.equal(listResidents(sim), []);
 });
 
@@ -131,17 +131,17 @@
     ...{engineId: 'e1', operation: 'load' as const, model: 'other'},
     ...{adapter: null, expectedCount: 2},
   };
-  sim.scheduler.noteOrderSent(late);
-  sim.scheduler.noteOrderOutcome(late, 'unknown', 500);
+  sim.scheduler.recordOrderSent(late);
+  sim.scheduler.recordOrderOutcome(late, 'unknown', 500);
   sim.scheduler.putEngine(restarted, 1_000);
-  sim.scheduler.noteReport('e1', makeReport(), 1_000);
+  sim.scheduler.recordReport('e1', makeReport(), 1_000);
   const [engine] = sim.scheduler.listEngines();
   const wholeMb = engine?.spec.memoryMb ?? 0;
   assert.is(
     engine?.memory.freeMb,
     wholeMb - (engine?.memory.modelMb('other') ?? 0),
   );
-  sim.scheduler.noteReport('e1', makeReport({orderCount: 3}), 9_000);
+  sim.scheduler.recordReport('e1', makeReport({orderCount: 3}), 9_000);
   assert.is(engine?.memory.freeMb, wholeMb);
 });
 
--- a/packages/schedule-models/src/engine_replaced.test.ts
+++ b/packages/schedule-models/src/engine_replaced.test.ts
@@ -23,7 +23,7 @@
     near: {inHostMemory: [], onDisk: ['m0']},
   };
   scheduler.putEngine(entry, 0);
-  scheduler.ask(
+  scheduler.enqueue(
     {
       ...{askId: 'r1', service: ENGINE_SERVICE, model: 'm0', adapter: null},
       ...{promptTokens: 100, outputTokens: 10, priority: 0, arrivedAtMs: 0},
@@ -42,13 +42,13 @@
   const decisions: Decision[] = [];
   for (let nowMs = 0; nowMs < forMs; nowMs += 10) {
     scheduler
-      .listUnknown(nowMs)
-      .forEach(id => scheduler.noteReport(id, report, nowMs));
+      .listEnginesToQuery(nowMs)
+      .forEach(id => scheduler.recordReport(id, report, nowMs));
     const decided = scheduler.decide(nowMs);
     decisions.push(...decided);
     decided
       .flatMap(decision => (decision.kind === 'order' ? [decision.order] : []))
-      .forEach(order => scheduler.noteOrderOutcome(order, outcome, nowMs));
+      .forEach(order => scheduler.recordOrderOutcome(order, outcome, nowMs));
   }
   return {
     orders: decisions.filter(({kind}) => kind === 'order').length,
--- a/packages/schedule-models/src/engine_view.ts
+++ b/packages/schedule-models/src/engine_view.ts
@@ -6,7 +6,7 @@
   type EngineSpec,
   type ModelName,
   type ServerStartMs,
-  compareLives,
+  compareIncarnations,
 } from '@mimosatack/types';
 import {EngineMemory} from './engine_memory.js';
 import {EnginePrefill} from './engine_prefill.js';
@@ -164,7 +164,7 @@
 
   /** False for a late response of an earlier incarnation. */
   acceptsReport({startedAtMs}: EngineReport, nowMs: number): boolean {
-    const order = compareLives(startedAtMs, this.startedAtMs);
+    const order = compareIncarnations(startedAtMs, this.startedAtMs);
     const isLateResponse = nowMs - this.createdAtMs <= MAX_RESPONSE_DELAY_MS;
     return order !== 'earlier' || !isLateResponse;
   }
--- a/packages/schedule-models/src/engine_views.ts
+++ b/packages/schedule-models/src/engine_views.ts
@@ -2,7 +2,7 @@
 import {
   type BackendServerEntry,
   type BackendServerId,
-  compareLives,
+  compareIncarnations,
 } from '@mimosatack/types';
 import {EngineView} from './engine_view.js';
 import {type ModelCatalogue} from './model_catalogue.js';
@@ -46,7 +46,7 @@
       if (catalogue.findEngine(entry.service)) this.addView(entry, [], nowMs);
       return;
     }
-    const order = compareLives(entry.startedAtMs, view.startedAtMs);
+    const order = compareIncarnations(entry.startedAtMs, view.startedAtMs);
     if (order === 'same') {
       if (view.update(entry)) this.options.onEnginesChanged();
       return;
@@ -67,7 +67,7 @@
     const view = this.views.get(id);
     if (!view?.acceptsReport(report, nowMs)) return;
     const {startedAtMs} = report;
-    if (compareLives(startedAtMs, view.startedAtMs) !== 'same') {
+    if (compareIncarnations(startedAtMs, view.startedAtMs) !== 'same') {
       const entry = {...view.entry, startedAtMs, residents: []};
       this.startIncarnation(view, entry, nowMs);
     }
--- a/packages/schedule-models/src/no_engine.ts
+++ b/packages/schedule-models/src/no_engine.ts
@@ -10,7 +10,7 @@
   diskMb: 0,
   storeLoadsPerSecond: 0,
   tokensPerEvent: 1,
-  canMoveRuns: false,
+  canMigrateRuns: false,
   canBackUpRuns: false,
   models: [],
 };
--- a/packages/schedule-models/src/prompt_pacing.test.ts
+++ b/packages/schedule-models/src/prompt_pacing.test.ts
@@ -44,7 +44,7 @@
   scheduler.configure([makeEngineService()]);
   servers.forEach(id => scheduler.putEngine(makeEngineEntry(id), 0));
   Array.from({length: count}, (_, at) =>
-    scheduler.ask(
+    scheduler.enqueue(
       {...makeRequest(`r${at}`, promptTokens), gapMs, endsAtMs: patienceMs},
       0,
     ),
@@ -124,10 +124,10 @@
   scheduler.configure([makeEngineService()]);
   scheduler.putEngine(makeEngineEntry('e1'), 0);
   const requests = ['r1', 'r2'].map(askId => makeRequest(askId, 9_000));
-  requests.forEach(request => scheduler.ask(request, 0));
+  requests.forEach(request => scheduler.enqueue(request, 0));
   scheduler.decide(0);
   assert.is(scheduler.nextDecisionMs(0), 15);
-  requests.forEach(request => scheduler.noteRunning(request, 'e1', 0));
+  requests.forEach(request => scheduler.recordRunning(request, 'e1', 0));
   assert.is(scheduler.nextDecisionMs(0), Infinity);
 });
 
--- a/packages/schedule-models/src/scheduler.ts
+++ b/packages/schedule-models/src/scheduler.ts
@@ -54,7 +54,7 @@
 export interface ModelSchedulerOptions {
   policy: SwapPolicy;
   /** No order may be sent to the engine before this time. */
-  quietUntilMs?: (engineId: BackendServerId) => number;
+  ordersBlockedUntilMs?: (engineId: BackendServerId) => number;
 }
 
 /** Schedules the requests of one shard of engines. */
@@ -69,7 +69,7 @@
     ...{catalogue: this.catalogue, speed: this.speed},
     onEnginesChanged: () => this.index.invalidate(),
     onRemoved: id => this.removeEngineState(id),
-    quietUntilMs: id => this.options.quietUntilMs?.(id) ?? -Infinity,
+    quietUntilMs: id => this.options.ordersBlockedUntilMs?.(id) ?? -Infinity,
   });
   private readonly index: EngineIndex = new EngineIndex(() =>
     this.engines.list(),
@@ -87,7 +87,7 @@
   }
 
   /** The number of models with tracked demand or refusals. */
-  get rememberedModelCount(): number {
+  get trackedModelCount(): number {
     return Math.max(this.demand.modelCount, this.refusals.modelCount);
   }
 
@@ -114,7 +114,7 @@
     this.storeLoads.recordResidents(id, models, nowMs);
   }
 
-  dropEngine(id: BackendServerId): void {
+  removeEngine(id: BackendServerId): void {
     this.engines.remove(id);
   }
 
@@ -125,7 +125,7 @@
   }
 
   /** Adds a waiting request. Ignores one that is already running. */
-  ask(request: ScheduledRequest, nowMs: number): void {
+  enqueue(request: ScheduledRequest, nowMs: number): void {
     const isRunning = this.listEngines().some(({runs}) =>
       runs.has(request.askId),
     );
@@ -145,17 +145,17 @@
   }
 
   /** Records a request that was assigned by another scheduler or by a node. */
-  noteRunning(
+  recordRunning(
     request: ScheduledRequest,
     engineId: BackendServerId,
     nowMs: number,
   ): void {
-    this.withdraw(request.askId);
+    this.dequeue(request.askId);
     this.engines.get(engineId)?.startRun(request, nowMs);
   }
 
   /** Removes a waiting request. */
-  withdraw(askId: string): void {
+  dequeue(askId: string): void {
     this.waiting.delete(askId);
     this.deferred.remove(askId);
   }
@@ -165,7 +165,7 @@
    *
    * @param ttfbMs time until its response began; null if it did not.
    */
-  noteEnd(
+  recordEnd(
     askId: string,
     engineId: BackendServerId,
     result: RunResult,
@@ -184,11 +184,11 @@
     if (result === 'not-taken') engine.delayReadiness(request.model, nowMs);
   }
 
-  noteOrderSent(order: PlannedOrder): void {
+  recordOrderSent(order: PlannedOrder): void {
     this.engines.get(order.engineId)?.orders.recordSent(order);
   }
 
-  noteOrderOutcome(
+  recordOrderOutcome(
     order: PlannedOrder,
     outcome: OrderOutcome,
     nowMs: number,
@@ -198,18 +198,18 @@
   }
 
   /** Engines whose state has to be queried before they receive orders. */
-  listUnknown(nowMs: number): BackendServerId[] {
+  listEnginesToQuery(nowMs: number): BackendServerId[] {
     return this.listEngines()
       .filter(({orders}) => orders.needsReport && orders.notBeforeMs <= nowMs)
       .map(({id}) => id);
   }
 
-  noteReport(id: BackendServerId, report: EngineReport, nowMs: number): void {
+  recordReport(id: BackendServerId, report: EngineReport, nowMs: number): void {
     this.engines.recordReport(id, report, nowMs);
     this.recordResidents(id, report.residents, nowMs);
   }
 
-  noteReportFailed(id: BackendServerId, nowMs: number): void {
+  recordReportFailed(id: BackendServerId, nowMs: number): void {
     this.engines.get(id)?.orders.recordReportFailed(nowMs);
   }
 
@@ -246,7 +246,7 @@
       );
       const engine = this.deferred.pickEngine(request, usable, nowMs);
       if (!engine) return [];
-      this.withdraw(request.askId);
+      this.dequeue(request.askId);
       this.refusals.reset(request.service, request.model);
       engine.startRun(request, nowMs);
       return [
@@ -362,7 +362,7 @@
         listCaching: (service, model) => this.index.listCaching(service, model),
       });
       if (!refusal) return [];
-      this.withdraw(request.askId);
+      this.dequeue(request.askId);
       if (refusal.reason !== 'unknown-model') {
         this.refusals.recordRefusal(request.service, request.model);
       }
--- a/packages/schedule-models/src/scheduler_fixture.ts
+++ b/packages/schedule-models/src/scheduler_fixture.ts
@@ -88,7 +88,7 @@
 
   ask(model: string): void {
     const askId = `r${(this.requestCount += 1)}`;
-    this.scheduler.ask(makeRequest(askId, model, this.nowMs), this.nowMs);
+    this.scheduler.enqueue(makeRequest(askId, model, this.nowMs), this.nowMs);
   }
 
   /** Requests end when their prompts are read; orders are accepted. */
@@ -104,7 +104,7 @@
       if (operation === 'load') {
         this.loads.push({engineId, model, atMs: this.nowMs});
       }
-      this.scheduler.noteOrderOutcome(order, 'accepted', this.nowMs);
+      this.scheduler.recordOrderOutcome(order, 'accepted', this.nowMs);
     });
   }
 
@@ -121,13 +121,13 @@
     this.runs = this.runs.filter(({endsAtMs}) => endsAtMs > this.nowMs);
     ended.forEach(({askId, engineId, beganAtMs, endsAtMs}) => {
       const ttfbMs = endsAtMs - beganAtMs + BATCH_STEP_MS;
-      this.scheduler.noteEnd(askId, engineId, 'served', ttfbMs, this.nowMs);
+      this.scheduler.recordEnd(askId, engineId, 'served', ttfbMs, this.nowMs);
     });
   }
 
   private sendReport({id, residents}: BackendServerEntry): void {
     const reported = residents.map(({model}) => ({model, adapters: []}));
-    this.scheduler.noteReport(
+    this.scheduler.recordReport(
       id,
       {startedAtMs: null, orderCount: 0, isBusy: false, residents: reported},
       this.nowMs,
--- a/packages/schedule-models/src/unknown_models.test.ts
+++ b/packages/schedule-models/src/unknown_models.test.ts
@@ -12,7 +12,7 @@
   for (let name = 0; name < 50; name += 1) sim.run(20, {[`no-${name}`]: 50});
   sim.run(20, {hot: 50});
   assert.is(sim.scheduler.waitingCount, 0);
-  assert.is(sim.scheduler.rememberedModelCount, 1);
+  assert.is(sim.scheduler.trackedModelCount, 1);
 });
 
 test.run();
--- a/packages/schedule-models/src/wrong_speed.test.ts
+++ b/packages/schedule-models/src/wrong_speed.test.ts
@@ -37,7 +37,7 @@
     this.scheduler.putEngine(makeEngine('e1', ['m0']), 0);
     const residents = [{model: 'm0', adapters: []}];
     const report = {startedAtMs: null, orderCount: 0, isBusy: false, residents};
-    this.scheduler.noteReport('e1', report, 0);
+    this.scheduler.recordReport('e1', report, 0);
   }
 
   run(forMs: number, perSecond: number, ttfbMs: number): void {
@@ -58,7 +58,7 @@
       `r${this.requestCount}.${this.nowMs}`,
       this.nowMs,
     );
-    this.scheduler.ask(request, this.nowMs);
+    this.scheduler.enqueue(request, this.nowMs);
   }
 
   private begin(askId: string, ttfbMs: number): void {
@@ -71,7 +71,7 @@
     ended.forEach(run => {
       this.running.splice(this.running.indexOf(run), 1);
       const {askId} = run;
-      this.scheduler.noteEnd(askId, 'e1', 'served', ttfbMs, this.nowMs);
+      this.scheduler.recordEnd(askId, 'e1', 'served', ttfbMs, this.nowMs);
     });
   }
 }
--- a/packages/schedule-service/src/charge_client.ts
+++ b/packages/schedule-service/src/charge_client.ts
@@ -1,12 +1,12 @@
 /** Charges requests at the node that holds the quotas. */
 import {type Clock, type Timer} from '@mimosatack/clock';
 import {type QuotaCharge, type QuotaRefusal} from '@mimosatack/team-quotas';
-import {type FromHolder, type ToHolder} from './messages.js';
+import {type FromHolderMessage, type ToHolderMessage} from './messages.js';
 
 export interface ChargeClientOptions {
   clock: Clock;
   /** Returns false when no quota holder is known. */
-  sendToHolder: (message: ToHolder) => boolean;
+  sendToHolder: (message: ToHolderMessage) => boolean;
 }
 
 type ChargeResult = QuotaRefusal | 'charged';
@@ -43,7 +43,7 @@
   }
 
   /** Returns false for a message that answers no pending charge. */
-  settle(message: FromHolder): boolean {
+  settle(message: FromHolderMessage): boolean {
     const resolve = this.pending.get(message.askId);
     if (message.type !== 'charged' || !resolve) return false;
     resolve(message.refusal ?? 'charged');
--- a/packages/schedule-service/src/engine_orders.ts
+++ b/packages/schedule-service/src/engine_orders.ts
@@ -20,11 +20,11 @@
 }
 
 /** `fenced`: the engine has taken an order with a higher fencing token. */
-export type SentOrderOutcome = OrderOutcome | 'fenced';
+export type OrderResultOutcome = OrderOutcome | 'fenced';
 
 /** The result of an order. */
-export interface SentOrder {
-  outcome: SentOrderOutcome;
+export interface OrderResult {
+  outcome: OrderResultOutcome;
   /** The reason, for the log; null when the outcome is self-explanatory. */
   cause: string | null;
 }
@@ -35,7 +35,7 @@
     server: BackendServerEntry,
     order: PlannedOrder,
     authority: OrderAuthority,
-  ): Promise<SentOrder>;
+  ): Promise<OrderResult>;
   /** Resolves with an error when the engine's state could not be read. */
   readReport(server: BackendServerEntry): Promise<EngineReport | TypedError>;
 }
--- a/packages/schedule-service/src/index.ts
+++ b/packages/schedule-service/src/index.ts
@@ -2,14 +2,14 @@
   type EngineOrderAge,
   type EngineOrders,
   type OrderAuthority,
-  type SentOrder,
-  type SentOrderOutcome,
+  type OrderResult,
+  type OrderResultOutcome,
 } from './engine_orders.js';
 export {
-  type FromHolder,
-  type ToHolder,
-  fromHolderSchema,
-  toHolderSchema,
+  type FromHolderMessage,
+  type ToHolderMessage,
+  fromHolderMessageSchema,
+  toHolderMessageSchema,
 } from './messages.js';
 export {
   type LocalQuotas,
@@ -17,7 +17,7 @@
   type ScheduledChooserOptions,
 } from './scheduled_chooser.js';
 export {
-  type HeldQuotas,
-  SchedulingHost,
-  type SchedulingHostOptions,
+  type HolderQuotas,
+  SchedulingService,
+  type SchedulingServiceOptions,
 } from './scheduling_host.js';
--- a/packages/schedule-service/src/messages.ts
+++ b/packages/schedule-service/src/messages.ts
@@ -39,7 +39,7 @@
 ]);
 
 /** From a node to the scheduling node. */
-export const toHolderSchema = z.discriminatedUnion('type', [
+export const toHolderMessageSchema = z.discriminatedUnion('type', [
   z.object({type: z.literal('ask'), ask: askSchema}),
   z.object({type: z.literal('withdraw'), askId: z.string()}),
   z.object({
@@ -67,7 +67,7 @@
 ]);
 
 /** From the scheduling node to one node. */
-export const fromHolderSchema = z.discriminatedUnion('type', [
+export const fromHolderMessageSchema = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('assigned'),
     askId: z.string(),
@@ -103,5 +103,5 @@
 
 /** A request as it is described to the scheduling node. */
 export type AskPayload = z.infer<typeof askSchema>;
-export type ToHolder = z.infer<typeof toHolderSchema>;
-export type FromHolder = z.infer<typeof fromHolderSchema>;
+export type ToHolderMessage = z.infer<typeof toHolderMessageSchema>;
+export type FromHolderMessage = z.infer<typeof fromHolderMessageSchema>;
--- a/packages/schedule-service/src/scheduled_chooser.test.ts
+++ b/packages/schedule-service/src/scheduled_chooser.test.ts
@@ -9,7 +9,7 @@
 import {type BackendServerEntry} from '@mimosatack/types';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {type ToHolder} from './messages.js';
+import {type ToHolderMessage} from './messages.js';
 import {ScheduledChooser} from './scheduled_chooser.js';
 
 const test = suite('quota charges of the scheduled chooser');
@@ -39,9 +39,9 @@
   }
 
   release(): void {}
-  noteSent(): void {}
-  noteLoad(): void {}
-  noteDone(): void {}
+  recordSent(): void {}
+  recordLoad(): void {}
+  recordResult(): void {}
 }
 
 function makeAsk(isEngineRequest: boolean): ServerAsk {
@@ -72,13 +72,13 @@
 }
 
 function startChooser(limit: number) {
-  const sent: ToHolder[] = [];
+  const sent: ToHolderMessage[] = [];
   const local = new FixedChooser();
   const state = {charged: 0, hasHolder: true, isUnsettled: false};
   const clock = new ManualClock();
   const refused: string[] = [];
   const chooser = new ScheduledChooser({
-    ...{clock, askPrefix: 'n1', local},
+    ...{clock, askIdPrefix: 'n1', local},
     findServer: () => SERVER,
     sendToHolder: message => {
       if (state.hasHolder) sent.push(message);
@@ -96,7 +96,7 @@
         state.charged += amount;
         return null;
       },
-      giveBack: ({amount}) => (state.charged -= amount),
+      refund: ({amount}) => (state.charged -= amount),
     },
     onQuotaRefused: requestId => refused.push(requestId),
   });
@@ -155,7 +155,7 @@
   const results = ['not-taken', 'not-held', 'unreachable'] as const;
   for (const result of results) {
     const choice = expectChosen(await chooser.choose(makeAsk(false)));
-    chooser.noteDone(choice, result, null);
+    chooser.recordResult(choice, result, null);
   }
   chooser.release(expectChosen(await chooser.choose(makeAsk(false))));
   local.hasServer = false;
@@ -168,7 +168,7 @@
   const results = ['answered', 'failed', 'neutral'] as const;
   for (const result of results) {
     const choice = expectChosen(await chooser.choose(makeAsk(false)));
-    chooser.noteDone(choice, result, null);
+    chooser.recordResult(choice, result, null);
   }
   assert.is(state.charged, 90);
 });
--- a/packages/schedule-service/src/scheduled_chooser.ts
+++ b/packages/schedule-service/src/scheduled_chooser.ts
@@ -18,19 +18,23 @@
 import {type QuotaCharge, type QuotaRefusal} from '@mimosatack/team-quotas';
 import {toAskPayload} from './ask_payload.js';
 import {ChargeClient} from './charge_client.js';
-import {type AskPayload, type FromHolder, type ToHolder} from './messages.js';
+import {
+  type AskPayload,
+  type FromHolderMessage,
+  type ToHolderMessage,
+} from './messages.js';
 import {PendingAsk} from './pending_ask.js';
 import {isKnownNotRun} from './is_known_not_run.js';
 
 export interface ScheduledChooserOptions {
   clock: Clock;
   /** Prefix of ask ids, unique to this process among all nodes. */
-  askPrefix: string;
+  askIdPrefix: string;
   /** Chooses for unscheduled requests, and for all if no node schedules. */
   local: ServerChooser;
   findServer: (id: BackendServerId) => BackendServerEntry | undefined;
   /** Returns false when no scheduling node is known. */
-  sendToHolder: (message: ToHolder) => boolean;
+  sendToHolder: (message: ToHolderMessage) => boolean;
   quotas: LocalQuotas;
   /** Called when a request that is charged locally exceeds its team's quota. */
   onQuotaRefused: (
@@ -43,7 +47,7 @@
 /** Quota accounting for requests that the scheduling node does not charge. */
 export interface LocalQuotas {
   charge(charge: QuotaCharge): QuotaRefusal | null;
-  giveBack(charge: QuotaCharge): void;
+  refund(charge: QuotaCharge): void;
 }
 
 /**
@@ -71,12 +75,12 @@
   }
 
   /** Requests that wait for a server to be chosen. */
-  get openCount(): number {
+  get pendingCount(): number {
     return this.pendingAsks.size;
   }
 
   async choose(ask: ServerAsk): Promise<ServerChoice> {
-    const {clock, askPrefix, sendToHolder} = this.options;
+    const {clock, askIdPrefix: askPrefix, sendToHolder} = this.options;
     const askId = `${askPrefix}.${this.nextAskNumber++}`;
     const payload = ask.service.engine
       ? toAskPayload(askId, ask, clock.monotonicMs())
@@ -89,7 +93,7 @@
   }
 
   /** Handles a message of the scheduling node. */
-  receive(message: FromHolder): void {
+  receive(message: FromHolderMessage): void {
     if (this.chargeClient.settle(message) || message.type === 'charged') return;
     const pending = this.pendingAsks.get(message.askId);
     if (message.type === 'refused') {
@@ -112,14 +116,14 @@
   }
 
   /** Chooses locally for all pending asks when the scheduling node is lost. */
-  loseHolder(): void {
+  handleHolderLost(): void {
     [...this.pendingAsks.values()].forEach(pending =>
       this.fallBackToLocal(pending),
     );
   }
 
   /** Sends all pending asks and running requests to a new scheduling node. */
-  greetHolder(): void {
+  sendStateToHolder(): void {
     const asks = [...this.pendingAsks.values()].flatMap(({askId, ask}) =>
       this.toPayloads(askId, ask),
     );
@@ -136,20 +140,20 @@
     this.endRun(choice, 'neutral', null, true);
   }
 
-  noteSent(choice: ChosenServer): void {
-    this.options.local.noteSent(choice);
+  recordSent(choice: ChosenServer): void {
+    this.options.local.recordSent(choice);
   }
 
-  noteLoad(server: BackendServerEntry, load: ServerLoad): void {
-    this.options.local.noteLoad(server, load);
+  recordLoad(server: BackendServerEntry, load: ServerLoad): void {
+    this.options.local.recordLoad(server, load);
   }
 
-  noteDone(
+  recordResult(
     choice: ChosenServer,
     result: AttemptResult,
     headMs: number | null,
   ): void {
-    this.options.local.noteDone(choice, result, headMs);
+    this.options.local.recordResult(choice, result, headMs);
     if (isKnownNotRun(result)) this.refundCharge(choice);
     this.endRun(choice, result === 'answered' ? 'served' : result, headMs);
   }
@@ -179,7 +183,7 @@
     }
     const choice = await local.choose(ask);
     if (choice.status === 'chosen') return {...choice, charge};
-    if (charge) quotas.giveBack(charge);
+    if (charge) quotas.refund(charge);
     return choice;
   }
 
@@ -191,12 +195,12 @@
   private async chargeQuota(charge: QuotaCharge): Promise<QuotaRefusal | null> {
     const refusal = this.options.quotas.charge(charge);
     if (!refusal?.isUnsettled) return refusal;
-    const askId = `${this.options.askPrefix}.${this.nextAskNumber++}`;
+    const askId = `${this.options.askIdPrefix}.${this.nextAskNumber++}`;
     return this.chargeClient.requestCharge(askId, charge, refusal);
   }
 
   private refundCharge({charge}: ChosenServer): void {
-    if (charge) this.options.quotas.giveBack(charge);
+    if (charge) this.options.quotas.refund(charge);
   }
 
   private addPendingAsk(askId: string, ask: ServerAsk): PendingAsk {
@@ -270,7 +274,7 @@
 }
 
 function makeRefusalError(
-  {reason, retryAfterMs}: Extract<FromHolder, {type: 'refused'}>,
+  {reason, retryAfterMs}: Extract<FromHolderMessage, {type: 'refused'}>,
   charge: QuotaCharge | null,
 ): TypedError {
   if (reason === 'over-quota') return makeOverQuotaError(charge, retryAfterMs);
--- a/packages/schedule-service/src/scheduling_host.test.ts
+++ b/packages/schedule-service/src/scheduling_host.test.ts
@@ -11,9 +11,9 @@
 import {type QuotaCharge, type QuotaRefusal} from '@mimosatack/team-quotas';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {type EngineOrders, type SentOrder} from './engine_orders.js';
-import {type FromHolder, type ToHolder} from './messages.js';
-import {type HeldQuotas, SchedulingHost} from './scheduling_host.js';
+import {type EngineOrders, type OrderResult} from './engine_orders.js';
+import {type FromHolderMessage, type ToHolderMessage} from './messages.js';
+import {type HolderQuotas, SchedulingService} from './scheduling_host.js';
 
 const test = suite('scheduling host');
 
@@ -27,9 +27,9 @@
 /** An empty engine with configurable answers. */
 class FakeOrders implements EngineOrders {
   report: EngineReport | TypedError = REPORT;
-  answer: SentOrder = {outcome: 'accepted', cause: null};
+  answer: OrderResult = {outcome: 'accepted', cause: null};
 
-  send(): Promise<SentOrder> {
+  send(): Promise<OrderResult> {
     return Promise.resolve(this.answer);
   }
 
@@ -39,12 +39,12 @@
 }
 
 /** The quota of one team, without refill. */
-class FakeQuotas implements HeldQuotas {
+class FakeQuotas implements HolderQuotas {
   charged = 0;
 
   constructor(private readonly limit: number) {}
 
-  chargeAsked({amount}: QuotaCharge): QuotaRefusal | null {
+  chargeAtHolder({amount}: QuotaCharge): QuotaRefusal | null {
     if (this.charged + amount > this.limit) {
       return {
         ...{level: this.limit - this.charged, retryAfterMs: 700},
@@ -55,12 +55,12 @@
     return null;
   }
 
-  giveBackAsked({amount}: QuotaCharge): void {
+  refundAtHolder({amount}: QuotaCharge): void {
     this.charged -= amount;
   }
 }
 
-function makeAsk(askId: string, charge: QuotaCharge | null): ToHolder {
+function makeAsk(askId: string, charge: QuotaCharge | null): ToHolderMessage {
   return {
     type: 'ask',
     ask: {
@@ -73,13 +73,13 @@
 }
 
 function startHost(orders: EngineOrders, quotas = new FakeQuotas(100)) {
-  const sent: FromHolder[] = [];
+  const sent: FromHolderMessage[] = [];
   const clock = new ManualClock();
   const logger = new MemoryEventLogger();
-  const host = new SchedulingHost({
+  const host = new SchedulingService({
     ...{clock, logger, orders, quotas, policy: new BatchWorthPolicy()},
     authority: () => ({holder: 'a', fencingToken: 1}),
-    quietUntilMs: () => -Infinity,
+    ordersBlockedUntilMs: () => -Infinity,
     send: (_address, message) => sent.push(message),
     onFenced: () => undefined,
   });
@@ -129,7 +129,7 @@
   const {clock, host} = startHost(new FakeOrders());
   await settle();
   clock.advance(1_000);
-  host.dropServer('e1');
+  host.removeServer('e1');
   const [entry] = host.listLastOrders();
   assert.is(entry?.engineId, 'e1');
   assert.is(entry?.ageMs, 1_000);
--- a/packages/schedule-service/src/scheduling_host.ts
+++ b/packages/schedule-service/src/scheduling_host.ts
@@ -19,12 +19,16 @@
   type EngineOrderAge,
   type EngineOrders,
   type OrderAuthority,
-  type SentOrder,
+  type OrderResult,
 } from './engine_orders.js';
-import {type AskPayload, type FromHolder, type ToHolder} from './messages.js';
+import {
+  type AskPayload,
+  type FromHolderMessage,
+  type ToHolderMessage,
+} from './messages.js';
 import {isKnownNotRun} from './is_known_not_run.js';
 
-export interface SchedulingHostOptions {
+export interface SchedulingServiceOptions {
   clock: Clock;
   logger: EventLogger;
   policy: SwapPolicy;
@@ -32,17 +36,17 @@
   /** Returns null while this node must not send orders. */
   authority: () => OrderAuthority | null;
   /** No order may be sent to the engine before this time. */
-  quietUntilMs: (engineId: BackendServerId) => number;
-  send: (nodeAddress: string, message: FromHolder) => void;
-  quotas: HeldQuotas;
+  ordersBlockedUntilMs: (engineId: BackendServerId) => number;
+  send: (nodeAddress: string, message: FromHolderMessage) => void;
+  quotas: HolderQuotas;
   /** Called when an engine has refused this node's fencing token. */
   onFenced: (fencingToken: number) => void;
 }
 
 /** The quotas of all teams, which the scheduling node holds. */
-export interface HeldQuotas {
-  chargeAsked(charge: QuotaCharge): QuotaRefusal | null;
-  giveBackAsked(charge: QuotaCharge): void;
+export interface HolderQuotas {
+  chargeAtHolder(charge: QuotaCharge): QuotaRefusal | null;
+  refundAtHolder(charge: QuotaCharge): void;
 }
 
 /** Longer than any lease; the next scheduling node needs no older orders. */
@@ -50,7 +54,7 @@
 const MAX_DECISION_INTERVAL_MS = 250;
 
 /** The duty was lost or the engine removed after the order was planned. */
-const NOT_SENT: SentOrder = {
+const NOT_SENT: OrderResult = {
   outcome: 'refused',
   cause: 'not sent: no duty, or no such engine any more',
 };
@@ -66,7 +70,7 @@
 }
 
 /** Runs the scheduler and carries out its decisions. */
-export class SchedulingHost {
+export class SchedulingService {
   private readonly scheduler: ModelScheduler;
   private readonly servers = new Map<BackendServerId, BackendServerEntry>();
   private readonly asks = new Map<string, TrackedAsk>();
@@ -78,10 +82,10 @@
   private isDecisionScheduled = false;
   private isStopped = false;
 
-  constructor(private readonly options: SchedulingHostOptions) {
+  constructor(private readonly options: SchedulingServiceOptions) {
     this.scheduler = new ModelScheduler({
       policy: options.policy,
-      quietUntilMs: options.quietUntilMs,
+      ordersBlockedUntilMs: options.ordersBlockedUntilMs,
     });
   }
 
@@ -127,25 +131,25 @@
     this.scheduleDecision();
   }
 
-  dropServer(id: BackendServerId): void {
+  removeServer(id: BackendServerId): void {
     this.servers.delete(id);
     this.unresponsive.delete(id);
-    this.scheduler.dropEngine(id);
+    this.scheduler.removeEngine(id);
     this.scheduleDecision();
   }
 
-  receive(nodeAddress: string, message: ToHolder): void {
+  receive(nodeAddress: string, message: ToHolderMessage): void {
     const nowMs = this.nowMs();
     switch (message.type) {
       case 'ask':
         this.acceptAsk(message.ask, nodeAddress, nowMs);
         break;
       case 'withdraw':
-        this.scheduler.withdraw(message.askId);
+        this.scheduler.dequeue(message.askId);
         this.dropAsk(message.askId, false);
         break;
       case 'run-ended':
-        this.scheduler.noteEnd(
+        this.scheduler.recordEnd(
           message.askId,
           message.engineId,
           message.result,
@@ -159,7 +163,7 @@
       case 'under-way':
         message.asks.forEach(ask => this.acceptAsk(ask, nodeAddress, nowMs));
         message.runs.forEach(({ask, engineId}) =>
-          this.scheduler.noteRunning(
+          this.scheduler.recordRunning(
             toScheduledRequest(ask, nodeAddress, nowMs),
             engineId,
             nowMs,
@@ -178,9 +182,9 @@
       ...{nodeAddress, requestId, model, adapter, arrivedAtMs, charge},
     });
     const refusal =
-      charge && !isCharged ? this.options.quotas.chargeAsked(charge) : null;
+      charge && !isCharged ? this.options.quotas.chargeAtHolder(charge) : null;
     if (charge && refusal) return this.refuseOverQuota(askId, charge, refusal);
-    this.scheduler.ask(toScheduledRequest(ask, nodeAddress, nowMs), nowMs);
+    this.scheduler.enqueue(toScheduledRequest(ask, nodeAddress, nowMs), nowMs);
   }
 
   /**
@@ -206,16 +210,16 @@
   }
 
   private answerCharge(
-    {askId, charge}: Extract<ToHolder, {type: 'charge'}>,
+    {askId, charge}: Extract<ToHolderMessage, {type: 'charge'}>,
     nodeAddress: string,
   ): void {
-    const refusal = this.options.quotas.chargeAsked(charge);
+    const refusal = this.options.quotas.chargeAtHolder(charge);
     this.options.send(nodeAddress, {type: 'charged', askId, refusal});
   }
 
   private dropAsk(askId: string, mayHaveRun: boolean): void {
     const charge = this.asks.get(askId)?.charge;
-    if (charge && !mayHaveRun) this.options.quotas.giveBackAsked(charge);
+    if (charge && !mayHaveRun) this.options.quotas.refundAtHolder(charge);
     this.asks.delete(askId);
   }
 
@@ -236,7 +240,7 @@
       .decide(nowMs, mayOrder)
       .forEach(decision => this.executeDecision(decision));
     this.scheduler
-      .listUnknown(nowMs)
+      .listEnginesToQuery(nowMs)
       .forEach(id => void this.readEngineReport(id));
     this.timer?.cancel();
     const delayMs = Math.min(
@@ -307,7 +311,7 @@
       tookMs: Math.round(this.nowMs() - sentAtMs),
     });
     if (outcome === 'fenced') return onFenced(authority?.fencingToken ?? 0);
-    this.scheduler.noteOrderOutcome(order, outcome, this.nowMs());
+    this.scheduler.recordOrderOutcome(order, outcome, this.nowMs());
     this.scheduleDecision();
   }
 
@@ -319,9 +323,9 @@
     this.pendingReports.delete(id);
     if (this.isStopped) return;
     if (report instanceof TypedError) {
-      this.scheduler.noteReportFailed(id, this.nowMs());
+      this.scheduler.recordReportFailed(id, this.nowMs());
     } else {
-      this.scheduler.noteReport(id, report, this.nowMs());
+      this.scheduler.recordReport(id, report, this.nowMs());
     }
     this.logResponsiveness(id, report instanceof TypedError ? report : null);
     this.scheduleDecision();
@@ -352,6 +356,6 @@
 function mayRequestHaveRun({
   result,
   isUnsent,
-}: Extract<ToHolder, {type: 'run-ended'}>): boolean {
+}: Extract<ToHolderMessage, {type: 'run-ended'}>): boolean {
   return !isUnsent && !isKnownNotRun(result);
 }
--- a/packages/serve-callers/src/abandoned_requests.ts
+++ b/packages/serve-callers/src/abandoned_requests.ts
@@ -2,7 +2,7 @@
 import {type Clock, type Timer} from '@mimosatack/clock';
 
 /** A request that this node accepted and whose stream is open. */
-export interface OpenRequest {
+export interface RequestWatch {
   /** `isAbandoned`: the caller did not receive the complete answer. */
   end(isAbandoned: boolean): void;
 }
@@ -26,7 +26,7 @@
   ) {}
 
   /** @param cancel Cancels the request at its engine. */
-  watch(engineRequestId: string, cancel: () => void): OpenRequest {
+  watch(engineRequestId: string, cancel: () => void): RequestWatch {
     const request: WatchedRequest = {timer: null};
     this.watched.set(engineRequestId, request);
     return {
--- a/packages/serve-callers/src/answering.ts
+++ b/packages/serve-callers/src/answering.ts
@@ -13,20 +13,20 @@
   Sha256PrefixHasher,
 } from '@mimosatack/route-requests';
 import {CallerStats} from './caller_stats.js';
-import {ServingSets} from './serving_sets.js';
+import {ReplicaLookup} from './serving_sets.js';
 
 /** Routing, admission and the connections to the backend servers. */
-export interface Answering {
+export interface RequestRouting {
   router: Router;
   admission: AdmissionGate;
-  servingSets: ServingSets;
+  servingSets: ReplicaLookup;
   pools: BackendPools;
   retries: RetryBudget;
   hasher: PrefixHasher;
   stats: CallerStats;
 }
 
-export interface AnsweringOptions {
+export interface RequestRoutingOptions {
   clock: Clock;
   random: RandomSource;
   logger: EventLogger;
@@ -40,14 +40,16 @@
   /** The number of nodes; called at most once a second. */
   countNodes: () => number;
   /** Reports that requests wait for a replica of the model. */
-  noteDemand: (model: string) => void;
+  reportDemand: (model: string) => void;
 }
 
 const QUEUE_LIMIT_BYTES = 64 * 1024 * 1024;
 const PERCENT = 100;
 const NODE_COUNT_TTL_MS = 1_000;
 
-export function makeAnswering(options: AnsweringOptions): Answering {
+export function makeRequestRouting(
+  options: RequestRoutingOptions,
+): RequestRouting {
   const {clock, random, board, queueLimit, retryBudgetPercent} = options;
   const router = makeRouter(options);
   const admission = new AdmissionGate(clock, {
@@ -58,7 +60,7 @@
   return {
     router,
     admission,
-    servingSets: new ServingSets({
+    servingSets: new ReplicaLookup({
       ...options,
       isLeaving: id => router.isLeaving(id),
     }),
@@ -88,11 +90,11 @@
       reportedAtMs.set(backendServerId, report.reportedAtMs);
       router.noteReport(backendServerId, report.load);
     }
-    admission.pump();
+    admission.startQueued();
   });
 }
 
-function makeRouter(options: AnsweringOptions): Router {
+function makeRouter(options: RequestRoutingOptions): Router {
   const {clock, random, logger, state} = options;
   return new Router({
     ...{clock, random},
--- a/packages/serve-callers/src/caller_context.ts
+++ b/packages/serve-callers/src/caller_context.ts
@@ -1,16 +1,16 @@
 /** Dependencies that a node passes to its HTTP server for callers. */
 import {type AgreedState} from '@mimosatack/agreed-state';
-import {type RequestTokenMint} from '@mimosatack/answer-streams';
+import {type RequestTokenSigner} from '@mimosatack/answer-streams';
 import {type Clock} from '@mimosatack/clock';
 import {type DrainGate} from '@mimosatack/drain-node';
 import {type EngineBoard} from '@mimosatack/engine-board';
 import {type EventLogger} from '@mimosatack/logger';
 import {type RandomSource} from '@mimosatack/random';
-import {type TicketMint} from '@mimosatack/unrepeatable';
+import {type TicketSigner} from '@mimosatack/unrepeatable';
 import {type AbandonedRequests} from './abandoned_requests.js';
 import {type FastifyServerFactory} from 'fastify';
 import {type UnrepeatableRunner} from './unrepeatable_runner.js';
-import {type Answering} from './answering.js';
+import {type RequestRouting} from './answering.js';
 
 /** A live node that callers can send requests to. */
 export interface EntryAddress {
@@ -22,21 +22,21 @@
 }
 
 /** Dependencies of the HTTP server for callers. */
-export interface CallerContext extends Answering {
+export interface CallerContext extends RequestRouting {
   clock: Clock;
   random: RandomSource;
   logger: EventLogger;
   incarnation: string;
   state(): AgreedState;
   board: EngineBoard;
-  mint: TicketMint;
+  tokenSigner: TicketSigner;
   unrepeatable: UnrepeatableRunner;
   /** Issues and verifies the request ids that callers resume with. */
-  tokens: RequestTokenMint;
+  tokens: RequestTokenSigner;
   abandoned: AbandonedRequests;
   /** Notifies the node that accepted a request that its caller resumed it. */
-  tellResumed(incarnation: string, engineRequestId: string): void;
-  gate: DrainGate;
+  notifyResumed(incarnation: string, engineRequestId: string): void;
+  drainGate: DrainGate;
   limits: CallerLimits;
   /** Creates the underlying HTTP server; defaults to fastify's own. */
   serverFactory?: FastifyServerFactory;
--- a/packages/serve-callers/src/caller_fixture.ts
+++ b/packages/serve-callers/src/caller_fixture.ts
@@ -2,7 +2,7 @@
 import {createHash} from 'node:crypto';
 import {type ServerResponse} from 'node:http';
 import {AgreedState} from '@mimosatack/agreed-state';
-import {RequestTokenMint} from '@mimosatack/answer-streams';
+import {RequestTokenSigner} from '@mimosatack/answer-streams';
 import {ClaimKeys} from '@mimosatack/claim-keys';
 import {type Clock, SystemClock} from '@mimosatack/clock';
 import {DrainGate, InFlight} from '@mimosatack/drain-node';
@@ -18,7 +18,7 @@
   expectedCompletionText,
   startEngineStandIn,
 } from '@mimosatack/stand-ins';
-import {TicketMint, TicketTable} from '@mimosatack/unrepeatable';
+import {TicketSigner, TicketTable} from '@mimosatack/unrepeatable';
 import {type FastifyInstance} from 'fastify';
 import {Agent, type Dispatcher, request} from 'undici';
 import {
@@ -27,7 +27,7 @@
   type CallerLimits,
   UnrepeatableRunner,
   buildCallerServer,
-  makeAnswering,
+  makeRequestRouting,
 } from './index.js';
 
 export type Engine = RunningBackend<EngineStandIn>;
@@ -108,7 +108,7 @@
   const incarnation = `${nodeName}.0`;
   return new UnrepeatableRunner({
     ...{clock, nodeName, incarnation},
-    mint: new TicketMint(SECRET),
+    mint: new TicketSigner(SECRET),
     tickets: new TicketTable({clock}),
     claims: new ClaimKeys({
       ...{clock, incarnation},
@@ -118,8 +118,8 @@
     }),
     owners: {
       findProcess: () => null,
-      findKeeper: () => null,
-      askHeirs: async () => ({status: 'no-table'}),
+      findPartitionOwner: () => null,
+      askSuccessors: async () => ({status: 'no-table'}),
     },
   });
 }
@@ -131,26 +131,26 @@
 ): Promise<Entry> {
   const clock: Clock = new SystemClock();
   const logger = new MemoryEventLogger();
-  const gate = overrides.gate ?? new DrainGate(new InFlight(clock));
-  gate.follow('serving');
+  const gate = overrides.drainGate ?? new DrainGate(new InFlight(clock));
+  gate.applyPhase('serving');
   const state = makeState(engines);
   const board = makeBoard(engines);
   const random = new SeededRandom(1);
   const server = buildCallerServer({
-    ...{clock, logger, gate, random, board},
-    ...makeAnswering({
+    ...{clock, logger, drainGate: gate, random, board},
+    ...makeRequestRouting({
       ...{clock, random, logger, board, state: () => state},
       ...{failureDomain: 'hall-a', queueLimit: 100, retryBudgetPercent: 10},
       countNodes: () => 1,
-      noteDemand: () => undefined,
+      reportDemand: () => undefined,
     }),
     incarnation: `${nodeName}.0`,
     state: () => state,
-    mint: new TicketMint(SECRET),
+    tokenSigner: new TicketSigner(SECRET),
     unrepeatable: makeTicketRunner(nodeName, clock),
-    tokens: new RequestTokenMint(SECRET),
+    tokens: new RequestTokenSigner(SECRET),
     abandoned: new AbandonedRequests(clock, 0),
-    tellResumed: () => undefined,
+    notifyResumed: () => undefined,
     limits: LIMITS,
     listEntries: () => [],
     ...overrides,
@@ -257,7 +257,7 @@
   const board = new EngineBoard();
   engines.forEach(({core}) => {
     const engine = core.readState();
-    board.note({
+    board.applyReport({
       backendServerId: engine.backendServerId,
       reportedAtMs: 1,
       ...{engine, load: engine.load, isReachable: true},
--- a/packages/serve-callers/src/caller_server.ts
+++ b/packages/serve-callers/src/caller_server.ts
@@ -52,7 +52,7 @@
       baseUrl: entry.baseUrl,
       failureDomain: entry.failureDomain,
       region: entry.region,
-      keyPrefix: context.mint.makePrefix(entry.incarnation, generation),
+      keyPrefix: context.tokenSigner.makePrefix(entry.incarnation, generation),
     })),
   };
 }
--- a/packages/serve-callers/src/caller_stats.ts
+++ b/packages/serve-callers/src/caller_stats.ts
@@ -30,7 +30,7 @@
     return this.inFlightCount;
   }
 
-  noteBegun(): void {
+  noteStarted(): void {
     this.inFlightCount += 1;
   }
 
--- a/packages/serve-callers/src/claim_runner.ts
+++ b/packages/serve-callers/src/claim_runner.ts
@@ -2,7 +2,7 @@
 import {
   type ClaimGrant,
   type ClaimKeys,
-  type DatedKey,
+  type TimestampedKey,
 } from '@mimosatack/claim-keys';
 import {type Clock, sleep} from '@mimosatack/clock';
 import {TypedError, toTypedError} from '@mimosatack/errors';
@@ -11,7 +11,7 @@
   type KeptAnswer,
   KeyTable,
   generationAt,
-  makeOutcomeUnknown,
+  makeOutcomeUnknownError,
 } from '@mimosatack/unrepeatable';
 import {
   readVerdict,
@@ -62,16 +62,16 @@
       maxAnswerBytes: MAX_ANSWER_BYTES,
       maxKeptBytes: MAX_KEPT_BYTES,
       // The log records the outcome of a failed run.
-      isFreeAfter: () => true,
+      canRunAgainAfter: () => true,
     });
   }
 
   async run(
-    {key, issuedAtMs}: DatedKey,
+    {key, issuedAtMs}: TimestampedKey,
     request: UnrepeatableRequest,
     start: StartRun,
   ): Promise<UnrepeatableAnswer> {
-    if (this.options.claims.isDatedAhead(issuedAtMs)) throw makeClockError();
+    if (this.options.claims.isFromFuture(issuedAtMs)) throw makeClockError();
     this.evictOldKeys();
     const keyed = makeKeyedRequest(request, key, generationAt(issuedAtMs));
     const runHere = () => this.runHere(keyed, issuedAtMs, start);
@@ -83,7 +83,7 @@
   private findOwner(keyed: KeyedUnrepeatableRequest): ForwardTarget | null {
     if (keyed.request.isForwarded || this.localKeys.has(keyed)) return null;
     const {claims, owners} = this.options;
-    return owners.findKeeper(claims.partitionOf(keyed.keyHash));
+    return owners.findPartitionOwner(claims.partitionOf(keyed.keyHash));
   }
 
   /**
@@ -129,7 +129,7 @@
         case 'granted':
           return this.runGranted(result.grant, keyed.request, start);
         case 'orphaned':
-          throw makeOutcomeUnknown(
+          throw makeOutcomeUnknownError(
             'The node that claimed the key was lost before it told the outcome.',
           );
         case 'released':
@@ -150,13 +150,13 @@
     const {claims, clock} = this.options;
     try {
       const answer = await beginRun(request, start, clock);
-      claims.noteRan(grant, answer);
+      claims.recordRan(grant, answer);
       return answer;
     } catch (thrown) {
       const error = toTypedError(thrown);
       if (error.run === 'not-run') claims.release(grant);
-      else if (error.run === 'ran') claims.noteRan(grant, null);
-      else claims.noteUnknown(grant);
+      else if (error.run === 'ran') claims.recordRan(grant, null);
+      else claims.recordUnknown(grant);
       throw error;
     }
   }
--- a/packages/serve-callers/src/completion_attempt.ts
+++ b/packages/serve-callers/src/completion_attempt.ts
@@ -1,12 +1,12 @@
 /** One attempt to run a completion at one engine. */
 import {randomUUID} from 'node:crypto';
-import {asAbortError, readWholeAnswer} from '@mimosatack/answer-streams';
-import {readRefusal} from '@mimosatack/dispatch-requests';
+import {toAbortError, readWholeAnswer} from '@mimosatack/answer-streams';
+import {readErrorResponse} from '@mimosatack/dispatch-requests';
 import {type FastifyReply} from 'fastify';
 import {type Dispatcher} from 'undici';
 import {type CallerContext} from './caller_context.js';
 import {type CompletionJob} from './completion_job.js';
-import {resumeStream, takeStream} from './engine_streams.js';
+import {resumeStream, wrapResponseStream} from './engine_streams.js';
 import {type RequestScope} from './request_scope.js';
 import {type RelayOutcome, relayStream} from './stream_relay.js';
 
@@ -42,17 +42,17 @@
   /** Relays the engine's answer; rejects only before the caller gets data. */
   async run(): Promise<RelayOutcome['status']> {
     const {job, scope, reply} = this.options;
-    reply.request.workInFlight?.nameRequest(this.engineRequestId);
+    reply.request.workInFlight?.setRequestId(this.engineRequestId);
     const slowTimer = this.startSlowTimer();
     try {
       const response = await this.send();
-      if (response.statusCode >= 300) throw await readRefusal(response);
+      if (response.statusCode >= 300) throw await readErrorResponse(response);
       return job.request.isStreamed
         ? await this.relay(response, () => slowTimer.cancel())
         : await this.sendWhole(response);
     } catch (thrown) {
       if (scope.callerSignal.aborted) {
-        throw asAbortError(scope.callerSignal);
+        throw toAbortError(scope.callerSignal);
       }
       throw thrown;
     } finally {
@@ -87,7 +87,7 @@
     response: Dispatcher.ResponseData,
   ): Promise<RelayOutcome['status']> {
     const {context, scope, reply, onAnswer} = this.options;
-    const answer = await readWholeAnswer(takeStream(response), {
+    const answer = await readWholeAnswer(wrapResponseStream(response), {
       requestId: this.engineRequestId,
       maxAnswerBytes: context.limits.maxAnswerBytes,
       signal: scope.callerSignal,
@@ -115,7 +115,7 @@
       requestToken: this.makeRequestToken(),
       run: {
         ...{backendServerId: endpoint.id, engineRequestId},
-        first: takeStream(response),
+        openStream: wrapResponseStream(response),
         resume: (fromId, signal) => resumeStream(engine, fromId, signal),
       },
       onFirstEvents: () => {
@@ -137,7 +137,7 @@
     const {context, endpoint, job} = this.options;
     const {tokens, clock, limits, incarnation} = context;
     const keptMs = job.options.deadlineMs + limits.resumeWindowMs;
-    return tokens.make(
+    return tokens.issue(
       {
         engineRequestId: this.engineRequestId,
         backendServerId: endpoint.id,
--- a/packages/serve-callers/src/completion_pipeline.ts
+++ b/packages/serve-callers/src/completion_pipeline.ts
@@ -1,5 +1,9 @@
 /** Runs a completion: admission, routing, attempts and retries. */
-import {CallerGone, type Permit, type Target} from '@mimosatack/admit-requests';
+import {
+  CallerDisconnectedError,
+  type Permit,
+  type Target,
+} from '@mimosatack/admit-requests';
 import {TypedError, type RunOutcome, toTypedError} from '@mimosatack/errors';
 import {decideRetry} from '@mimosatack/retry-requests';
 import {type RouteRequest} from '@mimosatack/route-requests';
@@ -59,15 +63,15 @@
     };
     this.target = {
       key: formatSelection(request),
-      findOutlook: () => context.servingSets.findOutlook(request),
-      takePlace: () => this.takeEndpoint(this.triedIds, true),
+      findAvailability: () => context.servingSets.findOutlook(request),
+      tryReserve: () => this.takeEndpoint(this.triedIds, true),
     };
   }
 
   /** Makes attempts until one is answered or no retry is possible. */
   async answer(permit: Permit<EngineEndpoint>): Promise<void> {
     this.context.retries.noteRequest();
-    let endpoint: EngineEndpoint | null = permit.place;
+    let endpoint: EngineEndpoint | null = permit.reservation;
     while (endpoint) endpoint = await this.attemptAt(endpoint, permit);
   }
 
@@ -82,7 +86,7 @@
     const onAnswer = () => {
       this.hasAnswerBegun = true;
       firstByteMs = context.clock.monotonicMs() - startedAtMs;
-      permit.noteServed();
+      permit.recordServed();
     };
     const options = {endpoint, job, scope, reply, context, onAnswer};
     const attempt = new CompletionAttempt(options);
@@ -105,7 +109,7 @@
       isBroken ? {status: 'failed'} : answered,
     );
     if (isBroken) context.stats.noteRefused('stream-broken');
-    else if (status !== 'whole') throw new CallerGone();
+    else if (status !== 'whole') throw new CallerDisconnectedError();
     return null;
   }
 
@@ -134,8 +138,8 @@
       {
         attempts: this.attempts,
         isRepeatable: this.job.isRepeatable || error.run === 'not-run',
-        hasAnswerBegun: this.hasAnswerBegun,
-        isWorthRetrying: isServerFault || error.kind === 'not-warm',
+        hasResponseStarted: this.hasAnswerBegun,
+        isRetryable: isServerFault || error.kind === 'not-warm',
         remainingMs: this.job.admission.deadlineAtMs - clock.monotonicMs(),
       },
       retries,
@@ -148,7 +152,7 @@
 
   private makeAbortError(): Error {
     const reason: unknown = this.scope.callerSignal.reason;
-    if (!(reason instanceof TypedError)) return new CallerGone();
+    if (!(reason instanceof TypedError)) return new CallerDisconnectedError();
     return reason.withRun(
       this.isAttemptPending ? 'unknown' : this.worstRunOutcome,
     );
@@ -182,7 +186,7 @@
       excluded,
       avoidedDomains: this.triedDomains,
       prefix: this.prefix,
-      needsRoom,
+      requiresCapacity: needsRoom,
     });
     if (decision.status !== 'chosen') return null;
     const server = this.context
@@ -204,5 +208,5 @@
 
 /** Whether the caller has disconnected, so that no error can be sent. */
 export function isCallerGone(thrown: unknown): boolean {
-  return thrown instanceof CallerGone;
+  return thrown instanceof CallerDisconnectedError;
 }
--- a/packages/serve-callers/src/completion_routes.ts
+++ b/packages/serve-callers/src/completion_routes.ts
@@ -56,7 +56,7 @@
 ): Promise<void> {
   const {stats, clock} = context;
   const arrivedAtMs = clock.monotonicMs();
-  stats.noteBegun();
+  stats.noteStarted();
   let job: CompletionJob | null = null;
   try {
     job = readJob(path, incoming, arrivedAtMs, context);
--- a/packages/serve-callers/src/completions.test.ts
+++ b/packages/serve-callers/src/completions.test.ts
@@ -261,7 +261,7 @@
       await waitUntil(() => loopback.context.admission.inFlightCount === 12);
       await Promise.all(loopback.engines.map(engine => engine.kill()));
       loopback.engines.forEach(({core}) =>
-        loopback.context.board.note({
+        loopback.context.board.applyReport({
           backendServerId: core.options.backendServerId,
           reportedAtMs: Infinity,
           engine: null,
--- a/packages/serve-callers/src/drain.test.ts
+++ b/packages/serve-callers/src/drain.test.ts
@@ -36,13 +36,13 @@
   const engine = await startWarmEngine('r1', {tokenMs: 1});
   const stays = {nodeName: 'entry-2', baseUrl: 'http://127.0.0.1:1'};
   const entry = await startEntry('entry-1', [engine], {
-    gate,
+    drainGate: gate,
     listEntries: () => [
       {...stays, failureDomain: 'a', region: 'r', incarnation: 'entry-2.0'},
     ],
   });
   const shutdown = new ShutdownTask({
-    ...{clock, gate, tellCallersMs: TELL_CALLERS_MS, graceMs: GRACE_MS},
+    ...{clock, gate, addressExpiryMs: TELL_CALLERS_MS, graceMs: GRACE_MS},
     logger: new MemoryEventLogger(),
     actions: {
       abortStart: () => undefined,
@@ -112,7 +112,7 @@
 test('a starting node refuses requests as overloaded', () =>
   // Guards against `unauthorized` for valid tokens before the teams are loaded.
   withEntry(async ({entry}) => {
-    entry.gate.follow('starting');
+    entry.gate.applyPhase('starting');
     const refused = await askForStream(entry, makePrompt(5));
     const {error} = (await refused.body.json()) as RefusalBody;
     assert.equal([error.kind, error.run], ['overloaded', 'not-run']);
--- a/packages/serve-callers/src/drain_hooks.ts
+++ b/packages/serve-callers/src/drain_hooks.ts
@@ -23,7 +23,7 @@
   server: FastifyInstance,
   context: CallerContext,
 ): void {
-  const {gate} = context;
+  const {drainGate: gate} = context;
   server.decorateRequest('workInFlight', null);
   server.addHook('onRequest', async (incoming, reply) => {
     if (gate.state === 'leaving' || gate.state === 'refusing') {
@@ -52,7 +52,7 @@
 }
 
 function refuseByState(context: CallerContext, run: RunOutcome): void {
-  switch (context.gate.state) {
+  switch (context.drainGate.state) {
     case 'starting':
       // The node has not loaded the teams and would answer `unauthorized`.
       throw new TypedError('overloaded', 'The node is starting.', {
--- a/packages/serve-callers/src/engine_streams.ts
+++ b/packages/serve-callers/src/engine_streams.ts
@@ -14,7 +14,9 @@
 const HTTP_NOT_FOUND = 404;
 
 /** Wraps the body of a received response as a stream. */
-export function takeStream(response: Dispatcher.ResponseData): OpenStream {
+export function wrapResponseStream(
+  response: Dispatcher.ResponseData,
+): OpenStream {
   const {body} = response;
   // Prevents an uncaught error when the body is destroyed early.
   body.on('error', () => undefined);
@@ -33,7 +35,7 @@
 ): Promise<OpenStream> {
   const url = `${requestUrl(baseUrl, engineRequestId)}/stream?from=${fromId}`;
   const response = await send(url, 'GET', signal);
-  if (response.statusCode === HTTP_OK) return takeStream(response);
+  if (response.statusCode === HTTP_OK) return wrapResponseStream(response);
   await response.body.dump();
   throw response.statusCode === HTTP_NOT_FOUND
     ? new TypedError('not-found', 'The engine does not keep the request.')
--- a/packages/serve-callers/src/index.ts
+++ b/packages/serve-callers/src/index.ts
@@ -1,8 +1,8 @@
-export {AbandonedRequests, type OpenRequest} from './abandoned_requests.js';
+export {AbandonedRequests, type RequestWatch} from './abandoned_requests.js';
 export {
-  type Answering,
-  type AnsweringOptions,
-  makeAnswering,
+  type RequestRouting,
+  type RequestRoutingOptions,
+  makeRequestRouting,
 } from './answering.js';
 export {
   type CallerContext,
@@ -12,7 +12,7 @@
 export {buildCallerServer} from './caller_server.js';
 export {type ForwardTarget, type KeyOwners} from './unrepeatable_forward.js';
 export {
-  type DispatchTerms,
+  type DispatchLimits,
   type StartRun,
   type UnrepeatableAnswer,
   type UnrepeatableRequest,
@@ -26,7 +26,7 @@
   type EngineRequest,
   cancelAtEngine,
   resumeStream,
-  takeStream,
+  wrapResponseStream,
 } from './engine_streams.js';
 export {
   type EngineRun,
@@ -34,4 +34,4 @@
   type StreamRelayInput,
   relayStream,
 } from './stream_relay.js';
-export {ServingSets, type ServingSetsOptions} from './serving_sets.js';
+export {ReplicaLookup, type ReplicaLookupOptions} from './serving_sets.js';
--- a/packages/serve-callers/src/loopback_fixture.ts
+++ b/packages/serve-callers/src/loopback_fixture.ts
@@ -4,7 +4,7 @@
  */
 import {createHash} from 'node:crypto';
 import {AgreedState} from '@mimosatack/agreed-state';
-import {RequestTokenMint} from '@mimosatack/answer-streams';
+import {RequestTokenSigner} from '@mimosatack/answer-streams';
 import {SystemClock} from '@mimosatack/clock';
 import {DrainGate, InFlight} from '@mimosatack/drain-node';
 import {EngineBoard} from '@mimosatack/engine-board';
@@ -16,9 +16,9 @@
   type RunningBackend,
   startEngineStandIn,
 } from '@mimosatack/stand-ins';
-import {TicketMint} from '@mimosatack/unrepeatable';
+import {TicketSigner} from '@mimosatack/unrepeatable';
 import {AbandonedRequests} from './abandoned_requests.js';
-import {makeAnswering} from './answering.js';
+import {makeRequestRouting} from './answering.js';
 import {type CallerContext} from './caller_context.js';
 import {makeTicketRunner} from './caller_fixture.js';
 import {buildCallerServer} from './caller_server.js';
@@ -124,7 +124,7 @@
   board: EngineBoard,
 ): void {
   const engine = core.readState();
-  board.note({
+  board.applyReport({
     backendServerId: engine.backendServerId,
     reportedAtMs: performance.timeOrigin + performance.now(),
     engine,
@@ -220,22 +220,22 @@
   const random = new SeededRandom(1);
   const logger = new MemoryEventLogger();
   const gate = new DrainGate(new InFlight(clock));
-  gate.follow('serving');
+  gate.applyPhase('serving');
   return {
-    ...{clock, random, logger, board, gate, state: () => state},
-    ...makeAnswering({
+    ...{clock, random, logger, board, drainGate: gate, state: () => state},
+    ...makeRequestRouting({
       ...{clock, random, logger, board, state: () => state},
       failureDomain: 'hall-0',
       queueLimit: options.queueLimit ?? 1_000,
       retryBudgetPercent: 10,
       countNodes: () => 1,
-      noteDemand: model => demandedModels.push(model),
+      reportDemand: model => demandedModels.push(model),
     }),
     incarnation: 'entry-0.1',
-    tokens: new RequestTokenMint(SECRET),
+    tokens: new RequestTokenSigner(SECRET),
     abandoned: new AbandonedRequests(clock, 0),
-    tellResumed: () => undefined,
-    mint: new TicketMint(SECRET),
+    notifyResumed: () => undefined,
+    tokenSigner: new TicketSigner(SECRET),
     unrepeatable: makeTicketRunner('entry-0', clock),
     limits: {
       maxBodyBytes: options.maxBodyBytes ?? 1_048_576,
--- a/packages/serve-callers/src/request_scope.ts
+++ b/packages/serve-callers/src/request_scope.ts
@@ -1,5 +1,5 @@
 /** Abort signals for the deadline, node shutdown and caller disconnect. */
-import {CallerGone} from '@mimosatack/admit-requests';
+import {CallerDisconnectedError} from '@mimosatack/admit-requests';
 import {type FastifyReply} from 'fastify';
 import {type CallerContext} from './caller_context.js';
 import {mergeSignals, openStreamScope} from './stream_scope.js';
@@ -13,14 +13,15 @@
 }
 
 export function openRequestScope(
-  {clock, gate}: CallerContext,
+  {clock, drainGate: gate}: CallerContext,
   deadlineMs: number,
   reply: FastifyReply,
 ): RequestScope {
-  const scope = openStreamScope(clock, deadlineMs, [gate.cutSignal]);
+  const scope = openStreamScope(clock, deadlineMs, [gate.abortSignal]);
   const attended = mergeSignals([scope.signal]);
   const onClose = () => {
-    if (!reply.raw.writableFinished) attended.abort(new CallerGone());
+    if (!reply.raw.writableFinished)
+      {attended.abort(new CallerDisconnectedError());}
   };
   reply.raw.once('close', onClose);
   return {
--- a/packages/serve-callers/src/resume_routes.ts
+++ b/packages/serve-callers/src/resume_routes.ts
@@ -65,7 +65,7 @@
     context.state(),
   );
   const nowMs = context.clock.wallMs();
-  const token = context.tokens.read(incoming.params.token, team, nowMs);
+  const token = context.tokens.verify(incoming.params.token, team, nowMs);
   if (token) return token;
   throw makeNotFound();
 }
@@ -99,14 +99,14 @@
   const {engineRequestId, backendServerId} = token;
   const engine = findEngine(token, context);
   const {deadlineMs} = readRequestOptions(incoming.headers, context.limits);
-  incoming.workInFlight?.nameRequest(engineRequestId);
+  incoming.workInFlight?.setRequestId(engineRequestId);
   noteResumed(token, context);
   context.logger.log('stream-resumed', {
     requestId: engineRequestId,
     lastEventId: firstId - 1,
   });
   const scope = openStreamScope(context.clock, deadlineMs, [
-    context.gate.cutSignal,
+    context.drainGate.abortSignal,
   ]);
   try {
     const first = await resumeStream(engine, firstId, scope.signal);
@@ -116,7 +116,7 @@
       ...{reply, firstId, signal: scope.signal},
       requestToken: incoming.params.token,
       run: {
-        ...{backendServerId, engineRequestId, first},
+        ...{backendServerId, engineRequestId, openStream: first},
         resume: (fromId, signal) => resumeStream(engine, fromId, signal),
       },
     });
@@ -132,6 +132,6 @@
   if (entryIncarnation === context.incarnation) {
     context.abandoned.noteResumed(engineRequestId);
   } else {
-    context.tellResumed(entryIncarnation, engineRequestId);
+    context.notifyResumed(entryIncarnation, engineRequestId);
   }
 }
--- a/packages/serve-callers/src/second_run.test.ts
+++ b/packages/serve-callers/src/second_run.test.ts
@@ -19,7 +19,7 @@
   type EngineRun,
   relayStream,
   resumeStream,
-  takeStream,
+  wrapResponseStream,
 } from './index.js';
 
 const test = suite('a second run on another replica');
@@ -42,7 +42,7 @@
   });
   return {
     backendServerId: engine.core.options.backendServerId,
-    ...{engineRequestId, first: takeStream(response)},
+    ...{engineRequestId, openStream: wrapResponseStream(response)},
     resume: (fromId, signal) =>
       resumeStream({baseUrl, engineRequestId}, fromId, signal),
   };
@@ -63,7 +63,7 @@
       logger: new MemoryEventLogger(),
       signal: new AbortController().signal,
       run: await startRun(engines[0], prompt),
-      runElsewhere: isDeterministic(prompt)
+      runOnOtherReplica: isDeterministic(prompt)
         ? () => startRun(engines[1], second)
         : undefined,
     });
--- a/packages/serve-callers/src/service_dispatch.ts
+++ b/packages/serve-callers/src/service_dispatch.ts
@@ -5,7 +5,7 @@
 import {type BackendServerId} from '@mimosatack/types';
 import {type KeptAnswer} from '@mimosatack/unrepeatable';
 import {type CallerContext} from './caller_context.js';
-import {type DispatchTerms} from './unrepeatable_request.js';
+import {type DispatchLimits} from './unrepeatable_request.js';
 
 export interface ServiceCall {
   service: ServiceContent;
@@ -25,7 +25,7 @@
  */
 export async function sendToService(
   call: ServiceCall,
-  terms: DispatchTerms,
+  terms: DispatchLimits,
   context: CallerContext,
 ): Promise<KeptAnswer> {
   const tried = new Set<BackendServerId>();
@@ -45,7 +45,7 @@
 async function sendTo(
   id: BackendServerId,
   call: ServiceCall,
-  terms: DispatchTerms,
+  terms: DispatchLimits,
   context: CallerContext,
 ): Promise<KeptAnswer> {
   const {clock, router} = context;
--- a/packages/serve-callers/src/serving_sets.ts
+++ b/packages/serve-callers/src/serving_sets.ts
@@ -1,10 +1,10 @@
 /** Finds the replicas that serve a model, or when one is expected to. */
-import {type Outlook} from '@mimosatack/admit-requests';
+import {type ReplicaAvailability} from '@mimosatack/admit-requests';
 import {
   type AgreedState,
   type ResolvedEvent,
   type Slot,
-  isServing,
+  isInServingWindow,
 } from '@mimosatack/agreed-state';
 import {type Clock} from '@mimosatack/clock';
 import {type EngineBoard} from '@mimosatack/engine-board';
@@ -12,13 +12,13 @@
 import {type ModelSelection} from './completion_request.js';
 import {LoadTimeEstimator} from './load_time_estimator.js';
 
-export interface ServingSetsOptions {
+export interface ReplicaLookupOptions {
   clock: Clock;
   state(): AgreedState;
   board: EngineBoard;
   isLeaving(id: BackendServerId): boolean;
   /** Reports that requests wait for a replica of the model. */
-  noteDemand(model: string): void;
+  reportDemand(model: string): void;
 }
 
 /** The expected time until the scheduling node decides on a replica. */
@@ -40,7 +40,7 @@
   forwardedAtMs: number;
 }
 
-export class ServingSets {
+export class ReplicaLookup {
   private readonly loadTimes = new LoadTimeEstimator();
   private readonly demands = new Map<string, Demand>();
   private slotIndex = {
@@ -49,7 +49,7 @@
     slots: new Map<string, Slot[]>(),
   };
 
-  constructor(private readonly options: ServingSetsOptions) {
+  constructor(private readonly options: ReplicaLookupOptions) {
     options.board.onChange(report =>
       this.loadTimes.noteReport(report, slotId =>
         options.state().placement.find(slotId),
@@ -65,12 +65,12 @@
       .listWarm(model, adapter)
       .filter(({slotId}) => {
         const slot = placement.find(slotId);
-        return slot !== undefined && isServing(slot, nowMs);
+        return slot !== undefined && isInServingWindow(slot, nowMs);
       })
       .map(({backendServerId}) => backendServerId);
   }
 
-  findOutlook(selection: ModelSelection): Outlook {
+  findOutlook(selection: ModelSelection): ReplicaAvailability {
     const isServed = this.listCandidates(selection).some(
       id => !this.options.isLeaving(id),
     );
@@ -85,8 +85,8 @@
       this.noteDemand(selection.model);
     }
     return Number.isFinite(expectedInMs)
-      ? {status: 'warming', expectedInMs}
-      : {status: 'cold', comeBackInMs: this.findRetryAfterMs(selection)};
+      ? {status: 'warming', readyInMs: expectedInMs}
+      : {status: 'cold', retryAfterMs: this.findRetryAfterMs(selection)};
   }
 
   /** Infinity when no slot is decided. */
@@ -159,7 +159,7 @@
     const isDue = nowMs - demand.forwardedAtMs >= DEMAND_INTERVAL_MS;
     if (isDue) demand.forwardedAtMs = nowMs;
     this.demands.set(model, demand);
-    if (isDue) this.options.noteDemand(model);
+    if (isDue) this.options.reportDemand(model);
   }
 
   /** The time until the next event that needs the model. */
--- a/packages/serve-callers/src/simulated_routers.ts
+++ b/packages/serve-callers/src/simulated_routers.ts
@@ -1,5 +1,8 @@
 /** Simulates routers and engines on a manual clock, for measurements. */
-import {AdmissionGate, type Outlook} from '@mimosatack/admit-requests';
+import {
+  AdmissionGate,
+  type ReplicaAvailability,
+} from '@mimosatack/admit-requests';
 import {ManualClock} from '@mimosatack/clock';
 import {SeededRandom, pickOne} from '@mimosatack/random';
 import {Router} from '@mimosatack/route-requests';
@@ -158,10 +161,10 @@
   const candidates = Array.from({length: ENGINES}, (_, index) => `${index}`);
   const target = {
     key: MODEL,
-    findOutlook: (): Outlook => ({status: 'serving'}),
-    takePlace: () => {
+    findAvailability: (): ReplicaAvailability => ({status: 'serving'}),
+    tryReserve: () => {
       const excluded = new Set<string>();
-      const id = router.choose({candidates, excluded, needsRoom: true});
+      const id = router.choose({candidates, excluded, requiresCapacity: true});
       if (id !== null) router.noteSent(id);
       return id;
     },
@@ -169,7 +172,7 @@
   return {
     noteReport: (engine, load) => {
       router.noteReport(`${engine}`, load);
-      gate.pump();
+      gate.startQueued();
     },
     send: (requestId, deadlineMs, start) => {
       const nowMs = clock.monotonicMs();
@@ -183,11 +186,15 @@
         arrivedAtMs: nowMs,
         deadlineAtMs: nowMs + deadlineMs,
       };
-      return gate.run(request, target, async ({place, noteServed}) => {
-        await start(Number(place));
-        noteServed();
-        router.noteDone(place);
-      });
+      return gate.run(
+        request,
+        target,
+        async ({reservation: place, recordServed: noteServed}) => {
+          await start(Number(place));
+          noteServed();
+          router.noteDone(place);
+        },
+      );
     },
   };
 }
--- a/packages/serve-callers/src/stream_relay.ts
+++ b/packages/serve-callers/src/stream_relay.ts
@@ -5,9 +5,9 @@
   DeliveredText,
   DivergedError,
   type OpenStream,
-  type RepairCause,
+  type ResumeCause,
   type StreamEvent,
-  continueElsewhere,
+  continueOnAnotherReplica,
   formatErrorEvent,
   formatEvent,
   readAnswer,
@@ -25,7 +25,7 @@
   backendServerId: BackendServerId;
   engineRequestId: string;
   /** The engine's open stream, or null to start with `resume`. */
-  first: OpenStream | null;
+  openStream: OpenStream | null;
   /** Reopens the stream at event `fromId`; `not-found` is final. */
   resume(fromId: number, signal: AbortSignal): Promise<OpenStream>;
 }
@@ -51,7 +51,7 @@
    * resolves with null when there is none. Must be omitted when the output of
    * two runs may differ.
    */
-  runElsewhere?(error: TypedError): Promise<EngineRun | null>;
+  runOnOtherReplica?(error: TypedError): Promise<EngineRun | null>;
 }
 
 export interface RelayOutcome {
@@ -112,19 +112,19 @@
   private async *readRuns(
     signal: AbortSignal,
   ): AsyncGenerator<StreamEvent[], void> {
-    const delivered = this.input.runElsewhere ? new DeliveredText() : null;
+    const delivered = this.input.runOnOtherReplica ? new DeliveredText() : null;
     let answer = this.readRun(this.input.firstId, signal);
     for (;;) {
       try {
         for await (const events of answer) {
-          delivered?.note(events);
+          delivered?.addEvents(events);
           yield events;
         }
         return;
       } catch (thrown) {
         const error = toTypedError(thrown);
         if (!delivered || !(await this.startOnOtherReplica(error))) throw error;
-        answer = continueElsewhere(delivered, this.readRun(0, signal));
+        answer = continueOnAnotherReplica(delivered, this.readRun(0, signal));
       }
     }
   }
@@ -141,9 +141,9 @@
     return readAnswer({
       ...{firstId, limits, signal, clock: input.clock, random: input.random},
       requestId: run.engineRequestId,
-      first: run.first,
+      first: run.openStream,
       resume: (fromId, resumeSignal) => run.resume(fromId, resumeSignal),
-      onRepair: (cause, nextId, error) => this.logRepair(cause, nextId, error),
+      onResume: (cause, nextId, error) => this.logRepair(cause, nextId, error),
     });
   }
 
@@ -152,7 +152,7 @@
       error.kind === 'stream-broken' && !(error instanceof DivergedError);
     if (!isRepairable || this.extraRuns >= MAX_EXTRA_RUNS) return false;
     this.extraRuns += 1;
-    const next = (await this.input.runElsewhere?.(error)) ?? null;
+    const next = (await this.input.runOnOtherReplica?.(error)) ?? null;
     if (!next) return false;
     this.input.logger.log('stream-continued-elsewhere', {
       requestId: this.run.engineRequestId,
@@ -198,7 +198,7 @@
   }
 
   private logRepair(
-    cause: RepairCause,
+    cause: ResumeCause,
     nextEventId: number,
     error: TypedError | null,
   ): void {
--- a/packages/serve-callers/src/ticket_runner.ts
+++ b/packages/serve-callers/src/ticket_runner.ts
@@ -4,7 +4,7 @@
 import {
   type Ticket,
   type TicketTable,
-  makeOutcomeUnknown,
+  makeOutcomeUnknownError,
 } from '@mimosatack/unrepeatable';
 import {isNodeAnswer, readVerdict, toAnswer} from './unrepeatable_answers.js';
 import {type Forward, type KeyOwners} from './unrepeatable_forward.js';
@@ -56,18 +56,23 @@
   ): Promise<UnrepeatableAnswer> {
     const {owners, forward} = this.options;
     if (keyed.request.isForwarded) {
-      throw makeOutcomeUnknown('The key belongs to a process that is gone.');
+      throw makeOutcomeUnknownError(
+        'The key belongs to a process that is gone.',
+      );
     }
     const target = owners.findProcess(incarnation);
     if (!target) return this.findOutcome(incarnation, keyed);
     try {
       const relayed = await forward(target, keyed.request);
       if (isNodeAnswer(relayed)) return relayed;
-      throw makeOutcomeUnknown('The node that keeps the key is stopping.');
+      throw makeOutcomeUnknownError('The node that keeps the key is stopping.');
     } catch (thrown) {
       const error = toTypedError(thrown);
       if (error.run === 'not-run') return this.findOutcome(incarnation, keyed);
-      throw makeOutcomeUnknown('The node that keeps the key was lost.', error);
+      throw makeOutcomeUnknownError(
+        'The node that keeps the key was lost.',
+        error,
+      );
     }
   }
 
@@ -75,7 +80,7 @@
     incarnation: string,
     {generation, keyHash, requestHash}: KeyedUnrepeatableRequest,
   ): Promise<UnrepeatableAnswer> {
-    const verdict = await this.options.owners.askHeirs({
+    const verdict = await this.options.owners.askSuccessors({
       incarnation,
       generation,
       keyHash,
--- a/packages/serve-callers/src/unrepeatable_answers.ts
+++ b/packages/serve-callers/src/unrepeatable_answers.ts
@@ -5,9 +5,9 @@
   type InheritedVerdict,
   type KeptAnswer,
   type KeyedAnswer,
-  makeAnswerNotKept,
-  makeKeyReused,
-  makeOutcomeUnknown,
+  makeAnswerNotKeptError,
+  makeKeyReusedError,
+  makeOutcomeUnknownError,
 } from '@mimosatack/unrepeatable';
 import {type UnrepeatableAnswer} from './unrepeatable_request.js';
 
@@ -67,7 +67,7 @@
   relayed: UnrepeatableAnswer,
 ): UnrepeatableAnswer {
   if (hasRunOutcome(relayed)) return relayed;
-  throw makeOutcomeUnknown('The keeper of the key has no answer.');
+  throw makeOutcomeUnknownError('The keeper of the key has no answer.');
 }
 
 /**
@@ -89,10 +89,10 @@
 export function readVerdict(verdict: InheritedVerdict): KeptAnswer {
   switch (verdict.status) {
     case 'ran':
-      if (verdict.answer === null) throw makeAnswerNotKept();
+      if (verdict.answer === null) throw makeAnswerNotKeptError();
       return verdict.answer;
     case 'key-reused':
-      throw makeKeyReused();
+      throw makeKeyReusedError();
     case 'never-run':
       throw new TypedError(
         'shutting-down',
@@ -103,9 +103,11 @@
         },
       );
     case 'no-table':
-      throw makeOutcomeUnknown('The key belongs to a process that is gone.');
+      throw makeOutcomeUnknownError(
+        'The key belongs to a process that is gone.',
+      );
     case 'unknown':
-      throw makeOutcomeUnknown('The outcome of this key is not known.');
+      throw makeOutcomeUnknownError('The outcome of this key is not known.');
   }
 }
 
--- a/packages/serve-callers/src/unrepeatable_calls.test.ts
+++ b/packages/serve-callers/src/unrepeatable_calls.test.ts
@@ -84,9 +84,9 @@
     return `${error.kind} ${error.run}`;
   };
   const keyed = {'idempotency-key': 'order-17'};
-  entry.gate.follow('starting');
+  entry.gate.applyPhase('starting');
   assert.is(await send(keyed), 'overloaded unknown');
-  entry.gate.follow('refusing');
+  entry.gate.applyPhase('refusing');
   assert.is(await send(keyed), 'shutting-down unknown');
   assert.is(await send({}), 'shutting-down not-run');
   await entry.kill();
--- a/packages/serve-callers/src/unrepeatable_forward.ts
+++ b/packages/serve-callers/src/unrepeatable_forward.ts
@@ -22,9 +22,9 @@
   /** Null when the process is known to have stopped. */
   findProcess(incarnation: string): ForwardTarget | null;
   /** The node that owns a partition of the claims; null for this node. */
-  findKeeper(partition: number): ForwardTarget | null;
+  findPartitionOwner(partition: number): ForwardTarget | null;
   /** Asks the nodes that took over the tickets of a stopped process. */
-  askHeirs(query: InheritedQuery): Promise<InheritedVerdict>;
+  askSuccessors(query: InheritedQuery): Promise<InheritedVerdict>;
 }
 
 /** Rejects with the errors of `exchangeOnce`. */
--- a/packages/serve-callers/src/unrepeatable_request.ts
+++ b/packages/serve-callers/src/unrepeatable_request.ts
@@ -23,7 +23,7 @@
 }
 
 /** Time limits of a run. */
-export interface DispatchTerms {
+export interface DispatchLimits {
   /** The latest time to send the request, on the monotonic clock. */
   startBeforeMs: number;
   /** Ends the wait for an answer, some time after the caller's deadline. */
@@ -36,7 +36,7 @@
 }
 
 /** Sends the request to a backend server; errors must carry `run`. */
-export type StartRun = (terms: DispatchTerms) => Promise<KeptAnswer>;
+export type StartRun = (terms: DispatchLimits) => Promise<KeptAnswer>;
 
 export interface KeyedUnrepeatableRequest extends KeyedRequest {
   request: UnrepeatableRequest;
--- a/packages/serve-callers/src/unrepeatable_runner.test.ts
+++ b/packages/serve-callers/src/unrepeatable_runner.test.ts
@@ -8,7 +8,7 @@
 import {startPlatformStandIn, startServiceStandIn} from '@mimosatack/stand-ins';
 import {
   InheritedTickets,
-  TicketMint,
+  TicketSigner,
   TicketTable,
   generationAt,
   makeTicketPages,
@@ -36,7 +36,7 @@
   const clock: Clock = new SystemClock();
   const platform = await startPlatformStandIn();
   const service = await startServiceStandIn({runMs: 1});
-  const mint = new TicketMint('a secret of the cluster');
+  const mint = new TicketSigner('a secret of the cluster');
   const baseUrls = new Map<string, string>();
   const inheritedTickets = new InheritedTickets();
   const cleanups: Array<() => Promise<unknown>> = [];
@@ -76,11 +76,11 @@
       claims,
       owners: {
         findProcess: find,
-        findKeeper: () =>
+        findPartitionOwner: () =>
           hints.partitionOwner === incarnation
             ? null
             : find(hints.partitionOwner),
-        askHeirs: async query => inheritedTickets.find(query),
+        askSuccessors: async query => inheritedTickets.find(query),
       },
     });
     let startRun: StartRun = ({signal}) =>
@@ -246,7 +246,7 @@
   a.tickets.close();
   const {floorGeneration, keys} = a.tickets.export();
   makeTicketPages('a', floorGeneration, keys).forEach(page =>
-    cluster.inheritedTickets.takePage(page),
+    cluster.inheritedTickets.addPage(page),
   );
   await a.kill();
   assert.equal(await send(b, key), {outcome: '200', isReplay: true});
--- a/packages/serve-callers/src/unrepeatable_runner.ts
+++ b/packages/serve-callers/src/unrepeatable_runner.ts
@@ -2,12 +2,12 @@
  * Runs each request at most once by its key: tickets run in the process that
  * issued them, caller-generated keys after a claim in the log.
  */
-import {type ClaimKeys, readDatedKey} from '@mimosatack/claim-keys';
+import {type ClaimKeys, parseTimestampedKey} from '@mimosatack/claim-keys';
 import {type Clock} from '@mimosatack/clock';
 import {
-  type TicketMint,
+  type TicketSigner,
   type TicketTable,
-  makeBadKey,
+  makeBadKeyError,
 } from '@mimosatack/unrepeatable';
 import {ClaimRunner} from './claim_runner.js';
 import {TicketRunner} from './ticket_runner.js';
@@ -22,7 +22,7 @@
   clock: Clock;
   nodeName: string;
   incarnation: string;
-  mint: TicketMint;
+  mint: TicketSigner;
   tickets: TicketTable;
   claims: ClaimKeys;
   owners: KeyOwners;
@@ -46,14 +46,16 @@
   ): Promise<UnrepeatableAnswer> {
     const {idempotencyKey} = request;
     if (idempotencyKey === null) {
-      throw makeBadKey('This request runs at most once and needs a key.');
+      throw makeBadKeyError('This request runs at most once and needs a key.');
     }
     const reading = this.options.mint.read(idempotencyKey);
     switch (reading.status) {
       case 'ticket':
         return this.tickets.run(reading.ticket, request, start);
       case 'forged':
-        throw makeBadKey('The key has a prefix that no node has given out.');
+        throw makeBadKeyError(
+          'The key has a prefix that no node has given out.',
+        );
       case 'not-a-ticket':
         return this.runWithDatedKey(idempotencyKey, request, start);
     }
@@ -64,8 +66,8 @@
     request: UnrepeatableRequest,
     start: StartRun,
   ): Promise<UnrepeatableAnswer> {
-    const dated = readDatedKey(text);
-    if (!dated) throw makeBadKey('The key does not carry its date.');
+    const dated = parseTimestampedKey(text);
+    if (!dated) throw makeBadKeyError('The key does not carry its date.');
     return this.claims.run(dated, request, start);
   }
 }
--- a/packages/serve-operators/src/event_routes.ts
+++ b/packages/serve-operators/src/event_routes.ts
@@ -112,7 +112,7 @@
 function readStatus(event: ResolvedEvent, context: OperatorContext) {
   const replicas = context
     .state()
-    .placement.listFor({for: 'event', eventId: event.eventId})
+    .placement.listForPurpose({for: 'event', eventId: event.eventId})
     .map(slot => toReplicaView(slot, context.board));
   return describeEvent(event, replicas, context.clock.wallMs());
 }
--- a/packages/serve-operators/src/host_routes.ts
+++ b/packages/serve-operators/src/host_routes.ts
@@ -82,11 +82,11 @@
     return {
       ...server,
       claim: stewardship.findClaim(id) ?? null,
-      doubts: stewardship.listDoubts(id),
+      doubts: stewardship.listInDoubtClaims(id),
       isDraining: stewardship.isDraining(id),
       isReachable: report?.isReachable ?? null,
       load: report?.load ?? null,
-      decidedReplicas: placement.listOn(id).length,
+      decidedReplicas: placement.listOnBackendServer(id).length,
     };
   });
 }
--- a/packages/serve-requests/src/attempt.ts
+++ b/packages/serve-requests/src/attempt.ts
@@ -10,7 +10,7 @@
 import {
   type AnswerFacts,
   type BackendDialect,
-  type SendTerms,
+  type SendParameters,
   type ServerLoad,
 } from './backend_dialect.js';
 import {type CallerRequest} from './caller_request.js';
@@ -63,7 +63,7 @@
   dialect: BackendDialect;
   clock: Clock;
   request: CallerRequest;
-  terms: SendTerms;
+  terms: SendParameters;
   consumer: AnswerConsumer;
   connectTimeoutMs: number;
   maxIdleMs: number;
--- a/packages/serve-requests/src/backend_dialect.ts
+++ b/packages/serve-requests/src/backend_dialect.ts
@@ -4,7 +4,7 @@
 import {type CallerRequest} from './caller_request.js';
 
 /** What a backend server receives in addition to the caller's request. */
-export interface SendTerms {
+export interface SendParameters {
   server: BackendServerEntry;
   /** The time left until the deadline of the response. */
   remainingMs: number;
@@ -39,6 +39,6 @@
 
 /** Encodes request headers and decodes response heads. */
 export interface BackendDialect {
-  makeHeaders(request: CallerRequest, terms: SendTerms): string[];
+  makeHeaders(request: CallerRequest, terms: SendParameters): string[];
   readHead(head: AnswerHead, request: CallerRequest): AnswerFacts;
 }
--- a/packages/serve-requests/src/caller_request.ts
+++ b/packages/serve-requests/src/caller_request.ts
@@ -9,7 +9,7 @@
 }
 
 /** The parameters of a generation. */
-export interface GenerationTerms {
+export interface GenerationParameters {
   model: ModelName;
   adapter: AdapterName | null;
   promptTokens: number;
@@ -35,7 +35,7 @@
   deadlineMs: number | null;
   /** The last event that the caller has of a resumed response. */
   lastEventId: number | null;
-  generation: GenerationTerms | null;
+  generation: GenerationParameters | null;
   /** Hashes of the keys in the request; a valid request has at most one. */
   keyHashes: readonly string[];
   /** Tokens charged to a quota; null if the request states none. */
--- a/packages/serve-requests/src/crash_guard.test.ts
+++ b/packages/serve-requests/src/crash_guard.test.ts
@@ -11,34 +11,34 @@
 const error = new TypedError('backend-failed', 'It failed.', {run: 'unknown'});
 
 class RecordingWatch implements CrashWatch {
-  isWatching = true;
+  hasSuspects = true;
   readonly calls: string[] = [];
 
   isRequestContained = false;
   isProbeDue = false;
 
-  isPathWatched(): boolean {
-    return this.isWatching;
+  isPathSuspected(): boolean {
+    return this.hasSuspects;
   }
 
   isContained(): boolean {
     return this.isRequestContained;
   }
 
-  claimTry(): boolean {
+  claimProbe(): boolean {
     this.calls.push('claimed a probe');
     return this.isProbeDue;
   }
 
-  endTry(): void {
+  endProbe(): void {
     this.calls.push('ended the probe');
   }
 
-  noteCut(_fingerprint: string, serverLife: string): void {
+  recordConnectionLoss(_fingerprint: string, serverLife: string): void {
     this.calls.push(`cut at ${serverLife}`);
   }
 
-  noteServed(): void {
+  recordSuccess(): void {
     this.calls.push('served');
   }
 }
@@ -84,7 +84,7 @@
 /* Guards against hashing every large body because of one suspected request. */
 test('no body is read while no request with its path is suspected', () => {
   const watch = new RecordingWatch();
-  watch.isPathWatched = () => false;
+  watch.isPathSuspected = () => false;
   const request = makeRequest();
   Object.defineProperty(request, 'body', {
     get: () => assert.unreachable('the body was read'),
@@ -97,7 +97,7 @@
 
 test('a success is not recorded while no request is suspected', () => {
   const watch = new RecordingWatch();
-  watch.isWatching = false;
+  watch.hasSuspects = false;
   assert.equal(recordOutcome({status: 'answered', isSuccess: true}, watch), []);
 });
 
--- a/packages/serve-requests/src/crash_guard.ts
+++ b/packages/serve-requests/src/crash_guard.ts
@@ -2,7 +2,7 @@
 import {TypedError} from '@mimosatack/errors';
 import {
   type BackendServerEntry,
-  type PathPrint,
+  type PathFingerprint,
   type RequestFingerprint,
 } from '@mimosatack/types';
 import {type AttemptOutcome} from './attempt.js';
@@ -12,17 +12,20 @@
 /** Tracks, over all nodes, which requests may have crashed servers. */
 export interface CrashWatch {
   /** Whether any request is suspected. */
-  readonly isWatching: boolean;
+  readonly hasSuspects: boolean;
   /** Whether any suspected request has this path. */
-  isPathWatched(pathPrint: PathPrint): boolean;
+  isPathSuspected(pathPrint: PathFingerprint): boolean;
   isContained(fingerprint: RequestFingerprint): boolean;
   /** Whether a contained request may probe one server; see `endTry`. */
-  claimTry(fingerprint: RequestFingerprint): boolean;
-  endTry(fingerprint: RequestFingerprint): void;
+  claimProbe(fingerprint: RequestFingerprint): boolean;
+  endProbe(fingerprint: RequestFingerprint): void;
   /** Records a connection that was lost while the server had the request. */
-  noteCut(fingerprint: RequestFingerprint, serverLife: string): void;
+  recordConnectionLoss(
+    fingerprint: RequestFingerprint,
+    serverLife: string,
+  ): void;
   /** Records a complete success response. */
-  noteServed(fingerprint: RequestFingerprint): void;
+  recordSuccess(fingerprint: RequestFingerprint): void;
 }
 
 /**
@@ -31,7 +34,7 @@
  */
 export class CrashGuard {
   private cachedFingerprint: RequestFingerprint | null = null;
-  private pathPrint: PathPrint | null = null;
+  private pathPrint: PathFingerprint | null = null;
   private isProbe = false;
 
   constructor(
@@ -40,9 +43,9 @@
   ) {}
 
   private get isWatched(): boolean {
-    if (!this.watch.isWatching) return false;
+    if (!this.watch.hasSuspects) return false;
     this.pathPrint ??= makePathPrint(this.request);
-    return this.watch.isPathWatched(this.pathPrint);
+    return this.watch.isPathSuspected(this.pathPrint);
   }
 
   get fingerprint(): RequestFingerprint {
@@ -58,18 +61,22 @@
 
   /** Lets a contained request probe one server if a probe is due. */
   claimProbe(): void {
-    if (this.isContained) this.isProbe = this.watch.claimTry(this.fingerprint);
+    if (this.isContained)
+      {this.isProbe = this.watch.claimProbe(this.fingerprint);}
   }
 
   /** Must be called once the request has ended. */
   endProbe(): void {
-    if (this.isProbe) this.watch.endTry(this.fingerprint);
+    if (this.isProbe) this.watch.endProbe(this.fingerprint);
     this.isProbe = false;
   }
 
   recordOutcome(outcome: AttemptOutcome, server: BackendServerEntry): void {
     if (outcome.status === 'broken' && outcome.isConnectionLost) {
-      this.watch.noteCut(this.fingerprint, formatIncarnation(server));
+      this.watch.recordConnectionLoss(
+        this.fingerprint,
+        formatIncarnation(server),
+      );
     }
     if (outcome.status === 'answered' && outcome.isSuccess) this.markServed();
     // A probe ends at the first server that may have run the request.
@@ -78,7 +85,7 @@
 
   /** Errors do not count: a server may send one before the request runs. */
   private markServed(): void {
-    if (this.isWatched) this.watch.noteServed(this.fingerprint);
+    if (this.isWatched) this.watch.recordSuccess(this.fingerprint);
   }
 }
 
--- a/packages/serve-requests/src/fingerprint.ts
+++ b/packages/serve-requests/src/fingerprint.ts
@@ -1,10 +1,10 @@
 /** Identifies requests by their content instead of their ids. */
 import {createHash} from 'node:crypto';
 import {
-  type PathPrint,
+  type PathFingerprint,
   type RequestFingerprint,
   joinFingerprint,
-  toPathPrint,
+  toPathFingerprint,
 } from '@mimosatack/types';
 import {type CallerRequest} from './caller_request.js';
 
@@ -23,8 +23,8 @@
   host,
   method,
   path,
-}: Omit<HashedParts, 'body'>): PathPrint {
-  return toPathPrint(hash(JSON.stringify([host, method, path])));
+}: Omit<HashedParts, 'body'>): PathFingerprint {
+  return toPathFingerprint(hash(JSON.stringify([host, method, path])));
 }
 
 function hash(data: string | Uint8Array): string {
--- a/packages/serve-requests/src/head_times.ts
+++ b/packages/serve-requests/src/head_times.ts
@@ -10,10 +10,10 @@
 /** Leaves time for another server to respond within the target latency. */
 const MAX_TARGET_FRACTION = 0.6;
 
-export class HeadTimes {
+export class ResponseHeadTimes {
   private readonly averageMs = new Map<string, number>();
 
-  note({name}: ServiceRoute, headMs: number): void {
+  record({name}: ServiceRoute, headMs: number): void {
     const averageBefore = this.averageMs.get(name) ?? headMs;
     this.averageMs.set(
       name,
@@ -22,7 +22,7 @@
   }
 
   /** The time after which a response without a head counts as stalled. */
-  findLimitMs({name, targetLatencyMs}: ServiceRoute): number {
+  findStallTimeoutMs({name, targetLatencyMs}: ServiceRoute): number {
     const averageMs = this.averageMs.get(name) ?? targetLatencyMs;
     const maxLimitMs = Math.max(
       MIN_LIMIT_MS,
--- a/packages/serve-requests/src/index.ts
+++ b/packages/serve-requests/src/index.ts
@@ -6,13 +6,13 @@
 export {
   type AnswerFacts,
   type BackendDialect,
-  type SendTerms,
+  type SendParameters,
   type ServerLoad,
 } from './backend_dialect.js';
 export {
   type AnswerSink,
   type CallerRequest,
-  type GenerationTerms,
+  type GenerationParameters,
   type PromptPart,
 } from './caller_request.js';
 export {LeastLoadedChooser} from './least_loaded_chooser.js';
@@ -22,13 +22,13 @@
   RequestPipeline,
 } from './request_pipeline.js';
 export {
-  type RetryBound,
+  type RetryLimit,
   RetryAllowance,
   type RetryAllowanceOptions,
 } from './retry_allowance.js';
 export {RouteTable} from './route_table.js';
 export {type CrashWatch} from './crash_guard.js';
-export {HeadTimes} from './head_times.js';
+export {ResponseHeadTimes} from './head_times.js';
 export {
   type AttemptResult,
   type ChosenServer,
--- a/packages/serve-requests/src/least_loaded_chooser.test.ts
+++ b/packages/serve-requests/src/least_loaded_chooser.test.ts
@@ -35,14 +35,14 @@
   const other = makeServer({id: 's2'});
   let servers = [old, other];
   const chooser = makeChooser(() => servers);
-  [1, 2, 3].forEach(() => chooser.noteSent(toChoice(old)));
-  chooser.noteSent(toChoice(other));
+  [1, 2, 3].forEach(() => chooser.recordSent(toChoice(old)));
+  chooser.recordSent(toChoice(other));
   assert.is(await pickId(chooser), 's2');
   servers = [restarted, other];
-  chooser.noteSent(toChoice(restarted));
-  chooser.noteSent(toChoice(other));
-  chooser.noteLoad(old, {running: 4, waiting: 8, slots: 4});
-  chooser.noteDone(toChoice(old), 'unreachable');
+  chooser.recordSent(toChoice(restarted));
+  chooser.recordSent(toChoice(other));
+  chooser.recordLoad(old, {running: 4, waiting: 8, slots: 4});
+  chooser.recordResult(toChoice(old), 'unreachable');
   assert.is(await pickId(chooser), 's1');
 });
 
--- a/packages/serve-requests/src/least_loaded_chooser.ts
+++ b/packages/serve-requests/src/least_loaded_chooser.ts
@@ -7,7 +7,7 @@
   type BackendServerId,
   type FailureDomain,
   type ServerStartMs,
-  compareLives,
+  compareIncarnations,
 } from '@mimosatack/types';
 import {type ServerLoad} from './backend_dialect.js';
 import {
@@ -77,18 +77,18 @@
     // Choices are not tracked until their requests are sent.
   }
 
-  noteSent({server}: ChosenServer): void {
+  recordSent({server}: ChosenServer): void {
     this.getOrCreateStats(server).inFlight += 1;
   }
 
-  noteLoad(server: BackendServerEntry, load: ServerLoad): void {
+  recordLoad(server: BackendServerEntry, load: ServerLoad): void {
     const stats = this.getOrCreateStats(server);
     stats.load = load;
     stats.inFlightAtLoad = stats.inFlight;
     stats.loadAtMs = this.options.clock.monotonicMs();
   }
 
-  noteDone({server}: ChosenServer, result: AttemptResult): void {
+  recordResult({server}: ChosenServer, result: AttemptResult): void {
     const stats = this.getOrCreateStats(server);
     stats.inFlight = Math.max(0, stats.inFlight - 1);
     if (result === 'failed' || result === 'unreachable') {
@@ -136,7 +136,7 @@
   /** Stats start empty after each restart of a server. */
   private getOrCreateStats({id, startedAtMs}: BackendServerEntry): ServerStats {
     const known = this.statsByServer.get(id);
-    const order = known && compareLives(startedAtMs, known.startedAtMs);
+    const order = known && compareIncarnations(startedAtMs, known.startedAtMs);
     if (known && order === 'same') return known;
     const added = makeStats(startedAtMs);
     // Late results of an earlier incarnation leave the current stats unchanged.
--- a/packages/serve-requests/src/request_pipeline.ts
+++ b/packages/serve-requests/src/request_pipeline.ts
@@ -13,7 +13,7 @@
 import {type BackendDialect} from './backend_dialect.js';
 import {type AnswerSink, type CallerRequest} from './caller_request.js';
 import {type CrashWatch} from './crash_guard.js';
-import {type HeadTimes} from './head_times.js';
+import {type ResponseHeadTimes} from './head_times.js';
 import {pickService} from './pick_service.js';
 import {RequestRun} from './request_run.js';
 import {type RetryAllowance} from './retry_allowance.js';
@@ -28,7 +28,7 @@
   chooser: ServerChooser;
   retries: RetryAllowance;
   logger: EventLogger;
-  headTimes: HeadTimes;
+  headTimes: ResponseHeadTimes;
   crashes: CrashWatch;
   access: AccessCheck;
 }
@@ -63,7 +63,7 @@
    * Returns the error for a request without access, or null. Runs before the
    * body is read, so that unknown callers use few resources.
    */
-  screen(head: RequestHead): TypedError | null {
+  checkAccess(head: RequestHead): TypedError | null {
     const route = this.findRoute(head);
     if (route instanceof TypedError) return null;
     const access = this.options.access.check(head, route);
@@ -80,7 +80,7 @@
       this.logRefused(request, target);
       return;
     }
-    this.options.retries.noteRequest(target.service.name);
+    this.options.retries.recordRequest(target.service.name);
     await new RequestRun(this.options, request, sink, target).run();
   }
 
--- a/packages/serve-requests/src/request_run.ts
+++ b/packages/serve-requests/src/request_run.ts
@@ -185,12 +185,12 @@
     const attempt = this.makeAttempt(choice);
     this.attempt = attempt;
     this.stallFailover = this.makeStallFailover(choice, attempt);
-    chooser.noteSent(choice);
+    chooser.recordSent(choice);
     attempt.start();
     const outcome = await attempt.outcome;
     this.attempt = null;
     this.stallFailover?.stop();
-    chooser.noteDone(choice, toAttemptResult(outcome), this.log.headMs);
+    chooser.recordResult(choice, toAttemptResult(outcome), this.log.headMs);
     this.guard.recordOutcome(outcome, server);
     const mayHaveStarted =
       outcome.status === 'broken' || outcome.status === 'refusing';
@@ -232,7 +232,7 @@
       consumer: relay,
       connectTimeoutMs: CONNECT_TIMEOUT_MS,
       maxIdleMs: this.isRepeatable ? Infinity : MAX_IDLE_NON_REPEATABLE_MS,
-      onLoad: load => chooser.noteLoad(server, load),
+      onLoad: load => chooser.recordLoad(server, load),
       onStatus: status => {
         this.log.recordHead(status);
         this.stallFailover?.recordHead();
--- a/packages/serve-requests/src/retry_allowance.test.ts
+++ b/packages/serve-requests/src/retry_allowance.test.ts
@@ -20,7 +20,7 @@
     const allowance = new RetryAllowance({
       ...{clock, bound: () => BOUND, countNodes: () => 8},
     });
-    Array.from({length: 50}, () => allowance.noteRequest('writers'));
+    Array.from({length: 50}, () => allowance.recordRequest('writers'));
     return countGranted(allowance, 50);
   });
   const total = granted.reduce((sum, count) => sum + count, 0);
--- a/packages/serve-requests/src/retry_allowance.ts
+++ b/packages/serve-requests/src/retry_allowance.ts
@@ -3,7 +3,7 @@
 import {type ServiceName} from '@mimosatack/types';
 
 /** The retry limit of all nodes together. */
-export interface RetryBound {
+export interface RetryLimit {
   /** Retries as a fraction of the requests. */
   ratio: number;
   /** Retries allowed in addition to the ratio. */
@@ -14,7 +14,7 @@
 export interface RetryAllowanceOptions {
   clock: Clock;
   /** The current bound. */
-  bound: () => RetryBound;
+  bound: () => RetryLimit;
   /** The number of nodes that share the bound. */
   countNodes: () => number;
 }
@@ -40,7 +40,7 @@
 
   constructor(private readonly options: RetryAllowanceOptions) {}
 
-  noteRequest(service: ServiceName): void {
+  recordRequest(service: ServiceName): void {
     this.getCurrentBucket(service).requests += 1;
   }
 
--- a/packages/serve-requests/src/retry_allowance_properties.test.ts
+++ b/packages/serve-requests/src/retry_allowance_properties.test.ts
@@ -50,7 +50,7 @@
         const node = nodes[step.node];
         if (!node) return;
         for (let sent = 0; sent < step.requests; sent += 1) {
-          node.noteRequest('s');
+          node.recordRequest('s');
           requests.push(clock.monotonicMs());
         }
         for (let tried = 0; tried < step.retries; tried += 1) {
--- a/packages/serve-requests/src/server_chooser.ts
+++ b/packages/serve-requests/src/server_chooser.ts
@@ -78,10 +78,10 @@
   choose(ask: ServerAsk): Promise<ServerChoice>;
   /** Gives back a chosen server that is not used. */
   release(choice: ChosenServer): void;
-  noteSent(choice: ChosenServer): void;
-  noteLoad(server: BackendServerEntry, load: ServerLoad): void;
+  recordSent(choice: ChosenServer): void;
+  recordLoad(server: BackendServerEntry, load: ServerLoad): void;
   /** @param headMs time to the response head; null if none arrived. */
-  noteDone(
+  recordResult(
     choice: ChosenServer,
     result: AttemptResult,
     headMs: number | null,
--- a/packages/serve-requests/src/stall_failover.ts
+++ b/packages/serve-requests/src/stall_failover.ts
@@ -3,7 +3,7 @@
 import {TypedError} from '@mimosatack/errors';
 import {type ServiceRoute} from '@mimosatack/types';
 import {type Attempt} from './attempt.js';
-import {type HeadTimes} from './head_times.js';
+import {type ResponseHeadTimes} from './head_times.js';
 import {
   type ChosenServer,
   type ServerAsk,
@@ -13,7 +13,7 @@
 export interface StallFailoverOptions {
   clock: Clock;
   chooser: ServerChooser;
-  headTimes: HeadTimes;
+  headTimes: ResponseHeadTimes;
   attempt: Attempt;
   route: ServiceRoute;
   /** Makes an ask for any server but the stalled one. */
@@ -46,7 +46,7 @@
   constructor(private readonly options: StallFailoverOptions) {
     const {clock, headTimes, route} = options;
     this.startedAtMs = clock.monotonicMs();
-    this.restartTimer(headTimes.findLimitMs(route));
+    this.restartTimer(headTimes.findStallTimeoutMs(route));
   }
 
   /** Returns the replacement server once, then null. */
@@ -59,7 +59,7 @@
   recordHead(): void {
     const {clock, headTimes, route} = this.options;
     this.hasHead = true;
-    headTimes.note(route, clock.monotonicMs() - this.startedAtMs);
+    headTimes.record(route, clock.monotonicMs() - this.startedAtMs);
     this.recordProgress();
   }
 
--- a/packages/serving-node/src/configuration_follower.ts
+++ b/packages/serving-node/src/configuration_follower.ts
@@ -113,7 +113,7 @@
    * frozen or suspended.
    */
   get asOfMs(): number {
-    return Math.max(this.follower.asOfMs, this.peerConfirmedAsOfMs);
+    return Math.max(this.follower.lastSuccessStartMs, this.peerConfirmedAsOfMs);
   }
 
   /** Current time on a clock that includes suspension of the host. */
--- a/packages/serving-node/src/containment_task.test.ts
+++ b/packages/serving-node/src/containment_task.test.ts
@@ -18,18 +18,20 @@
 }
 
 function contain({containment}: ContainmentTask): void {
-  ['a', 'b', 'c'].forEach(life => containment.noteCut('bad', life));
+  ['a', 'b', 'c'].forEach(life =>
+    containment.recordConnectionLoss('bad', life),
+  );
 }
 
 async function readRecord(topic: MemoryKeyedTopic) {
-  const {records} = await topic.readNewest();
+  const {records} = await topic.readSnapshot();
   return records.find(({key}) => key === CONTAINED_KEY)?.value ?? null;
 }
 
 test('nothing is written while no request is contained', async () => {
   const topic = new MemoryKeyedTopic();
   const {task} = makeTask(topic);
-  task.containment.noteCut('once', 'a');
+  task.containment.recordConnectionLoss('once', 'a');
   await task.syncRecord();
   assert.is(topic.endOffset, 0);
 });
@@ -61,7 +63,7 @@
   const {task} = makeTask(topic);
   contain(task);
   await task.syncRecord();
-  task.containment.noteServed('bad');
+  task.containment.recordSuccess('bad');
   await task.syncRecord();
   assert.is(await readRecord(topic), null);
 });
--- a/packages/serving-node/src/containment_task.ts
+++ b/packages/serving-node/src/containment_task.ts
@@ -40,7 +40,7 @@
   constructor(private readonly options: ContainmentTaskOptions) {
     const {clock} = options;
     this.containment = new RequestContainment({
-      ...{clock, logger: options.logger, isTrier: options.isWriter},
+      ...{clock, logger: options.logger, isProbingNode: options.isWriter},
     });
     const {containment} = this;
     this.exchange = new CrashExchange({clock, containment});
@@ -49,7 +49,7 @@
   get gauges(): {containedRequests: number; suspectedRequests: number} {
     const {contained, evidence} = this.containment;
     const containedRequests = contained.length;
-    const suspectedRequests = evidence.byRequest.size - containedRequests;
+    const suspectedRequests = evidence.cutsByRequest.size - containedRequests;
     return {containedRequests, suspectedRequests};
   }
 
@@ -58,7 +58,7 @@
     this.storedRecord = value;
     if (!value) return;
     const facts = decodeContained(value, this.options.clock.monotonicMs());
-    if (facts) this.containment.take(facts);
+    if (facts) this.containment.mergeFacts(facts);
     else this.options.onFault(makeInvalidRecordError());
   }
 
@@ -67,7 +67,7 @@
     const {topic, isWriter, onFault} = this.options;
     if (this.isWriting || !isWriter()) return;
     const {contained, evidence} = this.containment;
-    const value = encodeContained(contained, evidence.byRequest);
+    const value = encodeContained(contained, evidence.cutsByRequest);
     if (areEqual(value, this.storedRecord)) return;
     this.isWriting = true;
     try {
--- a/packages/serving-node/src/entry_points.ts
+++ b/packages/serving-node/src/entry_points.ts
@@ -1,14 +1,14 @@
 /** Lists the addresses at which callers can connect. */
 import {type Clock} from '@mimosatack/clock';
-import {type KnownNode} from '@mimosatack/node-links';
+import {type RegisteredNode} from '@mimosatack/node-links';
 import {type EntryList} from './entry_list.js';
 import {type NodeSettings} from './node_settings.js';
 
 export interface EntryPointsOptions {
   clock: Clock;
   settings: NodeSettings;
-  self: KnownNode;
-  listNodes: () => readonly KnownNode[];
+  self: RegisteredNode;
+  listNodes: () => readonly RegisteredNode[];
   isServing: () => boolean;
 }
 
--- a/packages/serving-node/src/node_departure.ts
+++ b/packages/serving-node/src/node_departure.ts
@@ -49,7 +49,7 @@
       sleep(clock, HANDOVER_FRACTION * leftMs),
     ]);
     duty.stopOrdering();
-    links.sayGoodbye();
+    links.sendFinalGrant();
     await register.deregister();
   }
 }
--- a/packages/serving-node/src/node_register.test.ts
+++ b/packages/serving-node/src/node_register.test.ts
@@ -1,6 +1,6 @@
 import {ManualClock} from '@mimosatack/clock';
 import {MemoryKeyedTopic} from '@mimosatack/keyed-store';
-import {type KnownNode, encodeNode} from '@mimosatack/node-links';
+import {type RegisteredNode, encodeNode} from '@mimosatack/node-links';
 import {SeededRandom} from '@mimosatack/random';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
@@ -11,7 +11,7 @@
 const SETTLE_MS = 4_000;
 const STEP_MS = 50;
 
-function makeNode(nodeName: string): KnownNode {
+function makeNode(nodeName: string): RegisteredNode {
   return {
     ...{
       nodeName,
--- a/packages/serving-node/src/node_register.ts
+++ b/packages/serving-node/src/node_register.ts
@@ -8,7 +8,11 @@
   KeyedTable,
   type KeyedTopic,
 } from '@mimosatack/keyed-store';
-import {type KnownNode, decodeNode, encodeNode} from '@mimosatack/node-links';
+import {
+  type RegisteredNode,
+  decodeNode,
+  encodeNode,
+} from '@mimosatack/node-links';
 import {type RandomSource} from '@mimosatack/random';
 import {CONTAINED_KEY} from './containment_task.js';
 
@@ -16,7 +20,7 @@
   clock: Clock;
   random: RandomSource;
   topic: KeyedTopic;
-  self: KnownNode;
+  self: RegisteredNode;
   /** Whether this node reads the store on behalf of the others. */
   isReader: () => boolean;
   /** Whether another node passes on the records that it reads. */
@@ -47,7 +51,7 @@
  */
 export class NodeRegister {
   private readonly follower: KeyedFollower;
-  private readonly nodes = new Map<string, KnownNode>();
+  private readonly nodes = new Map<string, RegisteredNode>();
   readonly table = new KeyedTable();
   private unknownSinceMs = Infinity;
   /** Makes the next read due although another node passes records on. */
@@ -71,7 +75,7 @@
     });
   }
 
-  list(): KnownNode[] {
+  list(): RegisteredNode[] {
     return [...this.nodes.values()];
   }
 
@@ -92,7 +96,7 @@
   }
 
   /** Adds nodes that a peer knows; known nodes are not replaced. */
-  addUnknown(nodes: readonly KnownNode[]): void {
+  addUnknown(nodes: readonly RegisteredNode[]): void {
     nodes
       .filter(({nodeName}) => !this.nodes.has(nodeName))
       .forEach(node => this.nodes.set(node.nodeName, node));
@@ -102,7 +106,7 @@
    * Removes a lost node, unless the topic has changed since it was last read:
    * the node may have registered again.
    */
-  async removeLost({nodeName}: KnownNode): Promise<void> {
+  async removeLost({nodeName}: RegisteredNode): Promise<void> {
     if (this.isRemoving || !this.follower.isReachable) return;
     this.isRemoving = true;
     try {
--- a/packages/serving-node/src/node_settings.ts
+++ b/packages/serving-node/src/node_settings.ts
@@ -1,5 +1,5 @@
 /** The settings of a serving node. */
-import {type RetryBound} from '@mimosatack/serve-requests';
+import {type RetryLimit} from '@mimosatack/serve-requests';
 import {type QuotaBounds} from '@mimosatack/team-quotas';
 import {
   type FailureDomain,
@@ -28,7 +28,7 @@
   graceMs: number;
   /** Longest time that callers may cache a response of the directory. */
   maxEntriesTtlMs: number;
-  retryBound: RetryBound;
+  retryBound: RetryLimit;
   /** Longest time that a revoked key stays valid; null for no limit. */
   revokeMs: number | null;
   quotaBounds: QuotaBounds;
--- a/packages/serving-node/src/scheduling_duty.test.ts
+++ b/packages/serving-node/src/scheduling_duty.test.ts
@@ -10,7 +10,10 @@
 import {MemoryEventLogger} from '@mimosatack/logger';
 import {SeededRandom} from '@mimosatack/random';
 import {type EngineReport} from '@mimosatack/schedule-models';
-import {type FromHolder, type ToHolder} from '@mimosatack/schedule-service';
+import {
+  type FromHolderMessage,
+  type ToHolderMessage,
+} from '@mimosatack/schedule-service';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
 import {SchedulingDuty} from './scheduling_duty.js';
@@ -24,7 +27,7 @@
 };
 const SUCCESSOR = {nodeName: 'b', incarnation: 'b.1', address: 'b:1'};
 
-function makeAsk(askId: string): ToHolder {
+function makeAsk(askId: string): ToHolderMessage {
   return {
     type: 'ask',
     ask: {
@@ -40,7 +43,7 @@
 async function startDuty(report?: EngineReport, isFenced = true) {
   const clock = new ManualClock();
   const topic = new MemoryKeyedTopic();
-  const sent: FromHolder[] = [];
+  const sent: FromHolderMessage[] = [];
   const sentOrders: Array<{isEnding: boolean}> = [];
   let orders = 0;
   const duty: SchedulingDuty = new SchedulingDuty({
@@ -49,21 +52,21 @@
     duty: {
       ...{topic, random: new SeededRandom(1), key: 'scheduler'},
       self: {nodeName: 'a', incarnation: 'a.1', address: 'a:1'},
-      contactWith: () => 'alive',
+      findHolderContact: () => 'alive',
       findRank: () => 0,
-      isHeardByOthers: () => false,
-      quietUntilMs: () => -Infinity,
-      isCountedBy: () => false,
-      promisedUntilMs: () => -Infinity,
-      grantedUntilMs: () => -Infinity,
+      isReachedByOthers: () => false,
+      claimHoldOffUntilMs: () => -Infinity,
+      isGrantorOf: () => false,
+      ownGrantEndsAtMs: () => -Infinity,
+      findGrantsEndMs: () => -Infinity,
       ...{isFenced, leaseMs: 3_000},
       isEligible: () => true,
       onLost: () => undefined,
       onRegained: () => undefined,
     },
     quotas: {
-      chargeAsked: () => null,
-      giveBackAsked: () => undefined,
+      chargeAtHolder: () => null,
+      refundAtHolder: () => undefined,
       startHolding: () => undefined,
       stopHolding: () => undefined,
     },
--- a/packages/serving-node/src/scheduling_duty.ts
+++ b/packages/serving-node/src/scheduling_duty.ts
@@ -13,16 +13,16 @@
 import {
   type EngineOrderAge,
   type EngineOrders,
-  type FromHolder,
-  type HeldQuotas,
-  SchedulingHost,
-  type ToHolder,
+  type FromHolderMessage,
+  type HolderQuotas,
+  SchedulingService,
+  type ToHolderMessage,
 } from '@mimosatack/schedule-service';
 import {type BackendServerEntry, type ServiceSpec} from '@mimosatack/types';
 import {type ServerChange} from './server_follower.js';
 
 /** Team quotas, which the scheduling node accounts for. */
-export interface DutyQuotas extends HeldQuotas {
+export interface DutyQuotas extends HolderQuotas {
   startHolding(): void;
   stopHolding(): void;
 }
@@ -33,7 +33,7 @@
   duty: Omit<DutyTaskOptions, 'onHolder' | 'clock'>;
   orders: EngineOrders;
   quotas: DutyQuotas;
-  send: (nodeAddress: string, message: FromHolder) => void;
+  send: (nodeAddress: string, message: FromHolderMessage) => void;
   /** Sends this node's recent engine orders to some nodes, or to all. */
   sendLastOrders: (
     message: {orders: readonly EngineOrderAge[]; isEnding: boolean},
@@ -51,7 +51,7 @@
 /** Schedules only while this node holds the duty. */
 export class SchedulingDuty {
   private readonly task: DutyTask;
-  private scheduler: SchedulingHost | null = null;
+  private scheduler: SchedulingService | null = null;
   private isHandingOver = false;
   /** Stays set even if the handover fails. */
   private hasStoppedOrdering = false;
@@ -145,12 +145,12 @@
     if (!scheduler) return;
     changes
       .filter(({entry}) => !entry)
-      .forEach(({id}) => scheduler.dropServer(id));
+      .forEach(({id}) => scheduler.removeServer(id));
     const present = changes.flatMap(({entry}) => (entry ? [entry] : []));
     if (present.length > 0) scheduler.putServers(present);
   }
 
-  receive(nodeAddress: string, message: ToHolder): void {
+  receive(nodeAddress: string, message: ToHolderMessage): void {
     if (this.scheduler) {
       this.scheduler.receive(nodeAddress, message);
     } else if (message.type === 'ask' || message.type === 'charge') {
@@ -175,20 +175,21 @@
 
   /** Remaining wait before orders to an engine without a known last order. */
   private findQuietForMs(): number {
-    const untilMs = this.task.findQuietUntilMs('');
+    const untilMs = this.task.findOrdersBlockedUntilMs('');
     const nowMs = this.options.clock.monotonicMs();
     return Math.max(0, Math.round(untilMs - nowMs));
   }
 
-  private startScheduler(): SchedulingHost {
+  private startScheduler(): SchedulingService {
     const {clock, logger, orders, quotas, send, listServices, listServers} =
       this.options;
     quotas.startHolding();
-    const scheduler = new SchedulingHost({
+    const scheduler = new SchedulingService({
       ...{clock, logger, orders, quotas, send},
       policy: new BatchWorthPolicy(),
       authority: () => this.findAuthority(),
-      quietUntilMs: engineId => this.task.findQuietUntilMs(engineId),
+      ordersBlockedUntilMs: engineId =>
+        this.task.findOrdersBlockedUntilMs(engineId),
       onFenced: fencingToken => {
         logger.log('duty-lost', {fencingToken});
         this.task.refresh();
--- a/packages/serving-node/src/server_follower.ts
+++ b/packages/serving-node/src/server_follower.ts
@@ -15,7 +15,7 @@
   formatAddress,
 } from '@mimosatack/types';
 import {type PlatformAdapter} from './platform_adapter.js';
-import {ServerLives} from './server_lives.js';
+import {ServerIncarnations} from './server_lives.js';
 
 /** A change of one server; a null entry means that it was removed. */
 export interface ServerChange {
@@ -72,7 +72,7 @@
   readonly routingTable = new KeyedTable();
   private readonly follower: KeyedFollower;
   private readonly entries = new Map<BackendServerId, BackendServerEntry>();
-  private readonly lives = new ServerLives();
+  private readonly lives = new ServerIncarnations();
   /** Servers whose newest record could not be decoded. */
   private readonly invalidIds = new Set<BackendServerId>();
   private readAtMs = -Infinity;
--- a/packages/serving-node/src/server_lives.ts
+++ b/packages/serving-node/src/server_lives.ts
@@ -2,11 +2,11 @@
 import {
   type BackendServerId,
   type ServerStartMs,
-  compareLives,
+  compareIncarnations,
 } from '@mimosatack/types';
 
 /** Start times that the entries of one server gave. */
-interface KnownLife {
+interface KnownIncarnation {
   startedAtMs: ServerStartMs;
   /** Earlier start time in the last entry, which was rejected. */
   rejectedStartMs: ServerStartMs;
@@ -24,13 +24,13 @@
  * was set back reports an earlier start too, but keeps writing, so the second
  * such entry in a row is accepted.
  */
-export class ServerLives {
-  private readonly lives = new Map<BackendServerId, KnownLife>();
+export class ServerIncarnations {
+  private readonly lives = new Map<BackendServerId, KnownIncarnation>();
 
   /** Whether an entry may replace the known one. */
   accepts(id: BackendServerId, startedAtMs: ServerStartMs): boolean {
     const known = this.lives.get(id);
-    const order = compareLives(startedAtMs, known?.startedAtMs ?? null);
+    const order = compareIncarnations(startedAtMs, known?.startedAtMs ?? null);
     if (known && order === 'earlier' && known.rejectedStartMs !== startedAtMs) {
       known.rejectedStartMs = startedAtMs;
       return false;
--- a/packages/serving-node/src/serving_node.ts
+++ b/packages/serving-node/src/serving_node.ts
@@ -4,13 +4,13 @@
 import {DrainGate, InFlight, ShutdownTask} from '@mimosatack/drain-node';
 import {type DutyHolder} from '@mimosatack/hold-duty';
 import {
-  type KnownNode,
+  type RegisteredNode,
   NodeLinks,
   type NodeStatus,
 } from '@mimosatack/node-links';
 import {ScheduledChooser} from '@mimosatack/schedule-service';
 import {
-  HeadTimes,
+  ResponseHeadTimes,
   LeastLoadedChooser,
   RequestPipeline,
   RetryAllowance,
@@ -42,7 +42,7 @@
 
 /** Routes requests to backend servers that the platform runs. */
 export class ServingNode {
-  private readonly self: KnownNode;
+  private readonly self: RegisteredNode;
   private readonly faults: FaultLog;
   private readonly servers: ServerFollower;
   private readonly configuration: ConfigurationFollower;
@@ -101,7 +101,7 @@
     this.edge = new CallerEdge({
       ...{clock, gate: this.gate},
       dialect: options.platform.callerDialect,
-      screen: head => this.pipeline.screen(head),
+      screen: head => this.pipeline.checkAccess(head),
       serve: (request, sink) => this.pipeline.serve(request, sink),
       onFault: error => this.faults.logTaskFailure(error, 'callers'),
     });
@@ -155,7 +155,7 @@
     const {clock, logger, settings} = this.options;
     return new ShutdownTask({
       ...{clock, logger, gate: this.gate},
-      tellCallersMs: KEEP_LISTENING_MS,
+      addressExpiryMs: KEEP_LISTENING_MS,
       graceMs: settings.graceMs - CLOSE_MARGIN_MS,
       actions: {
         abortStart: () => undefined,
@@ -180,7 +180,7 @@
       serversAgeMs: this.servers.ageMs,
       dutiesHeld: this.duty.isHeld ? 1 : 0,
       configurationAgeMs: this.configuration.ageMs,
-      teams: this.quotas.list(),
+      teams: this.quotas.listLevels(),
       ...this.containment.gauges,
     });
     return metrics.format();
@@ -252,7 +252,7 @@
       ...{clock, random, self: this.self},
       topic: platform.nodesTopic,
       isReader: () => this.duty.isHeld,
-      isUpdatedByPeer: () => this.links.isToldOfNodes,
+      isUpdatedByPeer: () => this.links.receivesNodeRecords,
       onRead: fromOffset =>
         this.sharedRecords.broadcastSince('nodes', fromOffset),
       onContainmentRecord: value => this.containment.applyRecord(value),
@@ -280,14 +280,14 @@
       duty: {
         ...{random, topic: platform.dutyTopic, key: DUTY_KEY},
         self: {nodeName, incarnation, address: peerAddress},
-        contactWith: holder => this.links.contactWith(holder),
+        findHolderContact: holder => this.links.contactWith(holder),
         findRank: () => this.links.findRank(),
-        isHeardByOthers: () => this.links.isHolderHeardByOthers,
-        promisedUntilMs: () => this.links.promisedUntilMs,
-        quietUntilMs: () => this.links.quietUntilMs,
-        isCountedBy: process => this.links.isCountedBy(process),
-        grantedUntilMs: (token, sinceMs) =>
-          this.links.grantedUntilMs(token, sinceMs),
+        isReachedByOthers: () => this.links.isHolderHeardByOthers,
+        ownGrantEndsAtMs: () => this.links.ownGrantEndsAtMs,
+        claimHoldOffUntilMs: () => this.links.claimHoldOffUntilMs,
+        isGrantorOf: process => this.links.isGrantorOf(process),
+        findGrantsEndMs: (token, sinceMs) =>
+          this.links.findGrantsEndMs(token, sinceMs),
         isFenced: settings.isFenced,
         leaseMs: settings.leaseMs,
         isEligible: () =>
@@ -296,7 +296,7 @@
       },
       send: (address, message) => this.links.sendToNode(address, message),
       sendLastOrders: ({orders, isEnding}, addresses) =>
-        this.links.tellLastOrders(
+        this.links.sendLastOrders(
           {type: 'last-orders', incarnation, orders: [...orders], isEnding},
           addresses,
         ),
@@ -311,7 +311,7 @@
   private reportOpenRequests(holder: DutyHolder | null): void {
     if (!holder || holder.incarnation === this.notifiedHolder) return;
     this.notifiedHolder = holder.incarnation;
-    this.chooser.greetHolder();
+    this.chooser.sendStateToHolder();
   }
 
   private makeLinks(): NodeLinks {
@@ -330,15 +330,15 @@
         this.sharedRecords.read(topic, fromOffset),
       onRecords: message => this.sharedRecords.applyFromPeer(message),
       onHolder: holder => this.duty.noteHolder(holder),
-      onNodes: nodes => this.register.addUnknown(nodes),
+      onNodesIntroduced: nodes => this.register.addUnknown(nodes),
       onNodeLost: node => void this.register.removeLost(node),
       onLastOrders: lastOrders => this.duty.noteLastOrders(lastOrders),
       onToHolder: (from, message) => this.duty.receive(from, message),
       onFromHolder: message => this.chooser.receive(message),
       onServingNodes: names => this.updateServingNodes(names),
-      onContact: isAlive => {
+      onHolderContactChange: isAlive => {
         if (isAlive) return;
-        this.chooser.loseHolder();
+        this.chooser.handleHolderLost();
         this.duty.refresh();
       },
       onFault: error => this.faults.logTaskFailure(error, 'links'),
@@ -357,7 +357,7 @@
     const {clock, random, settings, logger} = this.options;
     return new ScheduledChooser({
       clock,
-      askPrefix: this.self.incarnation,
+      askIdPrefix: this.self.incarnation,
       local: new LeastLoadedChooser({
         ...{clock, random, ownDomain: settings.failureDomain},
         listServers: service => this.servers.listReady(service),
@@ -374,7 +374,7 @@
     const {clock, random, platform, settings, logger} = this.options;
     return new RequestPipeline({
       ...{clock, random, logger, connections: this.connections},
-      headTimes: new HeadTimes(),
+      headTimes: new ResponseHeadTimes(),
       dialect: platform.backendDialect,
       crashes: this.containment.containment,
       access: this.access,
--- a/packages/share-reports/src/backend_server_table.ts
+++ b/packages/share-reports/src/backend_server_table.ts
@@ -6,7 +6,7 @@
 import {type BackendServerId, type NodeIncarnation} from '@mimosatack/types';
 
 /** A backend server and its claim in the agreed state. */
-export interface RunnerRow {
+export interface BackendServerClaim {
   backendServerId: BackendServerId;
   /** 0 if no node holds the claim. */
   epoch: number;
@@ -15,14 +15,14 @@
 
 /** The backend servers at one offset of the log, sorted by id. */
 export class BackendServerTable {
-  readonly rows: readonly RunnerRow[];
+  readonly rows: readonly BackendServerClaim[];
   /** Equal on two nodes whose indexes denote the same backend servers. */
   readonly namesDigest: number;
   /** Equal on two nodes that also have the same claims. */
   readonly claimsDigest: number;
   private readonly indexes: ReadonlyMap<BackendServerId, number>;
 
-  constructor(rows: readonly RunnerRow[]) {
+  constructor(rows: readonly BackendServerClaim[]) {
     this.rows = rows.toSorted((a, b) =>
       a.backendServerId < b.backendServerId ? -1 : 1,
     );
@@ -41,7 +41,7 @@
     return this.indexes.get(id);
   }
 
-  find(id: BackendServerId): RunnerRow | undefined {
+  find(id: BackendServerId): BackendServerClaim | undefined {
     return this.rows[this.indexes.get(id) ?? -1];
   }
 }
@@ -62,7 +62,7 @@
   }
 
   /** Sets the rows of the agreed state; returns whether they changed. */
-  update(rows: readonly RunnerRow[]): boolean {
+  update(rows: readonly BackendServerClaim[]): boolean {
     const table = new BackendServerTable(rows);
     if (table.claimsDigest === this.current.claimsDigest) return false;
     this.tables = [table, ...this.tables].slice(0, KEPT_TABLES);
--- a/packages/share-reports/src/exchange_ring.ts
+++ b/packages/share-reports/src/exchange_ring.ts
@@ -2,7 +2,7 @@
  * The ring of nodes and the peers to which each node forwards loads. The order
  * is the same as in membership, so that both use the same connections.
  */
-import {hashOrder} from '@mimosatack/membership';
+import {hashSortKey} from '@mimosatack/membership';
 import {type NodeIncarnation} from '@mimosatack/types';
 
 export interface RingNode {
@@ -24,7 +24,7 @@
     // A node that is leaving is not on the ring and forwards nothing.
     const includesSelf = nodes.some(node => node.nodeName === selfName);
     this.ring = (includesSelf ? nodes : [])
-      .map(node => ({node, order: hashOrder(node.nodeName)}))
+      .map(node => ({node, order: hashSortKey(node.nodeName)}))
       .sort((a, b) => (a.order < b.order ? -1 : 1))
       .map(({node}) => node);
     this.selfPosition = this.ring.findIndex(node => node.nodeName === selfName);
--- a/packages/share-reports/src/in_memory_cluster.ts
+++ b/packages/share-reports/src/in_memory_cluster.ts
@@ -1,7 +1,7 @@
 import {EngineBoard, type SlotContent} from '@mimosatack/engine-board';
 import {SeededRandom} from '@mimosatack/random';
 import {type BackendServerId, type EngineState} from '@mimosatack/types';
-import {type RunnerRow} from './backend_server_table.js';
+import {type BackendServerClaim} from './backend_server_table.js';
 import {type RingNode} from './exchange_ring.js';
 import {type OutgoingReport, type ReportMessage} from './messages.js';
 import {ReportSharing} from './report_sharing.js';
@@ -28,8 +28,8 @@
   skewMs: number;
   isFrozen: boolean;
   /** The rows that the node has applied; null if it has applied all. */
-  laggingRows: readonly RunnerRow[] | null;
-  appliedRows: readonly RunnerRow[] | null;
+  laggingRows: readonly BackendServerClaim[] | null;
+  appliedRows: readonly BackendServerClaim[] | null;
   /** The epochs of the claims that the node believes to hold. */
   heldEpochs: Map<BackendServerId, number>;
 }
@@ -58,7 +58,7 @@
   transfer: (message: ReportMessage) => ReportMessage = structuredClone;
   /** Called with every message that is sent, including lost ones. */
   onSend: (envelope: Envelope) => void = () => {};
-  rows: RunnerRow[] = [];
+  rows: BackendServerClaim[] = [];
   private inTransit: Envelope[] = [];
   private nextEpoch = 1;
 
@@ -167,8 +167,8 @@
     const rows = node.laggingRows ?? this.rows;
     if (rows !== node.appliedRows) {
       node.appliedRows = rows;
-      node.sharing.setRunners(rows);
-      node.board.refreshSlots();
+      node.sharing.setBackendServers(rows);
+      node.board.reindexWarm();
     }
     this.send(node, node.sharing.tick(this.now(node)));
   }
--- a/packages/share-reports/src/index.ts
+++ b/packages/share-reports/src/index.ts
@@ -5,10 +5,10 @@
   reportMessageSchema,
 } from './messages.js';
 export {type StewardTerm} from './own_engines.js';
-export {PullPlan} from './pull_plan.js';
+export {FullStateRequests} from './pull_plan.js';
 export {
-  type Now,
+  type ClockReading,
   ReportSharing,
   type ReportSharingOptions,
 } from './report_sharing.js';
-export {type RunnerRow} from './backend_server_table.js';
+export {type BackendServerClaim} from './backend_server_table.js';
--- a/packages/share-reports/src/load_exchange.ts
+++ b/packages/share-reports/src/load_exchange.ts
@@ -108,7 +108,7 @@
           MAX_AGE_MS,
           Math.max(0, wallMs - sample.stampMs),
         );
-        if (!this.board.noteLoad(sample, ageMs, nowMs)) return;
+        if (!this.board.applyLoad(sample, ageMs, nowMs)) return;
         this.knownLoads.set(sample.backendServerId, {
           sample,
           updatedAtMs: nowMs,
--- a/packages/share-reports/src/pull_plan.ts
+++ b/packages/share-reports/src/pull_plan.ts
@@ -15,7 +15,7 @@
  * state is requested once after each change of the warm state: in small
  * deployments for all engines, otherwise only for watched ones.
  */
-export class PullPlan {
+export class FullStateRequests {
   private readonly watches = new Map<BackendServerId, Watch>();
   private readonly requestedAtMs = new Map<BackendServerId, number>();
 
@@ -27,7 +27,10 @@
   }
 
   /** Returns the engines to request now and marks them as requested. */
-  takeDue(ids: readonly BackendServerId[], nowMs: number): BackendServerId[] {
+  takeDueRequests(
+    ids: readonly BackendServerId[],
+    nowMs: number,
+  ): BackendServerId[] {
     [...this.watches]
       .filter(([, watch]) => watch.untilMs <= nowMs)
       .forEach(([id]) => this.watches.delete(id));
@@ -45,7 +48,7 @@
   }
 
   /** Marks a request as completed, so that the next one may start at once. */
-  noteDone(id: BackendServerId): void {
+  markCompleted(id: BackendServerId): void {
     this.requestedAtMs.delete(id);
   }
 }
--- a/packages/share-reports/src/report_sharing.ts
+++ b/packages/share-reports/src/report_sharing.ts
@@ -10,7 +10,7 @@
 } from '@mimosatack/engine-board';
 import {type RandomSource} from '@mimosatack/random';
 import {type BackendServerId} from '@mimosatack/types';
-import {type RunnerRow, TableHistory} from './backend_server_table.js';
+import {type BackendServerClaim, TableHistory} from './backend_server_table.js';
 import {ExchangeRing, type RingNode} from './exchange_ring.js';
 import {LoadExchange} from './load_exchange.js';
 import {
@@ -28,10 +28,10 @@
   board: EngineBoard;
   random: RandomSource;
   /** Whether the planner needs to know if a warm slot is in use. */
-  isWatched?: (id: BackendServerId, engineSlotId: string) => boolean;
+  needsSlotUsage?: (id: BackendServerId, engineSlotId: string) => boolean;
 }
 
-export interface Now {
+export interface ClockReading {
   monotonicMs: number;
   wallMs: number;
 }
@@ -60,7 +60,7 @@
     this.loads = new LoadExchange(this.tables, board);
     this.gossip = new StatusGossip(this.tables, this.statuses, random);
     this.sync = new StatusSync(this.tables, this.statuses, random);
-    this.ownEngines = new OwnEngines(options.isWatched ?? (() => false));
+    this.ownEngines = new OwnEngines(options.needsSlotUsage ?? (() => false));
     this.ring = new ExchangeRing(options.nodeName, []);
   }
 
@@ -70,13 +70,13 @@
   }
 
   /** Sets the backend servers and claims of the agreed state. */
-  setRunners(rows: readonly RunnerRow[]): void {
+  setBackendServers(rows: readonly BackendServerClaim[]): void {
     const before = this.tables.current;
     if (!this.tables.update(rows)) return;
     const {current} = this.tables;
     before.rows
       .filter(row => !current.find(row.backendServerId))
-      .forEach(row => this.options.board.forget(row.backendServerId));
+      .forEach(row => this.options.board.remove(row.backendServerId));
     this.statuses.removeUnregistered(current);
     this.loads.removeUnregistered();
   }
@@ -92,7 +92,7 @@
     const id = report.backendServerId;
     const status = this.ownEngines.update(report, term, nowMs);
     if (this.mergeStatus(status, nowMs)) this.gossip.add(id, null);
-    this.options.board.note({...report, version: status.version}, nowMs);
+    this.options.board.applyReport({...report, version: status.version}, nowMs);
     const load = report.isReachable ? report.load : null;
     this.loads.publish({
       sample: {backendServerId: id, epoch: term.epoch, load},
@@ -100,7 +100,7 @@
     });
   }
 
-  tick({monotonicMs, wallMs}: Now): OutgoingReport[] {
+  tick({monotonicMs, wallMs}: ClockReading): OutgoingReport[] {
     this.expire(monotonicMs);
     return [
       ...this.loads.tick(monotonicMs, wallMs),
@@ -113,7 +113,7 @@
   receive(
     fromAddress: string,
     message: ReportMessage,
-    {monotonicMs, wallMs}: Now,
+    {monotonicMs, wallMs}: ClockReading,
   ): OutgoingReport[] {
     switch (message.type) {
       case 'loads':
@@ -167,7 +167,7 @@
 
   private mergeStatus(status: EngineStatus, nowMs: number): boolean {
     if (!this.statuses.merge(status)) return false;
-    this.options.board.noteStatus(status, nowMs);
+    this.options.board.applyStatus(status, nowMs);
     return true;
   }
 }
--- a/packages/share-reports/src/share_reports.test.ts
+++ b/packages/share-reports/src/share_reports.test.ts
@@ -9,7 +9,7 @@
   InMemoryCluster,
   formatEngineId,
 } from './in_memory_cluster.js';
-import {PullPlan, reportMessageSchema} from './index.js';
+import {FullStateRequests, reportMessageSchema} from './index.js';
 
 /** How one message is delivered; `lost` is 0 for a lost message. */
 interface Delivery {
@@ -118,20 +118,25 @@
   const cluster = createCluster();
   const {board} = cluster.nodes[5]!;
   const ids = [...cluster.engines.keys()];
-  const plan = new PullPlan(board);
-  const due = plan.takeDue([FIRST_ENGINE], cluster.nowMs);
+  const plan = new FullStateRequests(board);
+  const due = plan.takeDueRequests([FIRST_ENGINE], cluster.nowMs);
   assert.equal(due, [FIRST_ENGINE]);
-  board.noteEngine(
+  board.applyEngine(
     cluster.engines.get(FIRST_ENGINE)!,
     board.find(FIRST_ENGINE)!.version!,
   );
-  plan.noteDone(FIRST_ENGINE);
-  assert.equal(plan.takeDue([FIRST_ENGINE], cluster.nowMs), []);
+  plan.markCompleted(FIRST_ENGINE);
+  assert.equal(plan.takeDueRequests([FIRST_ENGINE], cluster.nowMs), []);
   cluster.setWarm(FIRST_ENGINE, [1]);
   cluster.run(5_000);
-  assert.equal(plan.takeDue([FIRST_ENGINE], cluster.nowMs), [FIRST_ENGINE]);
+  assert.equal(plan.takeDueRequests([FIRST_ENGINE], cluster.nowMs), [
+    FIRST_ENGINE,
+  ]);
   const manyIds = Array.from({length: 65}, (_, index) => formatEngineId(index));
-  assert.equal(new PullPlan(board).takeDue([...manyIds, ...ids], 0), []);
+  assert.equal(
+    new FullStateRequests(board).takeDueRequests([...manyIds, ...ids], 0),
+    [],
+  );
 });
 
 sharing('malformed messages are rejected', () => {
@@ -260,7 +265,7 @@
   cluster.run(5_000);
   const {board} = cluster.nodes[6]!;
   const engine = structuredClone(cluster.engines.get(FIRST_ENGINE)!);
-  board.noteEngine(engine, board.find(FIRST_ENGINE)!.version!);
+  board.applyEngine(engine, board.find(FIRST_ENGINE)!.version!);
   assert.is(board.find(FIRST_ENGINE)!.engine?.replicas.length, 1);
   cluster.engines.get(FIRST_ENGINE)!.incarnation = 'second';
   cluster.setWarm(FIRST_ENGINE, []);
@@ -381,8 +386,8 @@
     },
     isReachable: true,
   };
-  assert.ok(engines.note({...report, reportedAtMs: 2}));
-  assert.not(engines.note({...report, reportedAtMs: 1}));
+  assert.ok(engines.applyReport({...report, reportedAtMs: 2}));
+  assert.not(engines.applyReport({...report, reportedAtMs: 1}));
   engines.expire(MINUTE_MS, 1);
   assert.ok(engines.find('a')!.isReachable);
 });
@@ -394,10 +399,10 @@
     stampMs: 1_000,
     load: {runningRequests: 7, queuedRequests: 0},
   };
-  assert.ok(engines.noteLoad({...sample, epoch: 5}, 0, 0));
-  assert.not(engines.noteLoad({...sample, epoch: 5}, 0, 0));
-  assert.not(engines.noteLoad({...sample, epoch: 4, stampMs: 9_000}, 0, 0));
-  assert.ok(engines.noteLoad({...sample, epoch: 6, stampMs: 500}, 0, 0));
+  assert.ok(engines.applyLoad({...sample, epoch: 5}, 0, 0));
+  assert.not(engines.applyLoad({...sample, epoch: 5}, 0, 0));
+  assert.not(engines.applyLoad({...sample, epoch: 4, stampMs: 9_000}, 0, 0));
+  assert.ok(engines.applyLoad({...sample, epoch: 6, stampMs: 500}, 0, 0));
 });
 
 board.run();
--- a/packages/steward-orders/src/decide_orders.test.ts
+++ b/packages/steward-orders/src/decide_orders.test.ts
@@ -79,12 +79,14 @@
   const slots = [makeSlot()];
   const outlook = () => ({
     startsAtMs: 102_000,
-    remoteMs: 1_300,
-    nearMs: {memory: 700, disk: 900},
+    storeLoadMs: 1_300,
+    cachedLoadMs: {memory: 700, disk: 900},
     slowdown: 10,
   });
   assert.equal(listOrders({slots, nowMs: 82_000}), []);
-  assert.equal(listOrders({slots, outlook, nowMs: 82_000}), ['load s1']);
+  assert.equal(listOrders({slots, findLoadTimes: outlook, nowMs: 82_000}), [
+    'load s1',
+  ]);
 });
 
 test('does not load early into memory that is planned for another slot', () => {
@@ -93,12 +95,14 @@
   const engine = makeEngine({memoryMib: MODEL_MIB});
   const outlook = () => ({
     startsAtMs: 102_000,
-    remoteMs: 1_300,
-    nearMs: {memory: 700, disk: 900},
+    storeLoadMs: 1_300,
+    cachedLoadMs: {memory: 700, disk: 900},
     slowdown: 10,
   });
   const nowMs = 85_000;
-  assert.equal(listOrders({slots, engine, outlook, nowMs}), ['load s2']);
+  assert.equal(listOrders({slots, engine, findLoadTimes: outlook, nowMs}), [
+    'load s2',
+  ]);
 });
 
 test('does not load early where an outdated order may still arrive', () => {
@@ -108,12 +112,12 @@
   const engine = makeEngine({fencing: 'ignores'});
   const outlook = () => ({
     startsAtMs: 102_000,
-    remoteMs: 1_300,
-    nearMs: {memory: 700, disk: 900},
+    storeLoadMs: 1_300,
+    cachedLoadMs: {memory: 700, disk: 900},
     slowdown: 10,
   });
   const parts = {slots, engine, outlook, nowMs: 85_000};
-  assert.equal(listOrders({...parts, hasDoubts: true}), []);
+  assert.equal(listOrders({...parts, mayReceivePreviousOrders: true}), []);
   assert.equal(listOrders(parts), ['load s1']);
 });
 
@@ -136,7 +140,7 @@
     makeSlot({slotId: 's3', status: 'ending'}),
   ];
   const step = decideSteward(
-    makeInput({slots, nowMs: 200_000, unresolved: new Set(['s3/a'])}),
+    makeInput({slots, nowMs: 200_000, unansweredSlotIds: new Set(['s3/a'])}),
   );
   assert.equal(step.overdue, ['s1']);
   assert.equal(step.released, ['s2']);
@@ -144,10 +148,11 @@
 
 test('reports the time of the next decision', () => {
   const lookAgain = (nowMs: number) =>
-    decideSteward(makeInput({slots: [makeStagedSlot()], nowMs})).lookAgainAtMs;
+    decideSteward(makeInput({slots: [makeStagedSlot()], nowMs}))
+      .nextDecisionAtMs;
   assert.is(lookAgain(0), 10_000);
   assert.is(lookAgain(10_000), 10_100);
-  assert.is(decideSteward(makeInput()).lookAgainAtMs, null);
+  assert.is(decideSteward(makeInput()).nextDecisionAtMs, null);
 });
 
 test.run();
--- a/packages/steward-orders/src/decide_orders.ts
+++ b/packages/steward-orders/src/decide_orders.ts
@@ -17,7 +17,7 @@
   type UnloadOrders,
   listUnloadOrders,
 } from './list_unloads.js';
-import {type LoadOutlook, findLoadDueMs} from './load_due.js';
+import {type ExpectedLoadTimes, findLoadDueMs} from './load_due.js';
 import {type OrderIntent} from './order_intent.js';
 
 /** State that is carried from one decision to the next. */
@@ -39,12 +39,12 @@
   engine: EngineState;
   memory: StewardMemory;
   /** Engine slots with an unanswered order that may still be executed. */
-  unresolved: ReadonlySet<string>;
+  unansweredSlotIds: ReadonlySet<string>;
   /** Whether orders of a previous controlling node may still arrive. */
-  hasDoubts: boolean;
+  mayReceivePreviousOrders: boolean;
   memoryOfAdapter: FindAdapterMemory;
   drain: DrainLimits;
-  outlook(slot: Slot): LoadOutlook;
+  findLoadTimes(slot: Slot): ExpectedLoadTimes;
   nowMs: number;
   /** Memory for orders that may still arrive late. */
   reservedMib: number;
@@ -59,7 +59,7 @@
   /** The state for the next decision. */
   memory: StewardMemory;
   /** Latest time of the next decision; null if only a new slot requires one. */
-  lookAgainAtMs: number | null;
+  nextDecisionAtMs: number | null;
 }
 
 /**
@@ -104,7 +104,7 @@
   };
   return {
     ...step,
-    lookAgainAtMs: findNextDecisionMs(step.orders, unloads, input),
+    nextDecisionAtMs: findNextDecisionMs(step.orders, unloads, input),
   };
 }
 
@@ -133,13 +133,17 @@
 }
 
 function mayReceiveOldOrders(input: StewardInput): boolean {
-  const {engine, hasDoubts, unresolved} = input;
+  const {
+    engine,
+    mayReceivePreviousOrders: hasDoubts,
+    unansweredSlotIds: unresolved,
+  } = input;
   return engine.fencing === 'ignores' && (hasDoubts || unresolved.size > 0);
 }
 
 function findDueMs(slot: Slot, input: StewardInput): number {
   const tier = findSlowestTier(slot, input.engine);
-  return findLoadDueMs(slot, tier, input.outlook(slot));
+  return findLoadDueMs(slot, tier, input.findLoadTimes(slot));
 }
 
 /**
@@ -158,7 +162,9 @@
   if (nowMs < stage.untilMs) return true;
   return fitsAlongsidePlan(slot, input.slots, engine.memoryMib, {
     fromMs: nowMs,
-    untilMs: nowMs + (isLoading ? BUSY_POLL_MS : input.outlook(slot).remoteMs),
+    untilMs:
+      nowMs +
+      (isLoading ? BUSY_POLL_MS : input.findLoadTimes(slot).storeLoadMs),
   });
 }
 
@@ -183,7 +189,7 @@
 function isReleased(slot: Slot, input: StewardInput): boolean {
   return (
     listLoadedParts(slot.slotId, input.engine).length === 0 &&
-    ![...input.unresolved].some(id => readBaseSlotId(id) === slot.slotId)
+    ![...input.unansweredSlotIds].some(id => readBaseSlotId(id) === slot.slotId)
   );
 }
 
--- a/packages/steward-orders/src/index.ts
+++ b/packages/steward-orders/src/index.ts
@@ -12,16 +12,16 @@
   makeFencingNumber,
 } from './fencing_number.js';
 export {type DrainLimits} from './list_unloads.js';
-export {type LoadOutlook, findLoadDueMs} from './load_due.js';
+export {type ExpectedLoadTimes, findLoadDueMs} from './load_due.js';
 export {
   type LoadIntent,
   type OrderIntent,
   type UnloadIntent,
 } from './order_intent.js';
 export {
-  WATCH_PATIENCE_MS,
-  type WatchInput,
-  type WatchResult,
-  findNextWatchMs,
-  watchEngine,
+  TAKEOVER_DELAY_MS,
+  type TakeoverCheckInput,
+  type TakeoverCheck,
+  findNextCheckMs,
+  checkForTakeover,
 } from './succession.js';
--- a/packages/steward-orders/src/load_due.ts
+++ b/packages/steward-orders/src/load_due.ts
@@ -3,13 +3,13 @@
 import {type CacheTier} from '@mimosatack/types';
 
 /** Current load times of one slot, estimated from the reports of all engines. */
-export interface LoadOutlook {
+export interface ExpectedLoadTimes {
   /** Start time of the slot's event; null for on-demand loads. */
   startsAtMs: number | null;
   /** Load time, with adapters, from the weight store at its usual speed. */
-  remoteMs: number;
+  storeLoadMs: number;
   /** Load time, with adapters, from each tier of the engine's cache. */
-  nearMs: Record<'memory' | 'disk', number>;
+  cachedLoadMs: Record<'memory' | 'disk', number>;
   /** Current slowdown factor of the weight store; at least 1. */
   slowdown: number;
 }
@@ -26,9 +26,14 @@
 export function findLoadDueMs(
   slot: Slot,
   tier: CacheTier,
-  outlook: LoadOutlook,
+  outlook: ExpectedLoadTimes,
 ): number {
-  const {startsAtMs, remoteMs, nearMs, slowdown} = outlook;
+  const {
+    startsAtMs,
+    storeLoadMs: remoteMs,
+    cachedLoadMs: nearMs,
+    slowdown,
+  } = outlook;
   if (isPlannedFromNearCache(slot)) {
     const loadMs = tier === 'remote' ? remoteMs * slowdown : nearMs[tier];
     return slot.loadAtMs - Math.max(0, loadMs - nearMs.memory);
--- a/packages/steward-orders/src/steward_loop.test.ts
+++ b/packages/steward-orders/src/steward_loop.test.ts
@@ -61,10 +61,10 @@
         engine: engine.readState(),
         memory,
         nowMs,
-        outlook: slot => ({
+        findLoadTimes: slot => ({
           startsAtMs: slot.loadAtMs + 1_000,
-          remoteMs: 1_300,
-          nearMs: {memory: 700, disk: 900},
+          storeLoadMs: 1_300,
+          cachedLoadMs: {memory: 700, disk: 900},
           slowdown,
         }),
       }),
--- a/packages/steward-orders/src/succession.test.ts
+++ b/packages/steward-orders/src/succession.test.ts
@@ -1,10 +1,10 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
 import {
-  WATCH_PATIENCE_MS,
-  type WatchInput,
-  findNextWatchMs,
-  watchEngine,
+  TAKEOVER_DELAY_MS,
+  type TakeoverCheckInput,
+  findNextCheckMs,
+  checkForTakeover,
 } from './succession.js';
 import {MODEL_MIB, makeEngine, makeReplica, makeSlot} from './test_fixtures.js';
 
@@ -12,22 +12,22 @@
 
 const DUE_MS = 100_000;
 
-function isNeglected(parts: Partial<WatchInput>): boolean {
-  return watchEngine({
+function isNeglected(parts: Partial<TakeoverCheckInput>): boolean {
+  return checkForTakeover({
     slots: [makeSlot()],
     engine: makeEngine(),
     rank: 1,
-    nowMs: DUE_MS + WATCH_PATIENCE_MS,
-    unfinishedBefore: new Set(),
+    nowMs: DUE_MS + TAKEOVER_DELAY_MS,
+    incompleteBefore: new Set(),
     ...parts,
-  }).isNeglected;
+  }).shouldTakeOver;
 }
 
 test('takes over when a due load was not ordered', () => {
   // Guards against an event that starts without its model because the
   // controlling node has crashed and its failure is not detected yet.
   assert.ok(isNeglected({}));
-  assert.not(isNeglected({nowMs: DUE_MS + WATCH_PATIENCE_MS - 1}));
+  assert.not(isNeglected({nowMs: DUE_MS + TAKEOVER_DELAY_MS - 1}));
   assert.not(isNeglected({rank: 2}));
 });
 
@@ -44,7 +44,7 @@
   const engine = makeEngine({replicas: [makeReplica(slot)]});
   const parts = {slots: [slot], engine};
   assert.not(isNeglected(parts));
-  assert.ok(isNeglected({...parts, unfinishedBefore: new Set(['s1'])}));
+  assert.ok(isNeglected({...parts, incompleteBefore: new Set(['s1'])}));
 });
 
 test('does not take over an engine that ignores fencing numbers', () => {
@@ -54,8 +54,8 @@
 
 test('checks when a load is due, not in between', () => {
   const slots = [makeSlot()];
-  assert.is(findNextWatchMs(slots, 1, 0), DUE_MS + WATCH_PATIENCE_MS);
-  assert.is(findNextWatchMs(slots, 1, DUE_MS + 10_000), null);
+  assert.is(findNextCheckMs(slots, 1, 0), DUE_MS + TAKEOVER_DELAY_MS);
+  assert.is(findNextCheckMs(slots, 1, DUE_MS + 10_000), null);
 });
 
 test.run();
--- a/packages/steward-orders/src/succession.ts
+++ b/packages/steward-orders/src/succession.ts
@@ -12,32 +12,32 @@
 import {listLoadedParts} from './engine_view.js';
 
 /** How long each rank waits for the rank before it to order a due load. */
-export const WATCH_PATIENCE_MS = 300;
+export const TAKEOVER_DELAY_MS = 300;
 
-export interface WatchInput {
+export interface TakeoverCheckInput {
   slots: readonly Slot[];
   engine: EngineState;
   /** 1 for the first standby. */
   rank: number;
   nowMs: number;
   /** Slots that lacked an adapter at the previous check. */
-  unfinishedBefore: ReadonlySet<string>;
+  incompleteBefore: ReadonlySet<string>;
 }
 
-export interface WatchResult {
+export interface TakeoverCheck {
   /** Whether the standby should take over now. */
-  isNeglected: boolean;
+  shouldTakeOver: boolean;
   /** The `unfinishedBefore` of the next check. */
-  unfinished: Set<string>;
+  incomplete: Set<string>;
 }
 
 /** When a standby of this rank should check next; null if no load is ahead. */
-export function findNextWatchMs(
+export function findNextCheckMs(
   slots: readonly Slot[],
   rank: number,
   nowMs: number,
 ): number | null {
-  const waitMs = rank * WATCH_PATIENCE_MS;
+  const waitMs = rank * TAKEOVER_DELAY_MS;
   const checkTimesMs = slots
     .filter(slot => slot.status === 'decided')
     .flatMap(({loadAtMs}) => [
@@ -50,15 +50,15 @@
 }
 
 /** Checks whether the controlling node has failed to order a due load. */
-export function watchEngine(input: WatchInput): WatchResult {
-  const {engine, rank, nowMs, unfinishedBefore} = input;
+export function checkForTakeover(input: TakeoverCheckInput): TakeoverCheck {
+  const {engine, rank, nowMs, incompleteBefore: unfinishedBefore} = input;
   if (engine.fencing === 'ignores') {
-    return {isNeglected: false, unfinished: new Set()};
+    return {shouldTakeOver: false, incomplete: new Set()};
   }
   const due = input.slots.filter(
     slot =>
       slot.status === 'decided' &&
-      nowMs >= slot.loadAtMs + rank * WATCH_PATIENCE_MS &&
+      nowMs >= slot.loadAtMs + rank * TAKEOVER_DELAY_MS &&
       nowMs < slot.untilMs,
   );
   const unfinished = due
@@ -70,8 +70,9 @@
       hasFreeMemory(slot, engine),
   );
   return {
-    isNeglected: isMissing || unfinished.some(id => unfinishedBefore.has(id)),
-    unfinished: new Set(unfinished),
+    shouldTakeOver:
+      isMissing || unfinished.some(id => unfinishedBefore.has(id)),
+    incomplete: new Set(unfinished),
   };
 }
 
--- a/packages/team-quotas/src/index.ts
+++ b/packages/team-quotas/src/index.ts
@@ -1,6 +1,6 @@
 export {
   type QuotaBounds,
-  findBucketTerms,
+  findBucketLimits,
   findTolerance,
 } from './quota_bounds.js';
 export {type QuotaCharge, type QuotaRefusal} from './quota_charge.js';
--- a/packages/team-quotas/src/quota_bounds.ts
+++ b/packages/team-quotas/src/quota_bounds.ts
@@ -34,7 +34,7 @@
   return quota * overage + slack;
 }
 
-export function findBucketTerms(
+export function findBucketLimits(
   quota: TeamQuota,
   bounds: QuotaBounds,
 ): BucketLimits {
--- a/packages/team-quotas/src/quota_fleet_fixture.ts
+++ b/packages/team-quotas/src/quota_fleet_fixture.ts
@@ -73,11 +73,11 @@
     this.nodes
       .filter(node => node !== holder && !node.isPartitioned)
       .forEach(node => {
-        const reply = holder.quotas.answer(
+        const reply = holder.quotas.answerReport(
           node.incarnation,
           node.quotas.makeReport(),
         );
-        if (reply && !areRepliesLost) node.quotas.takeReply(reply);
+        if (reply && !areRepliesLost) node.quotas.applyReply(reply);
       });
   }
 
@@ -103,7 +103,7 @@
       return this.sendToNode(index, amount);
     }
     const charge = {team: TEAM, amount, isForced: false};
-    const isAdmitted = !holder.quotas.chargeAsked(charge);
+    const isAdmitted = !holder.quotas.chargeAtHolder(charge);
     if (isAdmitted) this.recordAdmission(amount);
     return isAdmitted;
   }
--- a/packages/team-quotas/src/team_quotas.ts
+++ b/packages/team-quotas/src/team_quotas.ts
@@ -8,7 +8,7 @@
 } from '@mimosatack/types';
 import {
   type QuotaBounds,
-  findBucketTerms,
+  findBucketLimits,
   findInitialLevel,
   findUnsettledShare,
 } from './quota_bounds.js';
@@ -79,7 +79,7 @@
       .filter(team => !names.has(team))
       .forEach(team => this.teams.delete(team));
     limited.forEach(({team, quota}) => {
-      const limits = findBucketTerms(quota, bounds);
+      const limits = findBucketLimits(quota, bounds);
       const known = this.teams.get(team);
       known?.estimate.setLimits(limits, nowMs);
       const estimate =
@@ -96,12 +96,12 @@
   }
 
   /** Whether any team has a quota. */
-  get isLimiting(): boolean {
+  get hasQuotas(): boolean {
     return this.teams.size > 0;
   }
 
   /** Lists all teams with a quota. */
-  list(): TeamLevel[] {
+  listLevels(): TeamLevel[] {
     const nowMs = this.nowMs();
     return [...this.teams].map(([team, {quota, estimate}]) => ({
       ...{team, ratePerSecond: quota.ratePerSecond},
@@ -132,19 +132,19 @@
   }
 
   /** At the holder: charges a request of any node. */
-  chargeAsked(charge: QuotaCharge): QuotaRefusal | null {
+  chargeAtHolder(charge: QuotaCharge): QuotaRefusal | null {
     const bucket = this.buckets?.find(charge.team);
     return bucket ? this.chargeBucket(bucket, charge) : null;
   }
 
   /** At the holder: refunds the charge of a request that has not run. */
-  giveBackAsked({team, amount}: QuotaCharge): void {
+  refundAtHolder({team, amount}: QuotaCharge): void {
     this.buckets?.find(team)?.refund(amount, this.nowMs());
   }
 
   /** Charges a request at this node, without asking the holder. */
   charge(charge: QuotaCharge): QuotaRefusal | null {
-    if (this.buckets) return this.chargeAsked(charge);
+    if (this.buckets) return this.chargeAtHolder(charge);
     const {team, amount, isForced} = charge;
     const known = this.teams.get(team);
     if (!known) return null;
@@ -158,8 +158,8 @@
   }
 
   /** Refunds an amount that `charge` took. */
-  giveBack(charge: QuotaCharge): void {
-    if (this.buckets) return this.giveBackAsked(charge);
+  refund(charge: QuotaCharge): void {
+    if (this.buckets) return this.refundAtHolder(charge);
     const {team, amount} = charge;
     if (this.teams.has(team)) this.unsettled.add(team, -amount, this.nowMs());
   }
@@ -170,13 +170,16 @@
   }
 
   /** At the holder: answers a heartbeat; null when no team has a quota. */
-  answer(node: NodeIncarnation, report: QuotaReport | null): QuotaReply | null {
-    if (!this.buckets || !this.isLimiting) return null;
+  answerReport(
+    node: NodeIncarnation,
+    report: QuotaReport | null,
+  ): QuotaReply | null {
+    if (!this.buckets || !this.hasQuotas) return null;
     this.settleLocally();
     return this.buckets.handleReport(node, report, this.nowMs());
   }
 
-  takeReply({reportId, low}: QuotaReply): void {
+  applyReply({reportId, low}: QuotaReply): void {
     const nowMs = this.nowMs();
     if (reportId !== null) this.unsettled.settle(reportId);
     const levels = new Map(low.map(({team, level}) => [team, level]));
--- a/packages/types/src/request_fingerprint.ts
+++ b/packages/types/src/request_fingerprint.ts
@@ -5,7 +5,7 @@
 export type RequestFingerprint = string;
 
 /** The prefix of a fingerprint, which does not depend on the body. */
-export type PathPrint = string;
+export type PathFingerprint = string;
 
 const PATH_HASH_CHARS = 12;
 const BODY_HASH_CHARS = 20;
@@ -15,10 +15,12 @@
   pathHash: string,
   bodyHash: string,
 ): RequestFingerprint {
-  return toPathPrint(pathHash) + bodyHash.slice(0, BODY_HASH_CHARS);
+  return toPathFingerprint(pathHash) + bodyHash.slice(0, BODY_HASH_CHARS);
 }
 
 /** Truncates a fingerprint, or a hexadecimal path hash, to the prefix. */
-export function toPathPrint(fingerprint: RequestFingerprint): PathPrint {
+export function toPathFingerprint(
+  fingerprint: RequestFingerprint,
+): PathFingerprint {
   return fingerprint.slice(0, PATH_HASH_CHARS);
 }
--- a/packages/types/src/server_life.ts
+++ b/packages/types/src/server_life.ts
@@ -7,13 +7,13 @@
 export type ServerStartMs = number | null;
 
 /** The order of a reported incarnation relative to the known one. */
-export type LifeOrder = 'same' | 'later' | 'earlier';
+export type IncarnationOrder = 'same' | 'later' | 'earlier';
 
 /** Compares two incarnations; one without a start time counts as the same. */
-export function compareLives(
+export function compareIncarnations(
   reported: ServerStartMs,
   known: ServerStartMs,
-): LifeOrder {
+): IncarnationOrder {
   if (reported === null || known === null || reported === known) return 'same';
   return reported > known ? 'later' : 'earlier';
 }
--- a/packages/types/src/serving.ts
+++ b/packages/types/src/serving.ts
@@ -75,7 +75,7 @@
   storeLoadsPerSecond: number;
   /** Tokens per stream event. */
   tokensPerEvent: number;
-  canMoveRuns: boolean;
+  canMigrateRuns: boolean;
   canBackUpRuns: boolean;
   models: readonly ModelSpec[];
 }
--- a/packages/unrepeatable-bench/src/measure_main.ts
+++ b/packages/unrepeatable-bench/src/measure_main.ts
@@ -184,7 +184,7 @@
     );
     if (result.status !== 'granted') return null;
     const latencyMs = clock.monotonicMs() - beganMs;
-    claims.noteRan(result.grant, makeAnswer(ANSWER_BYTES));
+    claims.recordRan(result.grant, makeAnswer(ANSWER_BYTES));
     return latencyMs;
   } catch {
     return null;
--- a/packages/unrepeatable/src/index.ts
+++ b/packages/unrepeatable/src/index.ts
@@ -12,17 +12,17 @@
   type KeyedRequest,
   KeyTable,
   type KeyTableOptions,
-  type RememberedKey,
+  type FinishedKeyRecord,
 } from './key_table.js';
 export {
-  makeAnswerNotKept,
-  makeBadKey,
-  makeKeyReused,
-  makeOutcomeUnknown,
-  makeStillRunning,
+  makeAnswerNotKeptError,
+  makeBadKeyError,
+  makeKeyReusedError,
+  makeOutcomeUnknownError,
+  makeStillRunningError,
 } from './refusals.js';
 export {hashKey, hashRequest} from './request_hash.js';
-export {type Ticket, TicketMint, type TicketReading} from './ticket.js';
+export {type Ticket, TicketSigner, type TicketReading} from './ticket.js';
 export {
   TicketTable,
   type TicketTableExport,
--- a/packages/unrepeatable/src/inherited_tickets.test.ts
+++ b/packages/unrepeatable/src/inherited_tickets.test.ts
@@ -2,13 +2,13 @@
 import * as assert from 'uvu/assert';
 import {
   InheritedTickets,
-  type RememberedKey,
+  type FinishedKeyRecord,
   makeTicketPages,
 } from './index.js';
 
 const FLOOR = 100;
 
-function createKeys(count: number): RememberedKey[] {
+function createKeys(count: number): FinishedKeyRecord[] {
   return Array.from({length: count}, (_, index) => ({
     keyHash: `k${index}`,
     requestHash: 'same',
@@ -31,7 +31,7 @@
   const pages = makeTicketPages('old', FLOOR, createKeys(500));
   pages
     .slice(0, pageCount === 'all' ? undefined : pageCount)
-    .forEach(page => assert.ok(tickets.takePage(page)));
+    .forEach(page => assert.ok(tickets.addPage(page)));
   const findStatus = (
     keyHash: string,
     generation = FLOOR,
@@ -58,10 +58,10 @@
   const {tickets, pages, findStatus} = createFixture(1);
   assert.is(findStatus('k1'), 'ran');
   assert.is(findStatus('k499'), 'unknown');
-  assert.not(tickets.takePage(pages[2]!));
-  assert.ok(tickets.takePage(pages[0]!));
+  assert.not(tickets.addPage(pages[2]!));
+  assert.ok(tickets.addPage(pages[0]!));
   assert.is(findStatus('k499'), 'unknown');
-  pages.slice(1).forEach(page => tickets.takePage(page));
+  pages.slice(1).forEach(page => tickets.addPage(page));
   assert.is(findStatus('k499'), 'ran');
 });
 
@@ -69,7 +69,7 @@
   const tickets = new InheritedTickets(700);
   ['old', 'new'].forEach(incarnation =>
     makeTicketPages(incarnation, FLOOR, createKeys(500)).forEach(page =>
-      tickets.takePage(page),
+      tickets.addPage(page),
     ),
   );
   const find = (incarnation: string) =>
--- a/packages/unrepeatable/src/inherited_tickets.ts
+++ b/packages/unrepeatable/src/inherited_tickets.ts
@@ -4,7 +4,7 @@
  */
 import {type NodeIncarnation} from '@mimosatack/types';
 import {type KeptAnswer} from './kept_answer.js';
-import {type RememberedKey} from './key_table.js';
+import {type FinishedKeyRecord} from './key_table.js';
 
 /** A part of a transferred table; pages are sent in order from 0. */
 export interface TicketPage {
@@ -12,7 +12,7 @@
   page: number;
   isLast: boolean;
   floorGeneration: number;
-  keys: RememberedKey[];
+  keys: FinishedKeyRecord[];
 }
 
 export interface InheritedQuery {
@@ -34,7 +34,7 @@
   floorGeneration: number;
   nextPage: number;
   isComplete: boolean;
-  keys: Map<string, RememberedKey>;
+  keys: Map<string, FinishedKeyRecord>;
 }
 
 const DEFAULT_MAX_KEYS = 200_000;
@@ -49,7 +49,7 @@
   constructor(private readonly maxKeys = DEFAULT_MAX_KEYS) {}
 
   /** Returns false if an earlier page is missing. */
-  takePage(page: TicketPage): boolean {
+  addPage(page: TicketPage): boolean {
     const table = this.getOrCreateTable(page);
     if (page.page > table.nextPage) return false;
     if (page.page < table.nextPage) return true;
@@ -81,7 +81,7 @@
       floorGeneration: page.floorGeneration,
       nextPage: 0,
       isComplete: false,
-      keys: new Map<string, RememberedKey>(),
+      keys: new Map<string, FinishedKeyRecord>(),
     };
     this.tables.set(page.incarnation, table);
     return table;
@@ -100,7 +100,7 @@
 }
 
 function toVerdict(
-  known: RememberedKey,
+  known: FinishedKeyRecord,
   query: InheritedQuery,
 ): InheritedVerdict {
   if (known.requestHash !== query.requestHash) return {status: 'key-reused'};
@@ -113,7 +113,7 @@
 export function makeTicketPages(
   incarnation: NodeIncarnation,
   floorGeneration: number,
-  keys: readonly RememberedKey[],
+  keys: readonly FinishedKeyRecord[],
 ): TicketPage[] {
   const parts = splitIntoPages(keys);
   return parts.map((part, page) => ({
@@ -125,11 +125,13 @@
   }));
 }
 
-function splitIntoPages(keys: readonly RememberedKey[]): RememberedKey[][] {
+function splitIntoPages(
+  keys: readonly FinishedKeyRecord[],
+): FinishedKeyRecord[][] {
   let bytes = 0;
-  return keys.reduce<RememberedKey[][]>(
+  return keys.reduce<FinishedKeyRecord[][]>(
     (pages, key) => {
-      const last = pages.at(-1) as RememberedKey[];
+      const last = pages.at(-1) as FinishedKeyRecord[];
       const size = key.outcome === 'ran' ? (key.answer?.body.length ?? 0) : 0;
       if (last.length >= MAX_PAGE_KEYS || bytes + size > MAX_PAGE_BYTES) {
         bytes = size;
--- a/packages/unrepeatable/src/key_table.ts
+++ b/packages/unrepeatable/src/key_table.ts
@@ -2,10 +2,10 @@
 import {type TypedError, toTypedError} from '@mimosatack/errors';
 import {type KeptAnswer, type KeyedAnswer} from './kept_answer.js';
 import {
-  makeAnswerNotKept,
-  makeKeyReused,
-  makeOutcomeUnknown,
-  makeStillRunning,
+  makeAnswerNotKeptError,
+  makeKeyReusedError,
+  makeOutcomeUnknownError,
+  makeStillRunningError,
 } from './refusals.js';
 
 export interface KeyTableOptions {
@@ -15,7 +15,7 @@
   /** The limit of the bytes of all stored answers; further ones are not stored. */
   maxKeptBytes: number;
   /** Whether a key may run again after its run failed with this error. */
-  isFreeAfter(error: TypedError): boolean;
+  canRunAgainAfter(error: TypedError): boolean;
 }
 
 export interface KeyedRequest {
@@ -37,7 +37,7 @@
 }
 
 /** A finished key in the form that is sent to another process. */
-export type RememberedKey = FinishedKey & {
+export type FinishedKeyRecord = FinishedKey & {
   keyHash: string;
   requestHash: string;
   generation: number;
@@ -86,7 +86,7 @@
     if (!known) {
       return {answer: await this.startRun(request, start), isReplay: false};
     }
-    if (known.requestHash !== request.requestHash) throw makeKeyReused();
+    if (known.requestHash !== request.requestHash) throw makeKeyReusedError();
     return {answer: await this.replay(known.state, request), isReplay: true};
   }
 
@@ -104,7 +104,7 @@
   }
 
   /** Lists all keys; the outcome of a running key is `unknown`. */
-  list(): RememberedKey[] {
+  list(): FinishedKeyRecord[] {
     return [...this.generations].flatMap(([generation, entries]) =>
       [...entries].map(([keyHash, {requestHash, state}]) => ({
         ...(state.outcome === 'running'
@@ -140,9 +140,9 @@
       case 'running':
         return this.waitFor(state.run, request);
       case 'unknown':
-        throw makeOutcomeUnknown('The outcome of this key was lost.');
+        throw makeOutcomeUnknownError('The outcome of this key was lost.');
       case 'ran':
-        if (state.answer === null) throw makeAnswerNotKept();
+        if (state.answer === null) throw makeAnswerNotKeptError();
         return Promise.resolve(state.answer);
     }
   }
@@ -155,7 +155,7 @@
     return new Promise((resolve, reject) => {
       const timer: Timer = clock.setTimer(
         expiresAtMs - clock.monotonicMs(),
-        () => reject(makeStillRunning()),
+        () => reject(makeStillRunningError()),
       );
       run.then(resolve, reject).finally(() => timer.cancel());
     });
@@ -187,7 +187,7 @@
     entry: KeyEntry,
     error: TypedError,
   ): void {
-    if (!this.options.isFreeAfter(error)) {
+    if (!this.options.canRunAgainAfter(error)) {
       this.finish(
         request,
         entry,
--- a/packages/unrepeatable/src/refusals.ts
+++ b/packages/unrepeatable/src/refusals.ts
@@ -2,7 +2,10 @@
 import {TypedError} from '@mimosatack/errors';
 
 /** It is unknown, or must not be disclosed, whether the key ran. */
-export function makeOutcomeUnknown(message: string, cause?: Error): TypedError {
+export function makeOutcomeUnknownError(
+  message: string,
+  cause?: Error,
+): TypedError {
   return new TypedError('outcome-unknown', message, {run: 'unknown', cause});
 }
 
@@ -10,7 +13,7 @@
  * `run` is `unknown` because the first request with the key may have run: a
  * caller whose repeat differs by a byte must not conclude that it did not.
  */
-export function makeKeyReused(): TypedError {
+export function makeKeyReusedError(): TypedError {
   return new TypedError(
     'key-reused',
     'The idempotency key was used for another request.',
@@ -24,7 +27,7 @@
 }
 
 /** The request ran, but its answer exceeded the storage limits. */
-export function makeAnswerNotKept(): TypedError {
+export function makeAnswerNotKeptError(): TypedError {
   return new TypedError(
     'answer-not-kept',
     'The request ran, but its answer is not kept.',
@@ -33,7 +36,7 @@
 }
 
 /** The text is not a key, or no node would run the key. */
-export function makeBadKey(message: string): TypedError {
+export function makeBadKeyError(message: string): TypedError {
   return new TypedError('bad-key', message, {
     run: 'not-run',
     remedy:
@@ -43,7 +46,7 @@
 }
 
 /** The deadline passed while an earlier request with the key was running. */
-export function makeStillRunning(): TypedError {
+export function makeStillRunningError(): TypedError {
   return new TypedError(
     'outcome-unknown',
     'The request was not over by the deadline.',
--- a/packages/unrepeatable/src/ticket.test.ts
+++ b/packages/unrepeatable/src/ticket.test.ts
@@ -1,9 +1,9 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {TicketMint, hashKey} from './index.js';
+import {TicketSigner, hashKey} from './index.js';
 
 const test = suite('tickets');
-const mint = new TicketMint('a secret of the cluster');
+const mint = new TicketSigner('a secret of the cluster');
 
 test('a key contains its process and generation', () => {
   const key = `${mint.makePrefix('node-1.ab12', 7)}order~17`;
@@ -17,7 +17,7 @@
   // Guards against a caller that raises the generation of an old key to run it
   // again.
   const key = `${mint.makePrefix('node-1', 7)}17`;
-  const foreignPrefix = new TicketMint('another secret').makePrefix(
+  const foreignPrefix = new TicketSigner('another secret').makePrefix(
     'node-1',
     7,
   );
--- a/packages/unrepeatable/src/ticket.ts
+++ b/packages/unrepeatable/src/ticket.ts
@@ -26,7 +26,7 @@
   | {status: 'forged'};
 
 /** Creates and verifies ticket prefixes with the cluster secret. */
-export class TicketMint {
+export class TicketSigner {
   constructor(private readonly secret: string) {}
 
   /** Creates the prefix of keys that the process `incarnation` runs. */
--- a/packages/unrepeatable/src/ticket_table.ts
+++ b/packages/unrepeatable/src/ticket_table.ts
@@ -6,8 +6,12 @@
 import {TypedError} from '@mimosatack/errors';
 import {GENERATION_MS, KEPT_GENERATIONS, generationAt} from './generation.js';
 import {type KeptAnswer, type KeyedAnswer} from './kept_answer.js';
-import {type KeyedRequest, KeyTable, type RememberedKey} from './key_table.js';
-import {makeOutcomeUnknown} from './refusals.js';
+import {
+  type KeyedRequest,
+  KeyTable,
+  type FinishedKeyRecord,
+} from './key_table.js';
+import {makeOutcomeUnknownError} from './refusals.js';
 
 export interface TicketTableOptions {
   clock: Clock;
@@ -20,7 +24,7 @@
 export interface TicketTableExport {
   /** Keys of older generations were removed, and their outcomes are unknown. */
   floorGeneration: number;
-  keys: RememberedKey[];
+  keys: FinishedKeyRecord[];
 }
 
 /** Allows about 200 keys per second for the whole retention time. */
@@ -46,7 +50,7 @@
       clock: options.clock,
       maxAnswerBytes: options.maxAnswerBytes ?? DEFAULT_MAX_ANSWER_BYTES,
       maxKeptBytes: options.maxKeptBytes ?? DEFAULT_MAX_KEPT_BYTES,
-      isFreeAfter: error => error.run === 'not-run',
+      canRunAgainAfter: error => error.run === 'not-run',
     });
   }
 
@@ -100,7 +104,7 @@
 
   private rejectExpired({generation}: KeyedRequest): void {
     if (generation >= this.floorGeneration) return;
-    throw makeOutcomeUnknown('The key is too old to be remembered.');
+    throw makeOutcomeUnknownError('The key is too old to be remembered.');
   }
 
   /** The errors say `not-run`: only this process could have started the key. */
