--- a/packages/admit-requests/src/admission_gate.test.ts
+++ b/packages/admit-requests/src/admission_gate.test.ts
@@ -4,7 +4,7 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
 import {AdmissionGate} from './admission_gate.js';
-import {CallerDisconnectedError} from './caller_gone.js';
+import {CallerDisconnectedError} from './caller_disconnected_error.js';
 import {type AdmissionRequest, type ReplicaAvailability} from './types.js';
 
 const test = suite('admission gate');
--- a/packages/admit-requests/src/admission_gate.ts
+++ b/packages/admit-requests/src/admission_gate.ts
@@ -8,7 +8,7 @@
   AdmissionController,
   type AdmissionOptions,
 } from './admission_controller.js';
-import {CallerDisconnectedError} from './caller_gone.js';
+import {CallerDisconnectedError} from './caller_disconnected_error.js';
 import {
   type AdmissionRequest,
   type ReplicaAvailability,
--- a/packages/dispatch-requests/src/index.ts
+++ b/packages/dispatch-requests/src/index.ts
@@ -13,4 +13,4 @@
   type WholeAnswerRequest,
   exchangeOnce,
 } from './whole_answer.js';
-export {readErrorResponse} from './read_refusal.js';
+export {readErrorResponse} from './read_error_response.js';
--- a/packages/hold-duty/src/duty_task.ts
+++ b/packages/hold-duty/src/duty_task.ts
@@ -15,7 +15,7 @@
 import {type RandomSource} from '@mimosatack/random';
 import {type HolderContact, decideClaim} from './decide_claim.js';
 import {SuspensionWatch} from './suspension_watch.js';
-import {type LastOrders, TakeoverWait} from './turn_wait.js';
+import {type LastOrders, TakeoverWait} from './takeover_wait.js';
 
 export {type HolderContact} from './decide_claim.js';
 
--- a/packages/hold-duty/src/turn_wait.test.ts
+++ b/packages/hold-duty/src/takeover_wait.test.ts
@@ -1,6 +1,6 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {TakeoverWait} from './turn_wait.js';
+import {TakeoverWait} from './takeover_wait.js';
 
 const test = suite('wait after a takeover');
 
--- a/packages/node-links/src/confirmation_fixture.ts
+++ b/packages/node-links/src/confirmation_fixture.ts
@@ -1,6 +1,6 @@
 /** A test node with a configuration version and a clock of its own. */
 import {ManualClock, SuspensionAwareClock} from '@mimosatack/clock';
-import {ConfirmationExchange} from './told_confirmation.js';
+import {ConfirmationExchange} from './confirmation_exchange.js';
 
 export class TestNode {
   readonly host = new ManualClock();
--- a/packages/node-links/src/duty_order.ts
+++ b/packages/node-links/src/duty_order.ts
@@ -1,5 +1,5 @@
 /** The order in which nodes claim a duty. */
-import {type RegisteredNode} from './known_node.js';
+import {type RegisteredNode} from './registered_node.js';
 import {type RosterEntry} from './node_roster.js';
 
 type ClaimCandidate = Pick<RegisteredNode, 'nodeName' | 'cores'>;
--- a/packages/node-links/src/holder_inquiry.test.ts
+++ b/packages/node-links/src/holder_inquiry.test.ts
@@ -1,7 +1,7 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
 import {chooseNodesToAsk} from './holder_inquiry.js';
-import {type RegisteredNode} from './known_node.js';
+import {type RegisteredNode} from './registered_node.js';
 
 const test = suite('nodes asked about a silent holder');
 
--- a/packages/node-links/src/holder_inquiry.ts
+++ b/packages/node-links/src/holder_inquiry.ts
@@ -1,6 +1,6 @@
 /** Asks other nodes whether they are in contact with a silent duty holder. */
 import {type DutyHolder} from '@mimosatack/hold-duty';
-import {type RegisteredNode} from './known_node.js';
+import {type RegisteredNode} from './registered_node.js';
 import {type NodeMessage} from './messages.js';
 
 export type SendRequest = (
--- a/packages/node-links/src/index.ts
+++ b/packages/node-links/src/index.ts
@@ -1,4 +1,8 @@
-export {type RegisteredNode, encodeNode, decodeNode} from './known_node.js';
+export {
+  type RegisteredNode,
+  encodeNode,
+  decodeNode,
+} from './registered_node.js';
 export {type RecordsMessage, type SharedTopic} from './messages.js';
 export {NodeLinks} from './node_links.js';
 export {type NodeStatus} from './node_status.js';
@@ -8,4 +12,4 @@
   type QuotaExchange,
   type Successor,
 } from './node_links_options.js';
-export {ConfirmationExchange} from './told_confirmation.js';
+export {ConfirmationExchange} from './confirmation_exchange.js';
--- a/packages/node-links/src/messages.ts
+++ b/packages/node-links/src/messages.ts
@@ -9,7 +9,7 @@
 } from '@mimosatack/schedule-service';
 import {quotaReplySchema, quotaReportSchema} from '@mimosatack/team-quotas';
 import * as z from 'zod';
-import {nodeSchema} from './known_node.js';
+import {nodeSchema} from './registered_node.js';
 
 const statusSchema = z.object({
   nodeName: z.string(),
--- a/packages/node-links/src/node_links.ts
+++ b/packages/node-links/src/node_links.ts
@@ -34,7 +34,7 @@
 import {RecordCatchUp} from './record_catch_up.js';
 import {ReceivedServingList, ServingList} from './serving_list.js';
 import {SilentNodes} from './silent_nodes.js';
-import {ConfirmationExchange} from './told_confirmation.js';
+import {ConfirmationExchange} from './confirmation_exchange.js';
 
 /** Several heartbeats fit into the time after which a holder counts as silent. */
 const HEARTBEAT_INTERVAL_MS = 250;
--- a/packages/node-links/src/node_links_options.ts
+++ b/packages/node-links/src/node_links_options.ts
@@ -10,7 +10,7 @@
 } from '@mimosatack/schedule-service';
 import {type QuotaReply, type QuotaReport} from '@mimosatack/team-quotas';
 import {type NodeIncarnation, type SocketAddress} from '@mimosatack/types';
-import {type RegisteredNode} from './known_node.js';
+import {type RegisteredNode} from './registered_node.js';
 import {type RecordsMessage, type SharedTopic} from './messages.js';
 import {type NodeStatus} from './node_status.js';
 
--- a/packages/node-links/src/silent_nodes.test.ts
+++ b/packages/node-links/src/silent_nodes.test.ts
@@ -1,7 +1,7 @@
 import {ManualClock} from '@mimosatack/clock';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {type RegisteredNode} from './known_node.js';
+import {type RegisteredNode} from './registered_node.js';
 import {SilentNodes} from './silent_nodes.js';
 
 const test = suite('silent nodes');
--- a/packages/node-links/src/silent_nodes.ts
+++ b/packages/node-links/src/silent_nodes.ts
@@ -1,6 +1,6 @@
 /** Tracks registered nodes from which the duty holder receives no heartbeats. */
 import {type Clock} from '@mimosatack/clock';
-import {type RegisteredNode} from './known_node.js';
+import {type RegisteredNode} from './registered_node.js';
 
 /** Two missed heartbeats. */
 const SILENT_AFTER_MS = 500;
--- a/packages/plan-warming/src/index.ts
+++ b/packages/plan-warming/src/index.ts
@@ -3,7 +3,7 @@
   LoadOnFirstRequestPolicy,
 } from './baseline_policies.js';
 export {DemandTable} from './demand_table.js';
-export {type SlotLoadEstimate, estimateSlotLoad} from './load_outlook.js';
+export {type SlotLoadEstimate, estimateSlotLoad} from './slot_load_estimate.js';
 export {
   DEFAULT_LOAD_TIMES,
   LoadTimeEstimates,
@@ -30,10 +30,10 @@
   type PlanningScheduleOptions,
   PlanningSchedule,
   fingerprintEvent,
-} from './planning_agenda.js';
+} from './planning_schedule.js';
 export {listPreemptible} from './preempt_slots.js';
 export {estimateReplicaLoad} from './replica_placer.js';
-export {ServerMemory} from './server_room.js';
+export {ServerMemory} from './server_memory.js';
 export {
   type ServerView,
   type ServerViewInput,
--- a/packages/plan-warming/src/measure_main.ts
+++ b/packages/plan-warming/src/measure_main.ts
@@ -5,7 +5,7 @@
 import {type EngineState} from '@mimosatack/types';
 import {LoadTimeEstimates} from './load_time_estimates.js';
 import {planEvent} from './plan_event.js';
-import {fingerprintEvent} from './planning_agenda.js';
+import {fingerprintEvent} from './planning_schedule.js';
 import {SampleWindow} from './sample_window.js';
 import {
   type EventSpec,
--- a/packages/plan-warming/src/planning_agenda.test.ts
+++ b/packages/plan-warming/src/planning_schedule.test.ts
@@ -1,6 +1,6 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {PlanningSchedule, fingerprintEvent} from './planning_agenda.js';
+import {PlanningSchedule, fingerprintEvent} from './planning_schedule.js';
 import {FixtureLog, makeServers, minutes} from './test_fixtures.js';
 
 const test = suite('planning agenda');
--- a/packages/plan-warming/src/replica_placer.ts
+++ b/packages/plan-warming/src/replica_placer.ts
@@ -2,7 +2,7 @@
 import {type SlotPlan} from '@mimosatack/records';
 import {type CacheTier} from '@mimosatack/types';
 import {type LoadTimeSource} from './load_time_estimates.js';
-import {type ServerMemory} from './server_room.js';
+import {type ServerMemory} from './server_memory.js';
 import {type ServerView, findReplicaTier, rankTier} from './server_view.js';
 import {type StoreTimetable, findStoreUse} from './store_timetable.js';
 import {
--- a/packages/plan-warming/src/server_view.ts
+++ b/packages/plan-warming/src/server_view.ts
@@ -5,7 +5,7 @@
 import {type BackendServer, type MemoryHold} from '@mimosatack/agreed-state';
 import {type SlotPlan} from '@mimosatack/records';
 import {type CacheTier, type EngineState} from '@mimosatack/types';
-import {ServerMemory} from './server_room.js';
+import {ServerMemory} from './server_memory.js';
 
 /** The planner's view of one backend server. */
 export interface ServerView {
--- a/packages/plan-warming/src/timetable_policy.test.ts
+++ b/packages/plan-warming/src/timetable_policy.test.ts
@@ -1,6 +1,6 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {ServerMemory} from './server_room.js';
+import {ServerMemory} from './server_memory.js';
 import {StoreTimetable} from './store_timetable.js';
 import {minutes} from './test_fixtures.js';
 import {TimetablePolicy} from './timetable_policy.js';
--- a/packages/plan-warming/src/warming_policy.ts
+++ b/packages/plan-warming/src/warming_policy.ts
@@ -1,6 +1,6 @@
 /** The interface of the policies that decide when replicas are loaded. */
 import {type CacheTier} from '@mimosatack/types';
-import {type ServerMemory} from './server_room.js';
+import {type ServerMemory} from './server_memory.js';
 import {type StoreTimetable} from './store_timetable.js';
 
 /** Expected duration of loading a replica's base model, then its adapters. */
--- a/packages/schedule-service/src/index.ts
+++ b/packages/schedule-service/src/index.ts
@@ -20,4 +20,4 @@
   type HolderQuotas,
   SchedulingService,
   type SchedulingServiceOptions,
-} from './scheduling_host.js';
+} from './scheduling_service.js';
--- a/packages/schedule-service/src/scheduling_host.test.ts
+++ b/packages/schedule-service/src/scheduling_service.test.ts
@@ -13,7 +13,7 @@
 import * as assert from 'uvu/assert';
 import {type EngineOrders, type OrderResult} from './engine_orders.js';
 import {type FromHolderMessage, type ToHolderMessage} from './messages.js';
-import {type HolderQuotas, SchedulingService} from './scheduling_host.js';
+import {type HolderQuotas, SchedulingService} from './scheduling_service.js';
 
 const test = suite('scheduling host');
 
--- a/packages/serve-callers/src/caller_context.ts
+++ b/packages/serve-callers/src/caller_context.ts
@@ -10,7 +10,7 @@
 import {type AbandonedRequests} from './abandoned_requests.js';
 import {type FastifyServerFactory} from 'fastify';
 import {type UnrepeatableRunner} from './unrepeatable_runner.js';
-import {type RequestRouting} from './answering.js';
+import {type RequestRouting} from './request_routing.js';
 
 /** A live node that callers can send requests to. */
 export interface EntryAddress {
--- a/packages/serve-callers/src/index.ts
+++ b/packages/serve-callers/src/index.ts
@@ -3,7 +3,7 @@
   type RequestRouting,
   type RequestRoutingOptions,
   makeRequestRouting,
-} from './answering.js';
+} from './request_routing.js';
 export {
   type CallerContext,
   type CallerLimits,
@@ -34,4 +34,4 @@
   type StreamRelayInput,
   relayStream,
 } from './stream_relay.js';
-export {ReplicaLookup, type ReplicaLookupOptions} from './serving_sets.js';
+export {ReplicaLookup, type ReplicaLookupOptions} from './replica_lookup.js';
--- a/packages/serve-callers/src/loopback_fixture.ts
+++ b/packages/serve-callers/src/loopback_fixture.ts
@@ -18,7 +18,7 @@
 } from '@mimosatack/stand-ins';
 import {TicketSigner} from '@mimosatack/unrepeatable';
 import {AbandonedRequests} from './abandoned_requests.js';
-import {makeRequestRouting} from './answering.js';
+import {makeRequestRouting} from './request_routing.js';
 import {type CallerContext} from './caller_context.js';
 import {makeTicketRunner} from './caller_fixture.js';
 import {buildCallerServer} from './caller_server.js';
--- a/packages/serve-callers/src/answering.ts
+++ b/packages/serve-callers/src/request_routing.ts
@@ -13,7 +13,7 @@
   Sha256PrefixHasher,
 } from '@mimosatack/route-requests';
 import {CallerStats} from './caller_stats.js';
-import {ReplicaLookup} from './serving_sets.js';
+import {ReplicaLookup} from './replica_lookup.js';
 
 /** Routing, admission and the connections to the backend servers. */
 export interface RequestRouting {
--- a/packages/serve-requests/src/index.ts
+++ b/packages/serve-requests/src/index.ts
@@ -28,7 +28,7 @@
 } from './retry_allowance.js';
 export {RouteTable} from './route_table.js';
 export {type CrashWatch} from './crash_guard.js';
-export {ResponseHeadTimes} from './head_times.js';
+export {ResponseHeadTimes} from './response_head_times.js';
 export {
   type AttemptResult,
   type ChosenServer,
--- a/packages/serve-requests/src/request_pipeline.ts
+++ b/packages/serve-requests/src/request_pipeline.ts
@@ -13,7 +13,7 @@
 import {type BackendDialect} from './backend_dialect.js';
 import {type AnswerSink, type CallerRequest} from './caller_request.js';
 import {type CrashWatch} from './crash_guard.js';
-import {type ResponseHeadTimes} from './head_times.js';
+import {type ResponseHeadTimes} from './response_head_times.js';
 import {pickService} from './pick_service.js';
 import {RequestRun} from './request_run.js';
 import {type RetryAllowance} from './retry_allowance.js';
--- a/packages/serve-requests/src/stall_failover.ts
+++ b/packages/serve-requests/src/stall_failover.ts
@@ -3,7 +3,7 @@
 import {TypedError} from '@mimosatack/errors';
 import {type ServiceRoute} from '@mimosatack/types';
 import {type Attempt} from './attempt.js';
-import {type ResponseHeadTimes} from './head_times.js';
+import {type ResponseHeadTimes} from './response_head_times.js';
 import {
   type ChosenServer,
   type ServerAsk,
--- a/packages/serving-node/src/server_follower.ts
+++ b/packages/serving-node/src/server_follower.ts
@@ -15,7 +15,7 @@
   formatAddress,
 } from '@mimosatack/types';
 import {type PlatformAdapter} from './platform_adapter.js';
-import {ServerIncarnations} from './server_lives.js';
+import {ServerIncarnations} from './server_incarnations.js';
 
 /** A change of one server; a null entry means that it was removed. */
 export interface ServerChange {
--- a/packages/serving-node/src/server_lives.test.ts
+++ b/packages/serving-node/src/server_incarnations.test.ts
@@ -1,6 +1,6 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {ServerIncarnations} from './server_lives.js';
+import {ServerIncarnations} from './server_incarnations.js';
 
 const test = suite('server lives');
 
--- a/packages/share-reports/src/index.ts
+++ b/packages/share-reports/src/index.ts
@@ -5,7 +5,7 @@
   reportMessageSchema,
 } from './messages.js';
 export {type StewardTerm} from './own_engines.js';
-export {FullStateRequests} from './pull_plan.js';
+export {FullStateRequests} from './full_state_requests.js';
 export {
   type ClockReading,
   ReportSharing,
--- a/packages/types/src/serving.ts
+++ b/packages/types/src/serving.ts
@@ -5,7 +5,7 @@
   type FailureDomain,
   type ModelName,
 } from './identifiers.js';
-import {type ServerStartMs} from './server_life.js';
+import {type ServerStartMs} from './server_incarnation.js';
 import {type TeamSpec} from './team.js';
 
 /** The configured name of a set of interchangeable backend servers. */
