--- a/packages/admit-requests/src/admission_gate.test.ts
+++ b/packages/admit-requests/src/admission_gate.test.ts
@@ -4,7 +4,7 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
 import {AdmissionGate} from './admission_gate.js';
-import {CallerDisconnectedError} from './caller_disconnected_error.js';
+import {CallerDisconnected} from './caller_disconnected.js';
 import {type AdmissionRequest, type ReplicaAvailability} from './types.js';
 
 const test = suite('admission gate');
@@ -213,7 +213,7 @@
   assert.is(fixture.gate.queuedCount, 1);
   abort.abort();
   const thrown: unknown = await run.catch((error: unknown) => error);
-  assert.instance(thrown, CallerDisconnectedError);
+  assert.instance(thrown, CallerDisconnected);
   assert.is(fixture.gate.inFlightCount, 0);
 });
 
--- a/packages/admit-requests/src/admission_gate.ts
+++ b/packages/admit-requests/src/admission_gate.ts
@@ -8,7 +8,7 @@
   AdmissionController,
   type AdmissionOptions,
 } from './admission_controller.js';
-import {CallerDisconnectedError} from './caller_disconnected_error.js';
+import {CallerDisconnected} from './caller_disconnected.js';
 import {
   type AdmissionRequest,
   type ReplicaAvailability,
@@ -168,7 +168,7 @@
       const onAbort = () => {
         this.controller.abandon(key, request);
         leave();
-        reject(new CallerDisconnectedError());
+        reject(new CallerDisconnected());
       };
       const deadlineTimer = this.clock.setTimer(
         request.deadlineAtMs - this.clock.monotonicMs(),
--- a/packages/admit-requests/src/caller_disconnected_error.ts
+++ b/packages/admit-requests/src/caller_disconnected.ts
@@ -1,5 +1,5 @@
 /** The caller disconnected before the answer was complete. */
-export class CallerDisconnectedError extends Error {
+export class CallerDisconnected extends Error {
   constructor() {
     super('The caller has gone.');
   }
--- a/packages/admit-requests/src/index.ts
+++ b/packages/admit-requests/src/index.ts
@@ -5,7 +5,7 @@
   type RefusedQueuedRequest,
 } from './admission_controller.js';
 export {AdmissionGate, type Permit, type Target} from './admission_gate.js';
-export {CallerDisconnectedError} from './caller_disconnected_error.js';
+export {CallerDisconnected} from './caller_disconnected.js';
 export {FairQueue} from './fair_queue.js';
 export {
   type AdmissionRequest,
--- a/packages/agreed-state/src/agreed_state.ts
+++ b/packages/agreed-state/src/agreed_state.ts
@@ -178,7 +178,7 @@
 
   private deleteDocument(body: BodyOf<'delete-document'>): RecordOutcome {
     const outcome = this.configuration.delete(body, this.sequence);
-    if (body.kind === 'event') this.placement.dropPlanCountOfEvent(body.id);
+    if (body.kind === 'event') this.placement.dropPlanCount(body.id);
     return outcome;
   }
 
--- a/packages/agreed-state/src/placement/placement.ts
+++ b/packages/agreed-state/src/placement/placement.ts
@@ -218,7 +218,7 @@
    * Drops the plan count of a deleted event once its last slot is released. A
    * late plan for the event stays void because its target revision is gone.
    */
-  dropPlanCountOfEvent(eventId: string): void {
+  dropPlanCount(eventId: string): void {
     const purpose = {for: 'event' as const, eventId};
     const isInUse =
       this.configuration.findEvent(eventId) !== undefined ||
@@ -364,8 +364,7 @@
     this.slots.delete(slot.slotId);
     removeFromIndex(this.byBackendServer, slot.backendServerId, slot);
     removeFromIndex(this.byPurpose, formatPurpose(slot.purpose), slot);
-    if (slot.purpose.for === 'event')
-      {this.dropPlanCountOfEvent(slot.purpose.eventId);}
+    if (slot.purpose.for === 'event') this.dropPlanCount(slot.purpose.eventId);
   }
 }
 
--- a/packages/bench-warming/src/virtual_runner.ts
+++ b/packages/bench-warming/src/virtual_runner.ts
@@ -167,7 +167,7 @@
     this.memory = step.memory;
     this.carryOut(step);
     const pollMs = nowMs < QUIET_UNTIL_MS ? QUIET_POLL_MS : POLL_MS;
-    const dueMs = (step.nextDecisionAtMs ?? Infinity) - nowMs;
+    const dueMs = (step.nextStepAtMs ?? Infinity) - nowMs;
     return Math.max(1, Math.min(pollMs, dueMs));
   }
 
--- a/packages/contain-requests/src/crash_exchange.test.ts
+++ b/packages/contain-requests/src/crash_exchange.test.ts
@@ -135,11 +135,11 @@
     holder.containment.recordConnectionLoss('common', serverLife),
   );
   exchangeHeartbeat(second, holder);
-  assert.not(holder.containment.claimProbe('common'));
+  assert.not(holder.containment.openProbe('common'));
   clock.advance(30_000);
-  assert.not(second.containment.claimProbe('common'));
-  assert.ok(holder.containment.claimProbe('common'));
-  assert.not(holder.containment.claimProbe('common'));
+  assert.not(second.containment.openProbe('common'));
+  assert.ok(holder.containment.openProbe('common'));
+  assert.not(holder.containment.openProbe('common'));
   holder.containment.recordSuccess('common');
   holder.containment.endProbe('common');
   exchangeHeartbeat(second, holder);
@@ -153,7 +153,7 @@
   );
   const delaysS = ['d', 'e', 'f'].map(serverLife => {
     const startedAtMs = clock.monotonicMs();
-    while (!containment.claimProbe('bad')) clock.advance(1_000);
+    while (!containment.openProbe('bad')) clock.advance(1_000);
     containment.recordConnectionLoss('bad', serverLife);
     containment.endProbe('bad');
     return (clock.monotonicMs() - startedAtMs) / 1_000;
--- a/packages/contain-requests/src/request_containment.ts
+++ b/packages/contain-requests/src/request_containment.ts
@@ -70,7 +70,7 @@
    * Guards against containing a harmless request forever. A single node sends
    * one probe of a request at a time, with growing delays, to limit crashes.
    */
-  claimProbe(fingerprint: RequestFingerprint): boolean {
+  openProbe(fingerprint: RequestFingerprint): boolean {
     const atMs = this.probeAtMs.get(fingerprint) ?? Infinity;
     const isDue = this.nowMs() >= atMs && this.options.isProbingNode();
     if (!isDue || this.activeProbes.has(fingerprint)) return false;
--- a/packages/node/src/engine_steward.ts
+++ b/packages/node/src/engine_steward.ts
@@ -190,8 +190,7 @@
       await this.send(intent);
     }
     if (this.rank === 0) this.writeRecords(step);
-    if (step.nextDecisionAtMs !== null)
-      {this.scheduleStep(step.nextDecisionAtMs);}
+    if (step.nextStepAtMs !== null) this.scheduleStep(step.nextStepAtMs);
   }
 
   /**
--- a/packages/serve-callers/src/completion_pipeline.ts
+++ b/packages/serve-callers/src/completion_pipeline.ts
@@ -1,6 +1,6 @@
 /** Runs a completion: admission, routing, attempts and retries. */
 import {
-  CallerDisconnectedError,
+  CallerDisconnected,
   type Permit,
   type Target,
 } from '@mimosatack/admit-requests';
@@ -109,7 +109,7 @@
       isBroken ? {status: 'failed'} : answered,
     );
     if (isBroken) context.stats.noteRefused('stream-broken');
-    else if (status !== 'whole') throw new CallerDisconnectedError();
+    else if (status !== 'whole') throw new CallerDisconnected();
     return null;
   }
 
@@ -152,7 +152,7 @@
 
   private makeAbortError(): Error {
     const reason: unknown = this.scope.callerSignal.reason;
-    if (!(reason instanceof TypedError)) return new CallerDisconnectedError();
+    if (!(reason instanceof TypedError)) return new CallerDisconnected();
     return reason.withRun(
       this.isAttemptPending ? 'unknown' : this.worstRunOutcome,
     );
@@ -208,5 +208,5 @@
 
 /** Whether the caller has disconnected, so that no error can be sent. */
 export function isCallerGone(thrown: unknown): boolean {
-  return thrown instanceof CallerDisconnectedError;
+  return thrown instanceof CallerDisconnected;
 }
--- a/packages/serve-callers/src/request_scope.ts
+++ b/packages/serve-callers/src/request_scope.ts
@@ -1,5 +1,5 @@
 /** Abort signals for the deadline, node shutdown and caller disconnect. */
-import {CallerDisconnectedError} from '@mimosatack/admit-requests';
+import {CallerDisconnected} from '@mimosatack/admit-requests';
 import {type FastifyReply} from 'fastify';
 import {type CallerContext} from './caller_context.js';
 import {mergeSignals, openStreamScope} from './stream_scope.js';
@@ -20,8 +20,7 @@
   const scope = openStreamScope(clock, deadlineMs, [gate.abortSignal]);
   const attended = mergeSignals([scope.signal]);
   const onClose = () => {
-    if (!reply.raw.writableFinished)
-      {attended.abort(new CallerDisconnectedError());}
+    if (!reply.raw.writableFinished) attended.abort(new CallerDisconnected());
   };
   reply.raw.once('close', onClose);
   return {
--- a/packages/serve-requests/src/crash_guard.test.ts
+++ b/packages/serve-requests/src/crash_guard.test.ts
@@ -25,7 +25,7 @@
     return this.isRequestContained;
   }
 
-  claimProbe(): boolean {
+  openProbe(): boolean {
     this.calls.push('claimed a probe');
     return this.isProbeDue;
   }
@@ -107,7 +107,7 @@
   Object.assign(watch, {isRequestContained: true, isProbeDue: true});
   const guard = new CrashGuard(watch, makeRequest());
   assert.ok(guard.isContained);
-  guard.claimProbe();
+  guard.openProbe();
   assert.not(guard.isContained);
   guard.recordOutcome(
     {status: 'not-run', error, reason: 'unreachable'},
--- a/packages/serve-requests/src/crash_guard.ts
+++ b/packages/serve-requests/src/crash_guard.ts
@@ -17,7 +17,7 @@
   isPathSuspected(pathPrint: PathFingerprint): boolean;
   isContained(fingerprint: RequestFingerprint): boolean;
   /** Whether a contained request may probe one server; see `endTry`. */
-  claimProbe(fingerprint: RequestFingerprint): boolean;
+  openProbe(fingerprint: RequestFingerprint): boolean;
   endProbe(fingerprint: RequestFingerprint): void;
   /** Records a connection that was lost while the server had the request. */
   recordConnectionLoss(
@@ -60,9 +60,8 @@
   }
 
   /** Lets a contained request probe one server if a probe is due. */
-  claimProbe(): void {
-    if (this.isContained)
-      {this.isProbe = this.watch.claimProbe(this.fingerprint);}
+  openProbe(): void {
+    if (this.isContained) this.isProbe = this.watch.openProbe(this.fingerprint);
   }
 
   /** Must be called once the request has ended. */
--- a/packages/serve-requests/src/request_run.ts
+++ b/packages/serve-requests/src/request_run.ts
@@ -93,7 +93,7 @@
     const onCallerGone = () => this.abortRun('caller-gone');
     this.sink.gone.addEventListener('abort', onCallerGone, {once: true});
     if (this.sink.gone.aborted) onCallerGone();
-    this.guard.claimProbe();
+    this.guard.openProbe();
     try {
       await this.runAttempts();
     } finally {
--- a/packages/steward-orders/src/decide_orders.test.ts
+++ b/packages/steward-orders/src/decide_orders.test.ts
@@ -148,11 +148,10 @@
 
 test('reports the time of the next decision', () => {
   const lookAgain = (nowMs: number) =>
-    decideSteward(makeInput({slots: [makeStagedSlot()], nowMs}))
-      .nextDecisionAtMs;
+    decideSteward(makeInput({slots: [makeStagedSlot()], nowMs})).nextStepAtMs;
   assert.is(lookAgain(0), 10_000);
   assert.is(lookAgain(10_000), 10_100);
-  assert.is(decideSteward(makeInput()).nextDecisionAtMs, null);
+  assert.is(decideSteward(makeInput()).nextStepAtMs, null);
 });
 
 test.run();
--- a/packages/steward-orders/src/decide_orders.ts
+++ b/packages/steward-orders/src/decide_orders.ts
@@ -59,7 +59,7 @@
   /** The state for the next decision. */
   memory: StewardMemory;
   /** Latest time of the next decision; null if only a new slot requires one. */
-  nextDecisionAtMs: number | null;
+  nextStepAtMs: number | null;
 }
 
 /**
@@ -104,7 +104,7 @@
   };
   return {
     ...step,
-    nextDecisionAtMs: findNextDecisionMs(step.orders, unloads, input),
+    nextStepAtMs: findNextDecisionMs(step.orders, unloads, input),
   };
 }
 
