--- a/packages/answer-streams/src/whole_answer.ts
+++ b/packages/answer-streams/src/whole_answer.ts
@@ -65,20 +65,19 @@
 function toReadError(thrown: unknown, signal: AbortSignal): TypedError {
   if (signal.aborted) return toAbortError(signal);
   if (thrown instanceof TypedError) return thrown;
-  return makeError('The answer was cut short.', toTypedError(thrown));
+  return failure('The answer was cut short.', toTypedError(thrown));
 }
 
 /** Guards against an engine that sends the response of another request. */
 function checkResponse(body: Buffer, requestId: string): void {
   const parsed = responseSchema.safeParse(parseJson(body));
-  if (!parsed.success)
-    throw makeError('The answer is not a whole JSON answer.');
+  if (!parsed.success) throw failure('The answer is not a whole JSON answer.');
   const {request_id: requestIdInBody, id} = parsed.data;
   const isMatch =
     requestIdInBody === undefined
       ? !!id?.includes(requestId)
       : requestIdInBody === requestId;
-  if (!isMatch) throw makeError("The answer is another request's.");
+  if (!isMatch) throw failure("The answer is another request's.");
 }
 
 function parseJson(body: Buffer): unknown {
@@ -89,7 +88,7 @@
   }
 }
 
-function makeError(summary: string, cause?: Error): TypedError {
+function failure(summary: string, cause?: Error): TypedError {
   return new TypedError('backend-failed', summary, {
     run: 'unknown',
     cause,
