--- a/packages/serve-operators/src/access.test.ts
+++ b/packages/serve-operators/src/access.test.ts
@@ -4,17 +4,18 @@
   type Method,
   PARAMETERS,
   TEMPLATE,
-  createTeams,
-  hash,
-  toTokens,
+  createFixtureWithTeams,
+  hashToken,
+  makeTokens,
 } from './testing_fixture.js';
 
 const access = suite('operators: access');
 
-access('roles open what the table says and nothing else', async () => {
-  const {ask, put, close} = await createTeams();
+access('each role permits only the actions in its table', async () => {
+  const {request, put, close} = await createFixtureWithTeams();
   const status = async (token: string, method: Method, url: string) =>
-    (await ask(method, url, method === 'GET' ? undefined : {}, token)).status;
+    (await request(method, url, method === 'GET' ? undefined : {}, token))
+      .status;
   assert.is(await status('nobody', 'GET', '/admin/v1/status'), 401);
   assert.is(await status('z-app', 'GET', '/admin/v1/status'), 403);
   assert.is(await status('z-ola', 'GET', '/admin/v1/status'), 200);
@@ -26,33 +27,31 @@
   await close();
 });
 
-/**
- * An operator publishes the own team's document with a second token of role
- * admin, and from then on acts for all teams.
- */
+// Guards against privilege escalation: an operator who publishes an admin token
+// in the document of their own team.
 access('an operator can publish no token', async () => {
-  const {ask, put, close} = await createTeams();
-  const content = {tokens: toTokens(['mine', 'admin'])};
-  const answer = await put('teams/zorza', content, {
+  const {request, put, close} = await createFixtureWithTeams();
+  const content = {tokens: makeTokens(['mine', 'admin'])};
+  const response = await put('teams/zorza', content, {
     expectedVersion: 1,
     token: 'z-ola',
   });
-  assert.is(answer.body.error?.kind, 'forbidden');
-  assert.match(answer.body.error?.remedy ?? '', /role admin/);
-  const denied = await ask('GET', '/admin/v1/status', undefined, 'mine');
+  assert.is(response.body.error?.kind, 'forbidden');
+  assert.match(response.body.error?.remedy ?? '', /role admin/);
+  const denied = await request('GET', '/admin/v1/status', undefined, 'mine');
   assert.is(denied.status, 401);
   await close();
 });
 
 access("another team's documents do not seem to exist", async () => {
-  const {ask, put, close} = await createTeams();
-  const foreign = await ask(
+  const {request, put, close} = await createFixtureWithTeams();
+  const foreign = await request(
     'GET',
     '/admin/v1/templates/sky',
     undefined,
     'p-sam',
   );
-  const missing = await ask(
+  const missing = await request(
     'GET',
     '/admin/v1/templates/sea',
     undefined,
@@ -63,15 +62,15 @@
     JSON.stringify(foreign.body).replace('sky', 'sea'),
     JSON.stringify(missing.body),
   );
-  const list = await ask('GET', '/admin/v1/templates', undefined, 'p-sam');
+  const list = await request('GET', '/admin/v1/templates', undefined, 'p-sam');
   assert.equal(list.body.items, []);
-  const mine = {...TEMPLATE, team: 'prairie'};
-  const taken = await put('templates/sky', mine, {
+  const ownTemplate = {...TEMPLATE, team: 'prairie'};
+  const rejectedUpdate = await put('templates/sky', ownTemplate, {
     expectedVersion: 1,
     token: 'p-sam',
   });
-  assert.is(taken.body.error?.kind, 'not-found');
-  const removed = await ask(
+  assert.is(rejectedUpdate.body.error?.kind, 'not-found');
+  const removed = await request(
     'DELETE',
     '/admin/v1/templates/sky?expectedVersion=1',
     undefined,
@@ -81,46 +80,41 @@
   await close();
 });
 
-/**
- * An operator names another team's template in an event of the own team. The
- * rules refuse it as "belongs to another team", which tells that it exists.
- */
-access("an event can't find out another team's template", async () => {
-  const {put, close} = await createTeams();
+// Guards against an error message that reveals whether another team has a
+// template with the given id.
+access("an event can't reveal another team's template", async () => {
+  const {put, close} = await createFixtureWithTeams();
   const refuse = async (template: string) => {
     const content = {team: 'prairie', template, parameters: PARAMETERS};
-    const answer = await put('events/e', content, {token: 'p-sam'});
-    return JSON.stringify(answer.body).replace(template, '');
+    const response = await put('events/e', content, {token: 'p-sam'});
+    return JSON.stringify(response.body).replace(template, '');
   };
   assert.is(await refuse('sky'), await refuse('sea'));
   await close();
 });
 
-/**
- * A node is behind: an operator names a version that it has not folded, in
- * which the document may have another owner. The change must wait until the
- * version is there, and be refused if it does not come.
- */
-access('an owner is looked up in the version that is named', async () => {
-  const {put, close} = await createTeams();
+// Guards against an ownership check on an outdated document, on a node that has
+// not folded the version named in the request.
+access('ownership is checked in the version named in the request', async () => {
+  const {put, close} = await createFixtureWithTeams();
   const early = {expectedVersion: 1, token: 'z-ola'};
   const waiting = put('templates/sea', TEMPLATE, early);
   await put('templates/sea', TEMPLATE);
   assert.is((await waiting).status, 200);
-  const mine = {...TEMPLATE, team: 'prairie'};
-  const guess = {expectedVersion: 7, token: 'p-sam'};
-  const refused = await put('templates/bay', mine, guess);
+  const ownTemplate = {...TEMPLATE, team: 'prairie'};
+  const unknownVersion = {expectedVersion: 7, token: 'p-sam'};
+  const refused = await put('templates/bay', ownTemplate, unknownVersion);
   assert.is(refused.body.error?.kind, 'conflict');
   await close();
 });
 
 access('hashes are shown to admins only', async () => {
-  const {ask, close} = await createTeams();
+  const {request, close} = await createFixtureWithTeams();
   const url = '/admin/v1/teams/zorza';
-  const shown = await ask('GET', url, undefined, 'z-ola');
-  assert.not.match(JSON.stringify(shown.body), hash('z-ola'));
-  const whole = await ask('GET', url);
-  assert.match(JSON.stringify(whole.body), hash('z-ola'));
+  const operatorView = await request('GET', url, undefined, 'z-ola');
+  assert.not.match(JSON.stringify(operatorView.body), hashToken('z-ola'));
+  const adminView = await request('GET', url);
+  assert.match(JSON.stringify(adminView.body), hashToken('z-ola'));
   await close();
 });
 
--- a/packages/serve-operators/src/access.ts
+++ b/packages/serve-operators/src/access.ts
@@ -1,4 +1,4 @@
-/** What an operator may see and change. */
+/** Authorization of operators' requests and visibility of documents. */
 import {type Document} from '@mimosatack/agreed-state';
 import {type AuditEntry, redactTokens} from '@mimosatack/audit-trail';
 import {
@@ -12,7 +12,7 @@
 import {type FastifyRequest} from 'fastify';
 import {type OperatorContext} from './operator_context.js';
 
-/** Who asks; rejects whoever may not do `action`. */
+/** Authenticates the operator; throws unless the role permits `action`. */
 export function authorize(
   incoming: FastifyRequest,
   context: OperatorContext,
@@ -27,8 +27,8 @@
   return operator;
 }
 
-/** What publishing a document of some kind is called in the table of roles. */
-export function publishActionOf(kind: DocumentKind): Action {
+/** The action that publishing a document of this kind requires. */
+export function requiredActionFor(kind: DocumentKind): Action {
   switch (kind) {
     case 'template':
     case 'event':
@@ -47,28 +47,27 @@
   return (document.content as {team?: string}).team ?? null;
 }
 
-/** Whether the document may be shown to the operator. */
-export function maySee(operator: Operator, document: Document): boolean {
+export function canRead(operator: Operator, document: Document): boolean {
   const team = teamOf(document);
   return operator.team === null || team === null || team === operator.team;
 }
 
-/** The document as it may be shown: only an admin sees hashes of tokens. */
-export function toVisible(operator: Operator, document: Document): Document {
+/** Redacts token hashes unless the operator is an admin. */
+export function redactFor(operator: Operator, document: Document): Document {
   if (operator.team === null || document.kind !== 'team') return document;
   const content = redactTokens(document.content);
   return {...document, content: content as Document['content']};
 }
 
-/** Whether an audit entry shows nothing of another team. */
-export function maySeeEntry(operator: Operator, entry: AuditEntry): boolean {
+/** Whether the audit entry contains no content of another team. */
+export function canReadEntry(operator: Operator, entry: AuditEntry): boolean {
   return (
     operator.team === null || entry.teams.every(team => team === operator.team)
   );
 }
 
-/** The answer for what does not exist, and for what another team has. */
-export function makeNotFound(
+/** The same error for a missing document and for one of another team. */
+export function makeNotFoundError(
   kind: string,
   id: string,
   nextExpectedVersion = 0,
@@ -78,8 +77,8 @@
   });
 }
 
-/** Finds a document that the operator may see, or rejects. */
-export function findVisible<K extends DocumentKind>(
+/** Finds a document that the operator may read; throws `not-found`. */
+export function findReadable<K extends DocumentKind>(
   kind: K,
   id: string,
   operator: Operator,
@@ -87,8 +86,8 @@
 ): Document<K> {
   const {configuration} = context.state();
   const document = configuration.find(kind, id);
-  if (document && maySee(operator, document)) return document;
-  throw makeNotFound(
+  if (document && canRead(operator, document)) return document;
+  throw makeNotFoundError(
     kind,
     id,
     document ? 0 : configuration.currentVersion(kind, id),
--- a/packages/serve-operators/src/audit_routes.ts
+++ b/packages/serve-operators/src/audit_routes.ts
@@ -1,13 +1,13 @@
-/** The audit trail: who changed what, when, why, before and after. */
+/** The route that searches the audit trail. */
 import {AUDIT_KINDS} from '@mimosatack/audit-trail';
 import {type FastifyInstance} from 'fastify';
 import {z} from 'zod';
-import {authorize, maySeeEntry} from './access.js';
+import {authorize, canReadEntry} from './access.js';
 import {type OperatorContext} from './operator_context.js';
 import {decodeCursor, encodeCursor} from './paging.js';
 import {pageSchema, parseInput} from './request_input.js';
 
-/** A time as milliseconds since the epoch or in ISO 8601. */
+/** A time in milliseconds since the epoch or in ISO 8601. */
 const timeSchema = z
   .string()
   .max(64)
@@ -27,10 +27,9 @@
   .strict();
 
 const INCOMPLETE_NOTE =
-  'The log service does not answer: only changes that this node has in ' +
-  'memory were searched.';
+  'The log service is unavailable: only changes in the memory of this node ' +
+  'were searched.';
 
-/** Adds `GET /admin/v1/audit`. */
 export function addAuditRoutes(
   server: FastifyInstance,
   context: OperatorContext,
@@ -47,7 +46,7 @@
       toMs: to,
       beforeSequence:
         cursor === undefined ? undefined : Number(decodeCursor(cursor)),
-      isVisible: entry => maySeeEntry(operator, entry),
+      isVisible: entry => canReadEntry(operator, entry),
     });
     return {
       items: page.items,
--- a/packages/serve-operators/src/document_routes.ts
+++ b/packages/serve-operators/src/document_routes.ts
@@ -1,16 +1,16 @@
-/** Documents: list, read, and the versions that are kept. */
+/** Routes that list and read documents and their versions. */
 import {type Operator} from '@mimosatack/authenticate';
 import {DOCUMENT_KINDS, type DocumentKind} from '@mimosatack/records';
 import {type FastifyInstance} from 'fastify';
 import {z} from 'zod';
 import {
   authorize,
-  findVisible,
-  makeNotFound,
-  maySee,
-  maySeeEntry,
+  findReadable,
+  makeNotFoundError,
+  canRead,
+  canReadEntry,
   teamOf,
-  toVisible,
+  redactFor,
 } from './access.js';
 import {type OperatorContext} from './operator_context.js';
 import {decodeCursor, encodeCursor, paginate} from './paging.js';
@@ -18,20 +18,19 @@
 
 const listSchema = pageSchema.extend({team: z.string().max(128).optional()});
 
-/** The path parameter of one document. */
 export interface DocumentParams {
   id: string;
 }
 
-/** Adds the reading routes of `/admin/v1/{kind}s` for each kind. */
+/** Adds the GET routes of `/admin/v1/{kind}s` for each document kind. */
 export function addDocumentRoutes(
   server: FastifyInstance,
   context: OperatorContext,
 ): void {
-  DOCUMENT_KINDS.forEach(kind => addKind(server, kind, context));
+  DOCUMENT_KINDS.forEach(kind => addRoutesForKind(server, kind, context));
 }
 
-function addKind(
+function addRoutesForKind(
   server: FastifyInstance,
   kind: DocumentKind,
   context: OperatorContext,
@@ -43,15 +42,15 @@
     const documents = context
       .state()
       .configuration.list(kind)
-      .filter(document => maySee(operator, document))
+      .filter(document => canRead(operator, document))
       .filter(document => team === undefined || teamOf(document) === team)
-      .map(document => toVisible(operator, document));
+      .map(document => redactFor(operator, document));
     return paginate(documents, document => document.id, page);
   });
   server.get<{Params: DocumentParams}>(`${base}/:id`, incoming => {
     const operator = authorize(incoming, context, 'read-documents');
     const id = parseId(incoming.params.id);
-    return toVisible(operator, findVisible(kind, id, operator, context));
+    return redactFor(operator, findReadable(kind, id, operator, context));
   });
   server.get<{Params: DocumentParams}>(`${base}/:id/versions`, incoming => {
     const operator = authorize(incoming, context, 'read-audit');
@@ -75,11 +74,11 @@
     beforeSequence:
       cursor === undefined ? undefined : Number(decodeCursor(cursor)),
     isVisible: entry =>
-      entry.outcome.status === 'valid' && maySeeEntry(operator, entry),
+      entry.outcome.status === 'valid' && canReadEntry(operator, entry),
   });
   const document = context.state().configuration.find(kind, id);
-  const isKnown = document !== undefined && maySee(operator, document);
-  if (found.items.length === 0 && !isKnown) throw makeNotFound(kind, id);
+  const isKnown = document !== undefined && canRead(operator, document);
+  if (found.items.length === 0 && !isKnown) throw makeNotFoundError(kind, id);
   return {
     items: found.items.map(entry => ({
       sequence: entry.sequence,
--- a/packages/serve-operators/src/dry_run.ts
+++ b/packages/serve-operators/src/dry_run.ts
@@ -1,4 +1,4 @@
-/** Says what a change would do, without writing it. */
+/** Evaluates a change without writing it. */
 import {
   Configuration,
   type AgreedState,
@@ -6,7 +6,7 @@
 } from '@mimosatack/agreed-state';
 import {type BodyOf} from '@mimosatack/records';
 
-/** An event that a change would resolve differently. */
+/** An event whose resolved form the change would alter. */
 export interface AffectedEvent {
   eventId: string;
   team: string;
@@ -14,20 +14,20 @@
   after: ResolvedEvent | null;
 }
 
-/** What a change would do. */
+/** The result of evaluating a change. */
 export interface DryRun {
   isAccepted: boolean;
-  /** Why it would be refused; empty when it would be accepted. */
+  /** Reasons for a rejection; empty when the change would be accepted. */
   faults: string[];
-  /** The version that the change must name, and that it was tried against. */
+  /** The document version that the change was evaluated against. */
   expectedVersion: number;
-  /** The event that would come of it, when the document is an event. */
+  /** The resolved event; null unless the document is a valid event. */
   resolvedEvent: ResolvedEvent | null;
-  /** Events beside the document itself that would change with it. */
+  /** Other events that the change would affect. */
   affectedEvents: AffectedEvent[];
 }
 
-/** Tries a change on a copy of the configuration by the rules of the fold. */
+/** Applies a change to a copy of the configuration by the fold's rules. */
 export function dryRun(
   state: AgreedState,
   body: BodyOf<'put-document'>,
@@ -44,11 +44,13 @@
       isAccepted && body.kind === 'event'
         ? (copy.findEvent(body.id) ?? null)
         : null,
-    affectedEvents: isAccepted ? listAffected(configuration, copy, body) : [],
+    affectedEvents: isAccepted
+      ? listAffectedEvents(configuration, copy, body)
+      : [],
   };
 }
 
-function listAffected(
+function listAffectedEvents(
   before: Configuration,
   after: Configuration,
   {kind, id}: BodyOf<'put-document'>,
--- a/packages/serve-operators/src/event_routes.ts
+++ b/packages/serve-operators/src/event_routes.ts
@@ -1,10 +1,10 @@
-/** Events: create from a template, and how far their replicas have got. */
+/** Routes that create events and report the status of their replicas. */
 import {type ResolvedEvent} from '@mimosatack/agreed-state';
 import {type Operator} from '@mimosatack/authenticate';
 import {TypedError} from '@mimosatack/errors';
 import {type FastifyInstance} from 'fastify';
 import {z} from 'zod';
-import {authorize, findVisible, makeNotFound, maySee} from './access.js';
+import {authorize, findReadable, makeNotFoundError, canRead} from './access.js';
 import {type DocumentParams} from './document_routes.js';
 import {describeEvent} from './event_status.js';
 import {type OperatorContext} from './operator_context.js';
@@ -25,7 +25,7 @@
 
 const createSchema = z.strictObject({
   id: idSchema,
-  /** The template's team when left out. */
+  /** Defaults to the operator's team, then to the template's team. */
   team: idSchema.optional(),
   template: idSchema,
   templateVersion: z.number().int().min(1).optional(),
@@ -35,7 +35,7 @@
 
 const waitSchema = z.strictObject({waitMs: waitMsSchema});
 
-/** Adds the routes that events have beside those of all documents. */
+/** Adds the routes specific to events. */
 export function addEventRoutes(
   server: FastifyInstance,
   context: OperatorContext,
@@ -53,9 +53,9 @@
     incoming => {
       const operator = authorize(incoming, context, 'read-documents');
       const id = parseId(incoming.params.id);
-      findVisible('event', id, operator, context);
+      findReadable('event', id, operator, context);
       const event = context.state().configuration.findEvent(id);
-      if (!event) throw makeNotFound('event', id);
+      if (!event) throw makeNotFoundError('event', id);
       return readStatus(event, context);
     },
   );
@@ -79,15 +79,17 @@
 ) {
   const {id, reason, ...content} = input;
   const {configuration} = context.state();
-  const taken = configuration.find('event', id);
-  if (taken) {
-    throw maySee(operator, taken) ? makeTaken(id) : makeNotFound('event', id);
+  const existing = configuration.find('event', id);
+  if (existing) {
+    throw canRead(operator, existing)
+      ? makeIdConflictError(id)
+      : makeNotFoundError('event', id);
   }
   const team =
     input.team ??
     operator.team ??
     configuration.find('template', input.template)?.content.team;
-  if (team === undefined) throw makeNotFound('template', input.template);
+  if (team === undefined) throw makeNotFoundError('template', input.template);
   return publisher.publish(
     {
       type: 'put-document',
@@ -102,9 +104,9 @@
   );
 }
 
-function makeTaken(id: string): TypedError {
-  return new TypedError('conflict', `The id ${id} is not free.`, {
-    remedy: 'Choose another id, or change your event under this id.',
+function makeIdConflictError(id: string): TypedError {
+  return new TypedError('conflict', `The event id ${id} is already in use.`, {
+    remedy: 'Choose another id, or update the existing event.',
     info: {reason: 'version-conflict'},
   });
 }
--- a/packages/serve-operators/src/event_status.ts
+++ b/packages/serve-operators/src/event_status.ts
@@ -1,29 +1,27 @@
-/** How far the replicas of an event have got. */
+/** The status of an event, computed from its replicas. */
 import {type ResolvedEvent, type ResolvedNeed} from '@mimosatack/agreed-state';
 import {type ReplicaView} from './replica_view.js';
 
-/** Where an event stands. */
 export type EventPhase = 'planning' | 'planned' | 'warming' | 'warm' | 'over';
 
-/** How far one need of an event has got. */
+/** The status of one need of an event. */
 export interface NeedStatus {
   model: string;
   version: string;
   adapters: string[];
-  /** How many replicas the event asks for. */
+  /** The number of replicas requested by the event. */
   replicas: number;
-  /** How many are decided and not ending. */
+  /** The number of decided replicas that are not ending. */
   decided: number;
   warm: number;
   loading: number;
-  /** How many could not be decided yet. */
+  /** The number of requested replicas without a decided slot. */
   unplaced: number;
-  /** When the last decided replica is warm at the earliest; null if it is. */
+  /** Estimated time when all decided replicas are warm; null if all are. */
   expectedWarmAtMs: number | null;
   slots: ReplicaView[];
 }
 
-/** How far an event has got. */
 export interface EventStatus {
   eventId: string;
   team: string;
@@ -38,7 +36,6 @@
   needs: NeedStatus[];
 }
 
-/** Describes an event from its slots. */
 export function describeEvent(
   event: ResolvedEvent,
   replicas: readonly ReplicaView[],
--- a/packages/serve-operators/src/fold_waiter.ts
+++ b/packages/serve-operators/src/fold_waiter.ts
@@ -1,8 +1,8 @@
-/** Waits until what this node has folded meets a condition. */
+/** Waits until the folded state of this node meets a condition. */
 import {type Clock} from '@mimosatack/clock';
 import {type LogFollower} from '@mimosatack/follow-log';
 
-/** Looks at conditions again after every append that is folded. */
+/** Reevaluates pending conditions after each folded append. */
 export class FoldWaiter {
   private readonly checks = new Set<() => void>();
 
@@ -13,19 +13,19 @@
     follower.onFold(() => this.checks.forEach(check => check()));
   }
 
-  /** Whether the condition was met in time. */
+  /** Resolves with whether the condition was met before the timeout. */
   waitUntil(isMet: () => boolean, timeoutMs: number): Promise<boolean> {
     if (isMet()) return Promise.resolve(true);
     return new Promise(resolve => {
-      const end = (wasMet: boolean) => {
+      const finish = (wasMet: boolean) => {
         timer.cancel();
         this.checks.delete(check);
         resolve(wasMet);
       };
       const check = () => {
-        if (isMet()) end(true);
+        if (isMet()) finish(true);
       };
-      const timer = this.clock.setTimer(timeoutMs, () => end(false));
+      const timer = this.clock.setTimer(timeoutMs, () => finish(false));
       this.checks.add(check);
     });
   }
--- a/packages/serve-operators/src/host_routes.ts
+++ b/packages/serve-operators/src/host_routes.ts
@@ -1,9 +1,9 @@
-/** Nodes and backend servers, and draining a backend server. */
+/** Routes for nodes and backend servers. */
 import {type FastifyInstance} from 'fastify';
 import {z} from 'zod';
 import {authorize} from './access.js';
 import {type DocumentParams} from './document_routes.js';
-import {waitInForce} from './in_force.js';
+import {waitUntilInForce} from './in_force.js';
 import {type OperatorContext} from './operator_context.js';
 import {paginate} from './paging.js';
 import {
@@ -15,18 +15,18 @@
 import {submitChange} from './submit_change.js';
 
 const drainSchema = z.strictObject({
-  /** False to give it new work again. */
+  /** False to resume sending new work to the backend server. */
   isDraining: z.boolean().default(true),
   reason: reasonSchema,
 });
 
 const waitSchema = z.strictObject({waitMs: waitMsSchema});
-/** Named by the platform's host list, which allows more than our own ids. */
+/** Ids from the platform's host list allow more characters than `idSchema`. */
 const serverIdSchema = z.object({
   id: z.string().regex(/^[A-Za-z0-9][A-Za-z0-9._:/@+-]{0,127}$/),
 });
 
-/** Adds the routes about hosts. */
+/** Adds the routes for nodes and backend servers. */
 export function addHostRoutes(
   server: FastifyInstance,
   context: OperatorContext,
@@ -63,7 +63,9 @@
         context,
       );
       const inForce =
-        waitMs > 0 ? await waitInForce(accepted.offset, waitMs, context) : null;
+        waitMs > 0
+          ? await waitUntilInForce(accepted.offset, waitMs, context)
+          : null;
       return {
         backendServerId: id,
         isDraining,
--- a/packages/serve-operators/src/in_force.ts
+++ b/packages/serve-operators/src/in_force.ts
@@ -1,10 +1,10 @@
-/** On which nodes a change is in force. */
+/** Determines on which nodes a change is in force. */
 import {sleep} from '@mimosatack/clock';
 import {type FoldedRecord} from '@mimosatack/agreed-state';
 import {type LogOffset} from '@mimosatack/types';
 import {type NodeView, type OperatorContext} from './operator_context.js';
 
-/** One node with whether it has folded a change. */
+/** Whether one node has folded a change. */
 export interface NodeInForce {
   nodeName: string;
   status: string;
@@ -13,47 +13,49 @@
   isInForce: boolean;
 }
 
-/** On which nodes a change is in force. */
+/** The nodes on which a change is in force. */
 export interface InForceView {
   offset: LogOffset;
   isInForceEverywhere: boolean;
-  /** Live nodes that have not folded the change, or did not say so. */
+  /** Live nodes not known to have folded the change. */
   missingNodes: string[];
   nodes: NodeInForce[];
 }
 
-interface SequenceAt {
+interface SequenceOffset {
   sequence: number;
   offset: LogOffset;
 }
 
-const KEPT_SEQUENCES = 5_000;
-const ASK_AT_ONCE = 16;
-const ASK_INTERVAL_MS = 100;
+const MAX_RECENT_SEQUENCES = 5_000;
+const MAX_CONCURRENT_QUERIES = 16;
+const POLL_INTERVAL_MS = 100;
 const LIVE_STATUSES = ['alive', 'suspect'];
 
-/** Remembers at which offset recent records stand. */
+/** Maps the sequence numbers of recent records to log offsets. */
 export class SequenceOffsets {
-  private readonly recent: SequenceAt[] = [];
+  private readonly recent: SequenceOffset[] = [];
 
-  note(folded: readonly FoldedRecord[]): void {
+  record(folded: readonly FoldedRecord[]): void {
     const last = folded.at(-1);
     if (!last) return;
     this.recent.push({sequence: last.sequence, offset: last.offset});
-    if (this.recent.length > KEPT_SEQUENCES) this.recent.shift();
+    if (this.recent.length > MAX_RECENT_SEQUENCES) this.recent.shift();
   }
 
   /**
-   * The offset of a record that was folded. For one older than what is
-   * remembered it is the oldest offset known, which is not before it.
+   * The offset of a folded record. For records older than the retained range,
+   * returns the oldest retained offset, an upper bound.
    */
   find(sequence: number): LogOffset | null {
-    return this.recent.find(at => at.sequence >= sequence)?.offset ?? null;
+    return (
+      this.recent.find(entry => entry.sequence >= sequence)?.offset ?? null
+    );
   }
 }
 
-/** Asks who has folded an offset, and again until all have or time is up. */
-export async function waitInForce(
+/** Polls until all live nodes have folded `offset` or `waitMs` has passed. */
+export async function waitUntilInForce(
   offset: LogOffset,
   waitMs: number,
   context: OperatorContext,
@@ -61,7 +63,7 @@
   const endMs = context.clock.monotonicMs() + waitMs;
   let view = await readInForce(offset, context);
   while (!view.isInForceEverywhere && context.clock.monotonicMs() < endMs) {
-    await sleep(context.clock, ASK_INTERVAL_MS);
+    await sleep(context.clock, POLL_INTERVAL_MS);
     view = await readInForce(offset, context);
   }
   if (waitMs > 0 && !view.isInForceEverywhere) {
@@ -79,10 +81,10 @@
   context: OperatorContext,
 ): Promise<InForceView> {
   const nodes = context.listNodes().filter(isLive);
-  const behind = nodes.filter(node => !hasFolded(node.nextOffset, offset));
-  const answers = await askAll(behind, context);
+  const lagging = nodes.filter(node => !hasFolded(node.nextOffset, offset));
+  const nextOffsets = await fetchNextOffsets(lagging, context);
   const views = nodes.map(node => {
-    const nextOffset = answers.get(node.nodeName) ?? node.nextOffset;
+    const nextOffset = nextOffsets.get(node.nodeName) ?? node.nextOffset;
     return {
       nodeName: node.nodeName,
       status: node.status,
@@ -102,24 +104,26 @@
   };
 }
 
-/** What nodes last said is late, so those that seem behind are asked. */
-async function askAll(
+/** Queries lagging nodes directly, because reported offsets may be outdated. */
+async function fetchNextOffsets(
   nodes: readonly NodeView[],
   context: OperatorContext,
 ): Promise<Map<string, LogOffset>> {
-  const answers = new Map<string, LogOffset>();
-  for (let from = 0; from < nodes.length; from += ASK_AT_ONCE) {
+  const nextOffsets = new Map<string, LogOffset>();
+  for (let from = 0; from < nodes.length; from += MAX_CONCURRENT_QUERIES) {
     await Promise.all(
-      nodes.slice(from, from + ASK_AT_ONCE).map(async ({nodeName}) => {
-        const nextOffset =
-          nodeName === context.nodeName
-            ? context.state().nextOffset
-            : await context.askNextOffset(nodeName);
-        if (nextOffset !== null) answers.set(nodeName, nextOffset);
-      }),
+      nodes
+        .slice(from, from + MAX_CONCURRENT_QUERIES)
+        .map(async ({nodeName}) => {
+          const nextOffset =
+            nodeName === context.nodeName
+              ? context.state().nextOffset
+              : await context.askNextOffset(nodeName);
+          if (nextOffset !== null) nextOffsets.set(nodeName, nextOffset);
+        }),
     );
   }
-  return answers;
+  return nextOffsets;
 }
 
 function isLive(node: NodeView): boolean {
--- a/packages/serve-operators/src/operator_context.ts
+++ b/packages/serve-operators/src/operator_context.ts
@@ -1,4 +1,4 @@
-/** What the operators' interface needs of the node it runs in. */
+/** Dependencies of the operator server on its node. */
 import {type AgreedState} from '@mimosatack/agreed-state';
 import {type AuditTrail} from '@mimosatack/audit-trail';
 import {type Clock} from '@mimosatack/clock';
@@ -8,7 +8,7 @@
 import {type LogOffset} from '@mimosatack/types';
 import {type FastifyServerFactory} from 'fastify';
 
-/** One node as seen by this one. */
+/** A cluster node as this node sees it. */
 export interface NodeView {
   nodeName: string;
   incarnation: string;
@@ -17,11 +17,11 @@
   callerBaseUrl: string;
   adminBaseUrl: string;
   release: string;
-  /** The next log offset that the node will fold, as it last said. */
+  /** The next log offset that the node will fold, as last reported. */
   nextOffset: LogOffset | null;
 }
 
-/** What the operators' interface needs of the node it runs in. */
+/** Dependencies of the operator server on its node. */
 export interface OperatorContext {
   clock: Clock;
   logger: EventLogger;
@@ -30,17 +30,16 @@
   follower: LogFollower;
   board: EngineBoard;
   audit: AuditTrail;
-  /** SHA-256 in hex of the token that works before any team exists. */
+  /** SHA-256 in hex of the token that is valid before any team exists. */
   bootstrapTokenHash: string;
   submitTimeoutMs: number;
   maxBodyBytes: number;
-  /** Makes the HTTP server; fastify's own when left out. */
+  /** Creates the HTTP server; defaults to fastify's own. */
   serverFactory?: FastifyServerFactory;
   state(): AgreedState;
   listNodes(): NodeView[];
-  /** Asks a node how far it has folded; null when it does not answer. */
+  /** Fetches the next offset of a node; null when it does not respond. */
   askNextOffset(nodeName: string): Promise<LogOffset | null>;
   makeRequestId(): string;
-  /** Whether the node has begun to shut down. */
   isStopping(): boolean;
 }
--- a/packages/serve-operators/src/operator_server.test.ts
+++ b/packages/serve-operators/src/operator_server.test.ts
@@ -4,10 +4,10 @@
 import {type NodeView} from './index.js';
 import {
   ADMIN,
-  type Answer,
+  type ApiResponse,
   MAX_BODY_BYTES,
   createFixture,
-  createTeams,
+  createFixtureWithTeams,
 } from './testing_fixture.js';
 
 const operation = suite('operators: operation');
@@ -25,31 +25,28 @@
   };
 }
 
-/**
- * A change is accepted by one node while another is cut off. The operator
- * asks whether it is in force and must be told which node still lacks it,
- * and that it is everywhere once that node has caught up.
- */
-operation('in force names the nodes that lack a change', async () => {
-  const {ask, put, nodes, answers, close} = await createTeams();
+// Guards against a change reported as in force while a node still lags.
+operation('in-force lists the nodes that lack a change', async () => {
+  const {request, put, nodes, nextOffsets, close} =
+    await createFixtureWithTeams();
   nodes.push(makeNode('entry-1', 0), makeNode('entry-2', 0));
   nodes.push({...makeNode('entry-3', 0), status: 'gone'});
-  answers.set('entry-2', 1);
+  nextOffsets.set('entry-2', 1);
   const change = await put('teams/aurora', {});
   const url = `/admin/v1/in-force?sequence=${String(change.body['sequence'])}`;
-  const before = await ask('GET', url);
+  const before = await request('GET', url);
   assert.is(before.body['isInForceEverywhere'], false);
   assert.equal(before.body['missingNodes'], ['entry-2']);
-  const waiting = ask('GET', `${url}&waitMs=20000`);
-  answers.set('entry-2', 100);
+  const waiting = request('GET', `${url}&waitMs=20000`);
+  nextOffsets.set('entry-2', 100);
   assert.is((await waiting).body['isInForceEverywhere'], true);
-  const unknown = await ask('GET', '/admin/v1/in-force?sequence=99');
+  const unknown = await request('GET', '/admin/v1/in-force?sequence=99');
   assert.is(unknown.body.error?.kind, 'not-found');
   await close();
 });
 
-operation('a backend server is drained and given work again', async () => {
-  const {ask, submit, close} = await createTeams();
+operation('a backend server is drained and resumed', async () => {
+  const {request, submit, close} = await createFixtureWithTeams();
   await submit({
     type: 'register-backend-server',
     backendServerId: 'lm-pool-1',
@@ -64,43 +61,41 @@
   });
   const url = '/admin/v1/backend-servers';
   const read = async () =>
-    (await ask('GET', url)).body.items?.[0]?.['isDraining'];
+    (await request('GET', url)).body.items?.[0]?.['isDraining'];
   const drain = `${url}/lm-pool-1/drain`;
-  assert.is((await ask('POST', drain, {reason: 'fan'})).status, 200);
+  assert.is((await request('POST', drain, {reason: 'fan'})).status, 200);
   assert.is(await read(), true);
-  assert.is((await ask('POST', drain)).body.error?.kind, 'conflict');
-  await ask('POST', drain, {isDraining: false});
+  assert.is((await request('POST', drain)).body.error?.kind, 'conflict');
+  await request('POST', drain, {isDraining: false});
   assert.is(await read(), false);
-  const unknown = await ask('POST', `${url}/lm-pool-9/drain`);
+  const unknown = await request('POST', `${url}/lm-pool-9/drain`);
   assert.is(unknown.body.error?.kind, 'not-found');
   await close();
 });
 
-/**
- * The log service is down. A change must be refused in time with a kind that
- * says so, reading goes on, and the audit trail says that it is not complete.
- */
-operation('with the log down reading goes on and says so', async () => {
-  const {ask, put, log, follower, close} = await createTeams();
-  assert.is((await ask('GET', '/readyz')).status, 200);
+// Guards against reads that fail, or an audit trail that claims to be complete,
+// while the log service is down.
+operation('reads work during a log outage', async () => {
+  const {request, put, log, follower, close} = await createFixtureWithTeams();
+  assert.is((await request('GET', '/readyz')).status, 200);
   log.setDown(true);
   await waitUntil('the outage', () => !follower.status.isLogReachable);
   const refused = await put('teams/aurora', {});
   assert.is(refused.status, 503);
   assert.is(refused.body.error?.kind, 'log-unavailable');
-  assert.is((await ask('GET', '/admin/v1/teams')).status, 200);
-  const trail = await ask('GET', '/admin/v1/audit?kind=team');
+  assert.is((await request('GET', '/admin/v1/teams')).status, 200);
+  const trail = await request('GET', '/admin/v1/audit?kind=team');
   assert.is(trail.body.items?.length, 2);
   assert.is(trail.body['isComplete'], false);
-  assert.is((await ask('GET', '/readyz')).status, 503);
-  assert.is((await ask('GET', '/healthz')).status, 200);
+  assert.is((await request('GET', '/readyz')).status, 503);
+  assert.is((await request('GET', '/healthz')).status, 200);
   await close();
 });
 
-operation('the audit trail shows a team what is its own', async () => {
-  const {ask, close} = await createTeams();
+operation('a team sees only its own entries in the audit trail', async () => {
+  const {request, close} = await createFixtureWithTeams();
   const ids = async (token: string) =>
-    (await ask('GET', '/admin/v1/audit', undefined, token)).body.items?.map(
+    (await request('GET', '/admin/v1/audit', undefined, token)).body.items?.map(
       item => item['id'],
     );
   assert.equal(await ids('p-sam'), ['alert-writer', 'prairie']);
@@ -112,45 +107,55 @@
 
 const input = suite('operators: bad input');
 
-/**
- * A client sends things no operator means to send. Each must get a typed
- * refusal with a remedy, change nothing and leave the process as it was.
- */
-input('bad input is refused with a kind and changes nothing', async () => {
-  const {ask, follower, close} = await createTeams();
+// Guards against malformed requests that crash the process, change the state or
+// get an untyped error.
+input('malformed input is rejected and changes nothing', async () => {
+  const {request, follower, close} = await createFixtureWithTeams();
   const {sequence} = follower.state;
   const url = '/admin/v1/teams/aurora';
   const json = {'content-type': 'application/json'};
   const deep = `${'{"a":'.repeat(5_000)}1${'}'.repeat(5_000)}`;
-  const cases: [string, Promise<Answer>][] = [
-    ['bad-request', ask('PUT', url, '{', ADMIN, json)],
-    ['bad-request', ask('PUT', url, '[]', ADMIN, json)],
-    ['bad-request', ask('PUT', url, {content: {}})],
-    ['bad-request', ask('PUT', url, {content: {}, expectedVersion: -1})],
-    ['bad-request', ask('PUT', url, {content: {}, expectedVersion: 0, x: 1})],
+  const cases: [string, Promise<ApiResponse>][] = [
+    ['bad-request', request('PUT', url, '{', ADMIN, json)],
+    ['bad-request', request('PUT', url, '[]', ADMIN, json)],
+    ['bad-request', request('PUT', url, {content: {}})],
+    ['bad-request', request('PUT', url, {content: {}, expectedVersion: -1})],
     [
       'bad-request',
-      ask('PUT', `${url}%20b`, {content: {}, expectedVersion: 0}),
+      request('PUT', url, {content: {}, expectedVersion: 0, x: 1}),
     ],
-    ['bad-request', ask('GET', '/admin/v1/teams/%zz')],
-    ['bad-request', ask('GET', '/admin/v1/teams?limit=0')],
-    ['bad-request', ask('GET', '/admin/v1/audit?kind=moon')],
-    ['bad-request', ask('GET', '/admin/v1/audit?from=yesterday')],
-    ['bad-request', ask('GET', '/admin/v1/in-force')],
-    ['bad-request', ask('PUT', url, 'text', ADMIN, {'content-type': 'text/x'})],
-    ['not-found', ask('GET', '/admin/v1/moons')],
-    ['not-found', ask('DELETE', `${url}?expectedVersion=0`)],
+    [
+      'bad-request',
+      request('PUT', `${url}%20b`, {content: {}, expectedVersion: 0}),
+    ],
+    ['bad-request', request('GET', '/admin/v1/teams/%zz')],
+    ['bad-request', request('GET', '/admin/v1/teams?limit=0')],
+    ['bad-request', request('GET', '/admin/v1/audit?kind=moon')],
+    ['bad-request', request('GET', '/admin/v1/audit?from=yesterday')],
+    ['bad-request', request('GET', '/admin/v1/in-force')],
+    [
+      'bad-request',
+      request('PUT', url, 'text', ADMIN, {'content-type': 'text/x'}),
+    ],
+    ['not-found', request('GET', '/admin/v1/moons')],
+    ['not-found', request('DELETE', `${url}?expectedVersion=0`)],
     [
       'body-too-large',
-      ask('PUT', url, 'x'.repeat(MAX_BODY_BYTES + 1), ADMIN, json),
+      request('PUT', url, 'x'.repeat(MAX_BODY_BYTES + 1), ADMIN, json),
     ],
     [
       'bad-request',
-      ask('PUT', url, `{"expectedVersion":0,"content":${deep}}`, ADMIN, json),
+      request(
+        'PUT',
+        url,
+        `{"expectedVersion":0,"content":${deep}}`,
+        ADMIN,
+        json,
+      ),
     ],
   ];
-  const answers = await Promise.all(cases.map(([, answer]) => answer));
-  answers.forEach(({body, headers}, index) => {
+  const responses = await Promise.all(cases.map(([, response]) => response));
+  responses.forEach(({body, headers}, index) => {
     assert.is(body.error?.kind, cases[index]?.[0], JSON.stringify(body));
     assert.ok(body.error?.remedy);
     assert.is(headers['x-request-id'], 'made-up-id');
@@ -161,10 +166,10 @@
   await close();
 });
 
-input('a request keeps its own id when it is well formed', async () => {
-  const {ask, close} = await createFixture();
+input('a well-formed request id is preserved', async () => {
+  const {request, close} = await createFixture();
   const send = async (id: string) =>
-    (await ask('GET', '/healthz', undefined, ADMIN, {'x-request-id': id}))
+    (await request('GET', '/healthz', undefined, ADMIN, {'x-request-id': id}))
       .headers['x-request-id'];
   assert.is(await send('trace-7'), 'trace-7');
   assert.is(await send('not well formed'), 'made-up-id');
--- a/packages/serve-operators/src/operator_server.ts
+++ b/packages/serve-operators/src/operator_server.ts
@@ -25,7 +25,7 @@
 const REQUEST_ID = /^[A-Za-z0-9._-]{1,64}$/;
 const MAX_PARAM_LENGTH = 300;
 
-/** Builds the operators' server; the node listens with it and closes it. */
+/** Builds the server; the caller starts and closes it. */
 export function buildOperatorServer(context: OperatorContext): FastifyInstance {
   const server = fastify({
     bodyLimit: context.maxBodyBytes,
@@ -42,9 +42,13 @@
     sendError(thrown, incoming, reply, context),
   );
   server.setNotFoundHandler((incoming, reply) => {
-    const error = new TypedError('not-found', `There is no ${incoming.url}.`, {
-      remedy: 'docs/operators/cli.md names the routes.',
-    });
+    const error = new TypedError(
+      'not-found',
+      `There is no route ${incoming.url}.`,
+      {
+        remedy: 'See docs/operators/cli.md for the routes.',
+      },
+    );
     sendError(error, incoming, reply, context);
   });
   addRoutes(server, context);
@@ -55,7 +59,7 @@
   const waiter = new FoldWaiter(context.clock, context.follower);
   const publisher = new Publisher(context, waiter);
   const offsets = new SequenceOffsets();
-  context.follower.onFold(folded => offsets.note(folded));
+  context.follower.onFold(folded => offsets.record(folded));
   addHealthRoutes(server, context);
   addDocumentRoutes(server, context);
   addPublishRoutes(server, context, publisher);
@@ -82,26 +86,26 @@
   context: OperatorContext,
 ): void {
   const error = readHttpError(thrown);
-  noteError(error, incoming, context);
+  logError(error, incoming, context);
   if (error.retryAfterMs !== undefined) {
     void reply.header('retry-after', Math.ceil(error.retryAfterMs / 1000));
   }
   void reply
     .header(REQUEST_ID_HEADER, incoming.id)
     .code(describeKind(error.kind).httpStatus)
-    .send(formatErrorBody(hideInternals(error)));
+    .send(formatErrorBody(hideInternalError(error)));
 }
 
-/** What failed inside is for the log; the answer leads there by its id. */
-function hideInternals(error: TypedError): TypedError {
+/** Internal details stay in the log; the request id links to the log entry. */
+function hideInternalError(error: TypedError): TypedError {
   return error.kind === 'internal'
-    ? new TypedError('internal', 'Something unexpected failed.', {
-        remedy: `Look for the request id in this node's log.`,
+    ? new TypedError('internal', 'An unexpected internal error occurred.', {
+        remedy: `Search this node's log for the request id.`,
       })
     : error;
 }
 
-function noteError(
+function logError(
   error: TypedError,
   incoming: FastifyRequest,
   context: OperatorContext,
@@ -121,7 +125,7 @@
   }
 }
 
-/** Fastify's own refusals, such as a body that is no JSON, made typed. */
+/** Converts errors thrown by fastify, such as invalid JSON, to typed errors. */
 function readHttpError(thrown: unknown): TypedError {
   const statusCode = (thrown as {statusCode?: number}).statusCode;
   if (thrown instanceof TypedError || statusCode === undefined) {
--- a/packages/serve-operators/src/paging.ts
+++ b/packages/serve-operators/src/paging.ts
@@ -1,20 +1,18 @@
-/** Cuts lists into pages that stay in step while the list changes. */
+/** Pagination that stays consistent while the list changes. */
 import {TypedError} from '@mimosatack/errors';
 
-/** One page of a list. */
 export interface Page<T> {
   items: T[];
-  /** Give it as `cursor` for the next page; null on the last one. */
+  /** The `cursor` of the next page; null on the last page. */
   nextCursor: string | null;
 }
 
-/** Which page is asked for. */
 export interface PageRequest {
   limit: number;
   cursor?: string;
 }
 
-/** The page after the cursor, in the order of the keys. */
+/** Returns the page after the cursor, ordered by key. */
 export function paginate<T>(
   items: readonly T[],
   keyOf: (item: T) => string,
@@ -35,16 +33,16 @@
   };
 }
 
-/** Hides what a cursor is made of, so that nobody relies on it. */
+/** Encodes a key as an opaque cursor, so that clients can't rely on its form. */
 export function encodeCursor(key: string): string {
   return Buffer.from(key, 'utf8').toString('base64url');
 }
 
-/** Reads a cursor; rejects with `bad-request` what is none. */
+/** Decodes a cursor; throws `bad-request` when it is malformed. */
 export function decodeCursor(cursor: string): string {
   const key = Buffer.from(cursor, 'base64url').toString('utf8');
   if (encodeCursor(key) === cursor) return key;
-  throw new TypedError('bad-request', 'cursor: this is no cursor.', {
-    remedy: 'Give nextCursor as the last page told it.',
+  throw new TypedError('bad-request', 'cursor: the cursor is malformed.', {
+    remedy: 'Pass the nextCursor of the previous page.',
   });
 }
--- a/packages/serve-operators/src/publish_routes.ts
+++ b/packages/serve-operators/src/publish_routes.ts
@@ -1,4 +1,4 @@
-/** Documents: publish, delete and try out. */
+/** Routes that publish, delete and validate documents. */
 import {type Operator, requireAction} from '@mimosatack/authenticate';
 import {TypedError, toTypedError} from '@mimosatack/errors';
 import {
@@ -8,11 +8,16 @@
 } from '@mimosatack/records';
 import {type FastifyInstance, type FastifyRequest} from 'fastify';
 import {z} from 'zod';
-import {authorize, makeNotFound, maySee, publishActionOf} from './access.js';
+import {
+  authorize,
+  makeNotFoundError,
+  canRead,
+  requiredActionFor,
+} from './access.js';
 import {type DocumentParams} from './document_routes.js';
 import {dryRun} from './dry_run.js';
 import {type FoldWaiter} from './fold_waiter.js';
-import {waitInForce} from './in_force.js';
+import {waitUntilInForce} from './in_force.js';
 import {type OperatorContext} from './operator_context.js';
 import {
   contentSchema,
@@ -25,7 +30,7 @@
 import {addCurrentVersion, submitChange} from './submit_change.js';
 
 const putSchema = z.strictObject({
-  /** 0 to create; the version that the change was made against. */
+  /** The version that the change is based on; 0 to create a document. */
   expectedVersion: z.number().int().min(0),
   content: contentSchema,
   reason: reasonSchema,
@@ -45,19 +50,18 @@
 
 const waitSchema = z.strictObject({waitMs: waitMsSchema});
 
-/** How long to wait for a version that this node has not folded yet. */
-const CATCH_UP_MS = 2_000;
+const MAX_VERSION_WAIT_MS = 2_000;
 
 type DocumentBody = BodyOf<'put-document'> | BodyOf<'delete-document'>;
 
-/** Publishes and tries out documents on behalf of operators. */
+/** Publishes and validates documents on behalf of operators. */
 export class Publisher {
   constructor(
     private readonly context: OperatorContext,
     private readonly waiter: FoldWaiter,
   ) {}
 
-  /** Writes a change and, if asked, waits until it is in force everywhere. */
+  /** Writes a change and waits up to `waitMs` until it is in force everywhere. */
   async publish(
     body: DocumentBody,
     operator: Operator,
@@ -72,13 +76,19 @@
       version: body.expectedVersion + 1,
       ...accepted,
       ...(waitMs > 0
-        ? {inForce: await waitInForce(accepted.offset, waitMs, this.context)}
+        ? {
+            inForce: await waitUntilInForce(
+              accepted.offset,
+              waitMs,
+              this.context,
+            ),
+          }
         : {}),
     };
   }
 
-  /** Says what a change would do; hides events of other teams. */
-  async tryOut(body: BodyOf<'put-document'>, operator: Operator) {
+  /** Evaluates a change without writing it; hides events of other teams. */
+  async validate(body: BodyOf<'put-document'>, operator: Operator) {
     await this.checkAccess(body, operator);
     const result = dryRun(this.context.state(), body);
     return {
@@ -105,7 +115,7 @@
         this.context,
       );
     } catch (thrown) {
-      const error = hideOtherTeams(thrown, body, operator);
+      const error = hideForeignTemplate(thrown, body, operator);
       throw addCurrentVersion(error, this.currentVersion(body.kind, body.id));
     }
   }
@@ -114,29 +124,27 @@
     body: DocumentBody,
     operator: Operator,
   ): Promise<void> {
-    requireAction(operator.role, publishActionOf(body.kind));
+    requireAction(operator.role, requiredActionFor(body.kind));
     if (operator.team === null) return;
-    if (body.type === 'put-document') checkOwnContent(operator, body);
-    await this.catchUp(body);
+    if (body.type === 'put-document') requireOwnTeam(operator, body);
+    await this.waitForVersion(body);
     const document = this.context
       .state()
       .configuration.find(body.kind, body.id);
-    if (document && !maySee(operator, document)) {
-      throw makeNotFound(body.kind, body.id);
+    if (document && !canRead(operator, document)) {
+      throw makeNotFoundError(body.kind, body.id);
     }
   }
 
   /**
-   * Guards against a change that is checked against one owner and applied to
-   * another: on a node that is behind, the version an operator names may
-   * already be another team's. The owner is looked at only in the very version
-   * that the change names; the fold then refuses it if a newer one is there.
+   * Guards against an ownership check on a document version older than the one
+   * that the change names. The fold rejects the change if a newer one exists.
    */
-  private async catchUp(body: DocumentBody): Promise<void> {
+  private async waitForVersion(body: DocumentBody): Promise<void> {
     const {kind, id, expectedVersion} = body;
     await this.waiter.waitUntil(
       () => this.currentVersion(kind, id) >= expectedVersion,
-      Math.min(CATCH_UP_MS, this.context.submitTimeoutMs),
+      Math.min(MAX_VERSION_WAIT_MS, this.context.submitTimeoutMs),
     );
     const current = this.currentVersion(kind, id);
     if (current >= expectedVersion) return;
@@ -148,26 +156,28 @@
   }
 }
 
-/** Adds the changing routes of `/admin/v1/{kind}s` for each kind. */
+/** Adds the PUT, DELETE and validate routes for each document kind. */
 export function addPublishRoutes(
   server: FastifyInstance,
   context: OperatorContext,
   publisher: Publisher,
 ): void {
-  DOCUMENT_KINDS.forEach(kind => addKind(server, kind, context, publisher));
+  DOCUMENT_KINDS.forEach(kind =>
+    addRoutesForKind(server, kind, context, publisher),
+  );
 }
 
-function addKind(
+function addRoutesForKind(
   server: FastifyInstance,
   kind: DocumentKind,
   context: OperatorContext,
   publisher: Publisher,
 ): void {
   const path = `/admin/v1/${kind}s/:id`;
-  const identify = (incoming: FastifyRequest) =>
-    authorize(incoming, context, publishActionOf(kind));
+  const authorizePublisher = (incoming: FastifyRequest) =>
+    authorize(incoming, context, requiredActionFor(kind));
   server.put<{Params: DocumentParams}>(path, incoming => {
-    const operator = identify(incoming);
+    const operator = authorizePublisher(incoming);
     const {reason, ...change} = parseInput(putSchema, incoming.body);
     const {waitMs} = parseInput(waitSchema, incoming.query);
     const id = parseId(incoming.params.id);
@@ -175,7 +185,7 @@
     return publisher.publish(body, operator, reason, waitMs);
   });
   server.delete<{Params: DocumentParams}>(path, incoming => {
-    const operator = identify(incoming);
+    const operator = authorizePublisher(incoming);
     const {expectedVersion, reason, waitMs} = parseInput(
       deleteSchema,
       incoming.query,
@@ -185,7 +195,7 @@
     return publisher.publish(body, operator, reason, waitMs);
   });
   server.post<{Params: DocumentParams}>(`${path}/validate`, incoming => {
-    const operator = identify(incoming);
+    const operator = authorizePublisher(incoming);
     const {content, expectedVersion} = parseInput(
       validateSchema,
       incoming.body,
@@ -198,24 +208,24 @@
       content,
       expectedVersion: expectedVersion ?? publisher.currentVersion(kind, id),
     };
-    return publisher.tryOut(body, operator);
+    return publisher.validate(body, operator);
   });
 }
 
-function checkOwnContent(
+function requireOwnTeam(
   operator: Operator,
   {kind, content}: BodyOf<'put-document'>,
 ): void {
   if (content['team'] === operator.team) return;
   throw new TypedError(
     'forbidden',
-    `An operator of team ${operator.team} publishes no ${kind} of another team.`,
+    `An operator of team ${operator.team} may not publish a ${kind} of another team.`,
     {remedy: `Set team to ${operator.team}, or use an admin token.`},
   );
 }
 
-/** The rules say whose template it is; an operator must not learn that. */
-function hideOtherTeams(
+/** Guards against an error message that reveals another team's template. */
+function hideForeignTemplate(
   thrown: unknown,
   body: DocumentBody,
   operator: Operator,
--- a/packages/serve-operators/src/replica_view.ts
+++ b/packages/serve-operators/src/replica_view.ts
@@ -1,18 +1,18 @@
-/** A decided replica with how far its engine has got. */
+/** Combines decided slots with the replica status of their engines. */
 import {type Slot} from '@mimosatack/agreed-state';
 import {type EngineBoard} from '@mimosatack/engine-board';
 import {formatAdapterSlotId} from '@mimosatack/steward-orders';
 import {type ReplicaStatus} from '@mimosatack/types';
 
-/** What an engine says of a slot; `absent` when it holds nothing of it. */
+/** The status that the engine reports; `absent` when it reports none. */
 export type SlotReplicaStatus = ReplicaStatus | 'absent';
 
-/** A slot with what its engine last said. */
+/** A slot with the replica status last reported by its engine. */
 export interface ReplicaView extends Slot {
   replicaStatus: SlotReplicaStatus;
 }
 
-/** A replica is as far as the least advanced of its base and adapters. */
+/** A replica is warm only when its base model and all adapters are warm. */
 export function toReplicaView(slot: Slot, board: EngineBoard): ReplicaView {
   return {...slot, replicaStatus: findStatus(slot, board)};
 }
--- a/packages/serve-operators/src/request_input.ts
+++ b/packages/serve-operators/src/request_input.ts
@@ -1,27 +1,26 @@
-/** Checks what a request brings: its body, its query and its path. */
+/** Validates the body, query and path of a request. */
 import {TypedError} from '@mimosatack/errors';
 import {z} from 'zod';
 
 const MAX_LIMIT = 500;
 const DEFAULT_LIMIT = 100;
 const MAX_WAIT_MS = 60_000;
-/** A document that is nested deeper would overflow the stack of a codec. */
+/** Guards against documents so deeply nested that a codec's stack overflows. */
 const MAX_DEPTH = 20;
 
-/** An id of a document, as the records allow it. */
+/** A document id, as the records allow it. */
 export const idSchema = z
   .string()
   .min(1)
   .max(128)
   .regex(/^[A-Za-z0-9][A-Za-z0-9._-]*$/, 'use letters, digits, ".", "_", "-"');
 
-/** A version that a change was made against; 0 to create. */
+/** The version that a change is based on; 0 to create a document. */
 export const versionSchema = z.coerce.number().int().min(0);
 
-/** Why, in the operator's words. */
+/** The operator's reason for a change. */
 export const reasonSchema = z.string().max(1024).optional();
 
-/** How long to wait for something, from a query. */
 export const waitMsSchema = z.coerce
   .number()
   .int()
@@ -29,20 +28,20 @@
   .max(MAX_WAIT_MS)
   .default(0);
 
-/** The part of a query that asks for one page. */
+/** The pagination parameters of a query. */
 export const pageSchema = z.object({
   limit: z.coerce.number().int().min(1).max(MAX_LIMIT).default(DEFAULT_LIMIT),
   cursor: z.string().max(512).optional(),
 });
 
-/** The content of a document, before its own schema is looked at. */
+/** The content of a document before validation against its kind's schema. */
 export const contentSchema = z
   .record(z.string(), z.unknown())
   .refine(content => measureDepth(content) <= MAX_DEPTH, {
     error: `is nested deeper than ${MAX_DEPTH} levels`,
   });
 
-/** Checks a value; rejects with `bad-request` and all that is wrong. */
+/** Parses a value; throws `bad-request` listing all issues. */
 export function parseInput<T>(schema: z.ZodType<T>, value: unknown): T {
   const parsed = schema.safeParse(value);
   if (parsed.success) return parsed.data;
@@ -52,12 +51,11 @@
   throw new TypedError('bad-request', message);
 }
 
-/** Checks the id in a path. */
 export function parseId(id: string): string {
   return parseInput(z.object({id: idSchema}), {id}).id;
 }
 
-/** Level by level and not by recursion, so that no depth is too great. */
+/** Iterative, because recursion could overflow the stack. */
 function measureDepth(content: unknown): number {
   let depth = 0;
   let level = [content];
--- a/packages/serve-operators/src/state_digest.ts
+++ b/packages/serve-operators/src/state_digest.ts
@@ -1,6 +1,6 @@
 import {type AgreedState} from '@mimosatack/agreed-state';
 
-/** The digest of a state, worked out anew only when the state has changed. */
+/** Caches the digest of a state until the state changes. */
 export class StateDigest {
   private state: AgreedState | null = null;
   private nextOffset = -1;
--- a/packages/serve-operators/src/status_routes.ts
+++ b/packages/serve-operators/src/status_routes.ts
@@ -1,4 +1,4 @@
-/** What the system decided and how far it has got. */
+/** Routes for the node status, slots and in-force checks. */
 import {type Slot} from '@mimosatack/agreed-state';
 import {type Operator} from '@mimosatack/authenticate';
 import {TypedError} from '@mimosatack/errors';
@@ -7,7 +7,7 @@
 import {z} from 'zod';
 import {authorize} from './access.js';
 import {type FoldWaiter} from './fold_waiter.js';
-import {type SequenceOffsets, waitInForce} from './in_force.js';
+import {type SequenceOffsets, waitUntilInForce} from './in_force.js';
 import {type OperatorContext} from './operator_context.js';
 import {paginate} from './paging.js';
 import {toReplicaView} from './replica_view.js';
@@ -33,7 +33,6 @@
     },
   );
 
-/** Adds status, slots and in-force. */
 export function addStatusRoutes(
   server: FastifyInstance,
   context: OperatorContext,
@@ -54,7 +53,7 @@
     const slots = context
       .state()
       .placement.list()
-      .filter(slot => maySeeSlot(operator, slot, context))
+      .filter(slot => canReadSlot(operator, slot, context))
       .filter(slot => event === undefined || eventOf(slot) === event)
       .filter(slot => model === undefined || slot.model === model)
       .filter(
@@ -71,7 +70,7 @@
     const found =
       offset ??
       (await findOffset(sequence ?? 0, waitMs, context, waiter, offsets));
-    const view = await waitInForce(found, waitMs, context);
+    const view = await waitUntilInForce(found, waitMs, context);
     return {sequence: sequence ?? null, ...view};
   });
 }
@@ -95,7 +94,7 @@
   };
 }
 
-/** A record that this node has not folded has no offset here yet. */
+/** Waits for a record to be folded, because its offset is unknown before. */
 async function findOffset(
   sequence: number,
   waitMs: number,
@@ -110,8 +109,8 @@
   if (!isFolded) {
     throw new TypedError(
       'not-found',
-      `This node has folded ${context.state().sequence} records only.`,
-      {remedy: 'Wait with waitMs, or ask another node.'},
+      `This node has folded only ${context.state().sequence} records.`,
+      {remedy: 'Wait with waitMs, or query another node.'},
     );
   }
   return offsets.find(sequence) ?? context.state().nextOffset - 1;
@@ -121,8 +120,8 @@
   return slot.purpose.for === 'event' ? slot.purpose.eventId : null;
 }
 
-/** Replicas for requests outside events belong to no team. */
-function maySeeSlot(
+/** Replicas that serve no event belong to no team and are visible to all. */
+function canReadSlot(
   operator: Operator,
   slot: Slot,
   context: OperatorContext,
--- a/packages/serve-operators/src/submit_change.ts
+++ b/packages/serve-operators/src/submit_change.ts
@@ -1,31 +1,31 @@
-/** Writes an operator's change and tells what became of it. */
+/** Submits an operator's change to the log and reports its outcome. */
 import {type Operator} from '@mimosatack/authenticate';
 import {TypedError, toTypedError} from '@mimosatack/errors';
 import {makeVoidError} from '@mimosatack/follow-log';
 import {type RecordBody} from '@mimosatack/records';
 import {type OperatorContext} from './operator_context.js';
 
-/** Where an accepted change stands in the log. */
+/** The position of an accepted change in the log. */
 export interface AcceptedChange {
   offset: number;
   sequence: number;
 }
 
-/** A change with who asks for it. */
+/** A change requested by an operator. */
 export interface ChangeRequest {
   body: RecordBody;
   operator: Operator;
   reason: string | undefined;
-  /** What is changed, for the log: such as `template window`. */
+  /** The changed object as logged, such as `template window`. */
   subject: string;
 }
 
-/** Resolves once the change was read back as valid; rejects otherwise. */
+/** Resolves when the change is read back as valid; rejects otherwise. */
 export async function submitChange(
   {body, operator, reason, subject}: ChangeRequest,
   context: OperatorContext,
 ): Promise<AcceptedChange> {
-  const told = {
+  const logFields = {
     operator: operator.operatorName,
     command: body.type,
     subject,
@@ -38,16 +38,16 @@
     });
     const error = makeVoidError(folded.outcome);
     if (error) throw error;
-    context.logger.log('operator-command-accepted', told);
+    context.logger.log('operator-command-accepted', logFields);
     return {offset: folded.offset, sequence: folded.sequence};
   } catch (thrown) {
     const error = toTypedError(thrown);
-    context.logger.log('operator-command-refused', {...told, error});
+    context.logger.log('operator-command-refused', {...logFields, error});
     throw error;
   }
 }
 
-/** Adds the version to name instead to a conflict of versions. */
+/** Adds the current version to a version conflict error. */
 export function addCurrentVersion(
   thrown: unknown,
   currentVersion: number,
--- a/packages/serve-operators/src/testing_fixture.ts
+++ b/packages/serve-operators/src/testing_fixture.ts
@@ -1,4 +1,4 @@
-/** Fixture of the tests: a node's operators' interface in memory. */
+/** Test fixture: an operator server on in-memory services. */
 import {createHash} from 'node:crypto';
 import {type TokenRole} from '@mimosatack/agreed-state';
 import {AuditTrail} from '@mimosatack/audit-trail';
@@ -13,13 +13,11 @@
 import {type NodeView} from './operator_context.js';
 import {buildOperatorServer} from './operator_server.js';
 
-/** A token that may do everything. */
+/** The bootstrap token, which has role admin. */
 export const ADMIN = 'admin-token';
-/** The largest body that the fixture takes. */
 export const MAX_BODY_BYTES = 65_536;
 
-/** One answer of the interface. */
-export interface Answer {
+export interface ApiResponse {
   status: number;
   headers: Record<string, unknown>;
   body: Record<string, unknown> & {
@@ -33,32 +31,30 @@
   };
 }
 
-/** The methods that the interface knows. */
 export type Method = 'GET' | 'PUT' | 'POST' | 'DELETE';
 
-/** The form in which a token is stored. */
-export function hash(token: string): string {
+export function hashToken(token: string): string {
   return createHash('sha256').update(token).digest('hex');
 }
 
-/** Tokens whose name is the token itself. */
-export function toTokens(...roles: [string, TokenRole][]) {
+/** Makes token records named after the token itself. */
+export function makeTokens(...roles: [string, TokenRole][]) {
   return roles.map(([token, role]) => ({
     name: token,
     role,
-    tokenHash: hash(token),
+    tokenHash: hashToken(token),
   }));
 }
 
-/** Asks a server without a socket. */
+/** Sends requests to the server without a socket. */
 function createClient(server: FastifyInstance) {
-  const ask = async (
+  const request = async (
     method: Method,
     url: string,
     body?: unknown,
     token = ADMIN,
     headers: Record<string, string> = {},
-  ): Promise<Answer> => {
+  ): Promise<ApiResponse> => {
     const response = await server.inject({
       method,
       url,
@@ -76,17 +72,22 @@
     content: unknown,
     {expectedVersion = 0, token = ADMIN, reason = 'test'} = {},
   ) =>
-    ask('PUT', `/admin/v1/${path}`, {expectedVersion, content, reason}, token);
-  return {ask, put};
+    request(
+      'PUT',
+      `/admin/v1/${path}`,
+      {expectedVersion, content, reason},
+      token,
+    );
+  return {request, put};
 }
 
-/** A node's operators' interface over a log service in memory. */
+/** Creates an operator server on an in-memory log service. */
 export async function createFixture() {
   const clock = new SystemClock();
   const log = new MemoryLogService();
   const logger = new MemoryEventLogger();
   const nodes: NodeView[] = [];
-  const answers = new Map<string, number>();
+  const nextOffsets = new Map<string, number>();
   const follower = new LogFollower({
     clock,
     random: new SeededRandom(1),
@@ -118,12 +119,13 @@
     follower,
     board: new EngineBoard(),
     audit,
-    bootstrapTokenHash: hash(ADMIN),
+    bootstrapTokenHash: hashToken(ADMIN),
     submitTimeoutMs: 300,
     maxBodyBytes: MAX_BODY_BYTES,
     state: () => follower.state,
     listNodes: () => nodes,
-    askNextOffset: nodeName => Promise.resolve(answers.get(nodeName) ?? null),
+    askNextOffset: nodeName =>
+      Promise.resolve(nextOffsets.get(nodeName) ?? null),
     makeRequestId: () => 'made-up-id',
     isStopping: () => false,
   });
@@ -131,14 +133,24 @@
     states: [],
     appends: {pullAppends: () => Promise.resolve([])},
   });
-  const {ask, put} = createClient(server);
+  const {request, put} = createClient(server);
   const submit = (body: RecordBody) => follower.submit(body, {timeoutMs: 300});
   const close = async () => {
     await server.close();
     await audit.stop();
     await follower.stop();
   };
-  return {ask, put, submit, log, logger, nodes, answers, follower, close};
+  return {
+    request,
+    put,
+    submit,
+    log,
+    logger,
+    nodes,
+    nextOffsets,
+    follower,
+    close,
+  };
 }
 
 /** A template of team zorza. */
@@ -152,17 +164,17 @@
   },
 };
 
-/** Parameters that fit the template. */
+/** Valid parameters of the template. */
 export const PARAMETERS = {start: '2030-01-01T18:00:00Z', replicas: 2};
 
-/** Two teams with a token of each role, a model and a template. */
-export async function createTeams() {
+/** Adds two teams with tokens, a model and a template to the fixture. */
+export async function createFixtureWithTeams() {
   const fixture = await createFixture();
   const {put} = fixture;
   await put('teams/zorza', {
-    tokens: toTokens(['z-app', 'caller'], ['z-ola', 'operator']),
+    tokens: makeTokens(['z-app', 'caller'], ['z-ola', 'operator']),
   });
-  await put('teams/prairie', {tokens: toTokens(['p-sam', 'operator'])});
+  await put('teams/prairie', {tokens: makeTokens(['p-sam', 'operator'])});
   await put('models/alert-writer', {
     pool: 'lm-pool',
     version: 'v1',
