--- a/packages/audit-trail/src/audit_stream.ts
+++ b/packages/audit-trail/src/audit_stream.ts
@@ -8,15 +8,14 @@
   encodeSegment,
 } from './audit_segment.js';
 
-/** A segment with its place in the stream. */
-export interface PlacedSegment extends AuditSegment {
+/** A segment with its offset in the stream. */
+export interface StoredSegment extends AuditSegment {
   offset: LogOffset;
 }
 
 const STREAM = 'audit';
 const READ_LIMIT = 50;
 
-/** The audit stream of the log service. */
 export class AuditStream {
   constructor(private readonly log: LogService) {}
 
@@ -25,10 +24,10 @@
   }
 
   /**
-   * Gives the segments from `from` on, page by page, so that memory is
-   * bounded by one page. Segments that were trimmed are passed over.
+   * Yields the segments from `from` on, skipping trimmed ones. Reads page by
+   * page to bound memory use.
    */
-  async *scan(from: LogOffset): AsyncGenerator<PlacedSegment> {
+  async *scan(from: LogOffset): AsyncGenerator<StoredSegment> {
     let next = from;
     for (;;) {
       const page = await this.readPage(next);
@@ -56,7 +55,7 @@
   }
 }
 
-function decodeAll(page: LogPage): PlacedSegment[] {
+function decodeAll(page: LogPage): StoredSegment[] {
   return page.records.flatMap(({offset, data}) => {
     const segment = decodeSegment(data);
     return segment ? [{offset, ...segment}] : [];
--- a/packages/audit-trail/src/audit_trail.test.ts
+++ b/packages/audit-trail/src/audit_trail.test.ts
@@ -11,12 +11,12 @@
 const STREAM = 'audit';
 const HASH = 'a'.repeat(64);
 
-/** Two nodes that fold the same records, with one log service. */
+/** Two nodes that fold the same records and share one log service. */
 function createFixture() {
   const log = new MemoryLogService();
   const clock = new ManualClock(100 * DAY_MS);
   const state = new AgreedState();
-  const faults: unknown[] = [];
+  const taskErrors: unknown[] = [];
   const createTrail = (incarnation: string, isResponsible: boolean) =>
     new AuditTrail(
       {
@@ -28,14 +28,14 @@
         copyAfterMs: 6 * HOUR_MS,
         keepMs: 30 * DAY_MS,
       },
-      error => faults.push(error),
+      error => taskErrors.push(error),
     );
   const author = createTrail('entry-1.a', false);
-  const keeper = createTrail('entry-2.b', true);
+  const maintainer = createTrail('entry-2.b', true);
   let recordCount = 0;
   const fold = (
     body: RecordBody,
-    told: readonly AuditTrail[] = [author, keeper],
+    trails: readonly AuditTrail[] = [author, maintainer],
     recordId = `record-${recordCount++}`,
   ) => {
     const record = {
@@ -48,11 +48,20 @@
       body,
     };
     const folded = state.foldAppend(state.nextOffset, encodeBatch([record]));
-    told.forEach(trail => trail.note(folded));
+    trails.forEach(trail => trail.note(folded));
   };
-  const whenStored = (count: number) =>
+  const waitForAppends = (count: number) =>
     waitUntil('the append', () => log.count(STREAM) === count);
-  return {log, clock, author, keeper, createTrail, fold, faults, whenStored};
+  return {
+    log,
+    clock,
+    author,
+    maintainer,
+    createTrail,
+    fold,
+    taskErrors,
+    waitForAppends,
+  };
 }
 
 function putTeam(expectedVersion: number, content = {}): RecordBody {
@@ -71,12 +80,12 @@
 
 const trail = suite('audit trail');
 
-trail('says who changed what, when, why, before and after', async () => {
-  const {author, fold, clock, whenStored} = createFixture();
+trail('records operator, time, reason and content of each change', async () => {
+  const {author, fold, clock, waitForAppends} = createFixture();
   fold(putTeam(0, {displayName: 'Zorza'}));
   fold(putTeam(1, {displayName: 'Zorza Obserwatorów'}));
   fold(putTeam(1, {displayName: 'too late'}));
-  await whenStored(1);
+  await waitForAppends(1);
   const page = await author.find({kind: 'team', id: 'zorza', limit: 10});
   assert.ok(page.isComplete);
   assert.equal(
@@ -97,7 +106,7 @@
   assert.is(newest?.writtenAtMs, clock.wallMs());
 });
 
-trail('hashes of tokens are redacted, and a new one is marked', async () => {
+trail('token hashes are redacted and changed ones are marked', async () => {
   const {author, fold} = createFixture();
   const token = {name: 'app', role: 'caller'};
   fold(putTeam(0, {tokens: [{...token, tokenHash: HASH}]}));
@@ -111,7 +120,7 @@
   });
 });
 
-trail('pages go back in time, and filters hold across them', async () => {
+trail('pages go back in time and keep the filter', async () => {
   const {author, fold} = createFixture();
   [0, 1, 2, 3].forEach(version => fold(putTeam(version)));
   fold({
@@ -129,41 +138,34 @@
   assert.is(second.nextBeforeSequence, null);
 });
 
-/**
- * The author of a change appends its record, the answer is lost, and it
- * appends the record again. An operator must see one change, not two.
- */
-trail('a record that was appended twice is one entry', async () => {
+// Guards against a duplicate entry when a record is appended again after the
+// response to its first append was lost.
+trail('a record that was appended twice yields one entry', async () => {
   const {author, fold} = createFixture();
   fold(putTeam(0), [author], 'record-twice');
   fold(putTeam(0), [author], 'record-twice');
   assert.equal(listSequences(await author.find({limit: 10})), [1]);
 });
 
-/**
- * The node that took a change dies right after the change is in force and
- * before its entry is written. Without a second writer the change would never
- * show in the trail once the decisions are trimmed.
- */
-trail('the entry of an author that died is added by another node', async () => {
-  const {keeper, createTrail, fold, clock, whenStored} = createFixture();
-  fold(putTeam(0), [keeper]);
+// Guards against a missing entry when the author crashes after its change is in
+// force but before the entry is written.
+trail('the entry of a crashed author is added by another node', async () => {
+  const {maintainer, createTrail, fold, clock, waitForAppends} =
+    createFixture();
+  fold(putTeam(0), [maintainer]);
   clock.advance(60_000);
-  keeper.post({type: 'settle'});
-  await whenStored(1);
+  maintainer.post({type: 'settle'});
+  await waitForAppends(1);
   const page = await createTrail('entry-3.c', false).find({limit: 10});
   assert.equal(listSequences(page), [1]);
-  assert.is(keeper.pendingCount, 0);
+  assert.is(maintainer.pendingCount, 0);
 });
 
-/**
- * The log service is down while an operator asks what changed. The answer
- * must come from memory and say that it may not be all.
- */
-trail('with the log down memory answers and says so', async () => {
-  const {author, fold, log, whenStored} = createFixture();
+// Guards against a failed or supposedly complete search during a log outage.
+trail('during a log outage a search returns entries from memory', async () => {
+  const {author, fold, log, waitForAppends} = createFixture();
   fold(putTeam(0));
-  await whenStored(1);
+  await waitForAppends(1);
   log.setDown(true);
   const page = await author.find({limit: 10});
   assert.equal(listSequences(page), [1]);
@@ -171,59 +173,55 @@
   assert.is(page.error?.kind, 'platform-unavailable');
 });
 
-/**
- * The log service goes down between a change and the append of its entry. The
- * entry must be there once the log is back, and the outage is no fault of the
- * task that a person would have to look at.
- */
+// Guards against an entry that is lost, or an outage that is reported as a task
+// error, when the log service fails before the entry is appended.
 trail('an entry that could not be stored is stored later', async () => {
-  const {author, fold, faults, log, whenStored} = createFixture();
+  const {author, fold, taskErrors, log, waitForAppends} = createFixture();
   log.setDown(true);
   fold(putTeam(0), [author]);
   await author.flush();
   assert.is(author.pendingCount, 1);
   log.setDown(false);
   author.post({type: 'settle'});
-  await whenStored(1);
-  assert.equal(faults, []);
+  await waitForAppends(1);
+  assert.equal(taskErrors, []);
 });
 
-/**
- * The log keeps records for some days. A change made a month ago would be
- * gone from the trail by then: its segment is trimmed with its neighbours
- * unless it was appended again before.
- */
+// Guards against the loss of entries that are younger than the audit retention
+// but older than the retention of the log.
 trail('entries are copied forward before the log trims them', async () => {
-  const {createTrail, keeper, fold, clock, log, whenStored} = createFixture();
+  const {createTrail, maintainer, fold, clock, log, waitForAppends} =
+    createFixture();
   fold(putTeam(0));
   fold(putTeam(1));
-  await whenStored(1);
+  await waitForAppends(1);
   clock.advance(7 * HOUR_MS);
-  keeper.post({type: 'copy'});
-  await whenStored(2);
-  keeper.post({type: 'copy'});
-  await keeper.stop();
+  maintainer.post({type: 'copy'});
+  await waitForAppends(2);
+  maintainer.post({type: 'copy'});
+  await maintainer.stop();
   assert.is(log.count(STREAM), 2);
   log.trim(STREAM, 1);
-  const newcomer = createTrail('entry-3.c', false);
-  assert.equal(listSequences(await newcomer.find({limit: 10})), [2, 1]);
+  const lateTrail = createTrail('entry-3.c', false);
+  assert.equal(listSequences(await lateTrail.find({limit: 10})), [2, 1]);
 });
 
-trail('entries older than the limit are not kept', async () => {
-  const {author, keeper, fold, clock, log, whenStored} = createFixture();
+trail('entries older than the retention are not copied', async () => {
+  const {author, maintainer, fold, clock, log, waitForAppends} =
+    createFixture();
   fold(putTeam(0), [author]);
-  await whenStored(1);
+  await waitForAppends(1);
   clock.advance(31 * DAY_MS);
-  keeper.post({type: 'copy'});
-  await keeper.stop();
+  maintainer.post({type: 'copy'});
+  await maintainer.stop();
   assert.is(log.count(STREAM), 1);
 });
 
-trail('bytes in the stream that are no segment are passed over', async () => {
-  const {author, fold, log, whenStored} = createFixture();
+trail('invalid segments in the stream are skipped', async () => {
+  const {author, fold, log, waitForAppends} = createFixture();
   await log.append(STREAM, new Uint8Array([1, 2, 3]));
   fold(putTeam(0));
-  await whenStored(2);
+  await waitForAppends(2);
   const page = await author.find({limit: 10});
   assert.ok(page.isComplete);
   assert.equal(listSequences(page), [1]);
--- a/packages/audit-trail/src/audit_trail.ts
+++ b/packages/audit-trail/src/audit_trail.ts
@@ -1,7 +1,6 @@
 /**
  * The audit trail: who changed what, when and why. Entries are derived from
- * the folded decisions and kept in a stream of their own, so they outlive the
- * decisions; docs/design/audit_trail.md says why.
+ * the folded decisions and stored in a separate stream with longer retention.
  */
 import {type AgreedState, type FoldedRecord} from '@mimosatack/agreed-state';
 import {type Clock} from '@mimosatack/clock';
@@ -13,44 +12,42 @@
 import {AuditStream} from './audit_stream.js';
 import {ChangeRecorder} from './change_recorder.js';
 import {copyForward} from './copy_forward.js';
-import {type AuditQuery, NewestEntries} from './find_entries.js';
+import {type AuditQuery, NewestMatches} from './find_entries.js';
 import {RecentEntries} from './recent_entries.js';
 
-/** What the trail is told. */
 export type AuditMessage = {type: 'store'} | {type: 'settle'} | {type: 'copy'};
 
-/** What the trail needs of the node. */
 export interface AuditTrailOptions {
   clock: Clock;
   log: LogService;
   incarnation: NodeIncarnation;
-  /** Whether this node looks after the stream for all. */
+  /** Whether this node maintains the stream on behalf of all nodes. */
   isResponsible(): boolean;
-  /** How long an entry may be missing before the responsible node adds it. */
+  /** Delay before the responsible node adds a missing entry. */
   settleGraceMs: number;
   copyAfterMs: number;
   keepMs: number;
 }
 
-/** One page of the trail, newest first. */
+/** One page of entries, newest first. */
 export interface AuditPage {
   items: AuditEntry[];
   nextBeforeSequence: number | null;
-  /** False when the stream could not be read: only memory was searched. */
+  /** False when the stream could not be read and only memory was searched. */
   isComplete: boolean;
-  /** Why the page is not complete. */
+  /** The error that made the page incomplete; null for a complete page. */
   error: TypedError | null;
 }
 
 const MAX_RECENT_ENTRIES = 1_000;
-const MAX_STORED_AT_ONCE = 64;
+const MAX_ENTRIES_PER_APPEND = 64;
 
-/** The task that keeps the audit stream, and answers questions about it. */
+/** The task that maintains the audit stream and answers queries. */
 export class AuditTrail extends Task<AuditMessage> {
   private readonly stream: AuditStream;
   private readonly recorder = new ChangeRecorder();
   private readonly recent = new RecentEntries(MAX_RECENT_ENTRIES);
-  private settledOffset = 0;
+  private nextUnscannedOffset = 0;
 
   constructor(
     private readonly options: AuditTrailOptions,
@@ -60,17 +57,17 @@
     this.stream = new AuditStream(options.log);
   }
 
-  /** How many changes are not known to stand in the stream yet. */
+  /** The number of entries not known to be stored in the stream. */
   get pendingCount(): number {
     return this.recent.listUnstored().length;
   }
 
-  /** Takes over the contents of a state that was not folded here. */
+  /** Initializes the current contents from a state adopted from elsewhere. */
   reset(state: AgreedState): void {
     this.recorder.reset(state);
   }
 
-  /** Notes what was folded; called in the order of the fold. */
+  /** Records folded changes; must be called in fold order. */
   note(folded: readonly FoldedRecord[]): void {
     const nowMs = this.options.clock.monotonicMs();
     const entries = this.recorder.record(folded);
@@ -78,22 +75,22 @@
     if (entries.some(entry => this.isOwn(entry))) this.post({type: 'store'});
   }
 
-  /** Searches memory and the stream; the stream is read page by page. */
+  /** Searches the entries in memory and in the stream. */
   async find(query: AuditQuery): Promise<AuditPage> {
-    const newest = new NewestEntries(query);
-    newest.offer(this.recent.list());
+    const newest = new NewestMatches(query);
+    newest.add(this.recent.list());
     const error = await this.searchStream(newest);
     return {...newest.toPage(), isComplete: error === null, error};
   }
 
-  /** Stores what this node still owes; called before it ends. */
+  /** Stores this node's pending entries before shutdown. */
   async flush(): Promise<void> {
     await this.handle({type: 'store'});
   }
 
   /**
-   * An outage of the log is told by its follower and needs no word here: what
-   * could not be stored stays unstored, and the next message tries again.
+   * Ignores log outages, which the log follower reports. Unstored entries are
+   * retried with the next message.
    */
   protected async handle(message: AuditMessage): Promise<void> {
     try {
@@ -115,11 +112,11 @@
   }
 
   private async searchStream(
-    newest: NewestEntries,
+    newest: NewestMatches,
   ): Promise<TypedError | null> {
     try {
       for await (const segment of this.stream.scan(0)) {
-        newest.offer(segment.entries);
+        newest.add(segment.entries);
       }
       return null;
     } catch (thrown) {
@@ -132,15 +129,15 @@
   }
 
   /**
-   * Appends entries that are not known to be stored. A lost answer leaves
-   * them unstored, so they are appended again; readers drop the second copy.
+   * Appends entries that are not known to be stored. After a lost response
+   * they are appended again; readers drop the duplicates.
    */
   private async store(isWanted: (entry: AuditEntry) => boolean): Promise<void> {
     const entries = this.recent
       .listUnstored()
       .map(({entry}) => entry)
       .filter(isWanted)
-      .slice(0, MAX_STORED_AT_ONCE);
+      .slice(0, MAX_ENTRIES_PER_APPEND);
     if (entries.length === 0) return;
     await this.stream.append({
       appendedAtMs: this.options.clock.wallMs(),
@@ -151,23 +148,22 @@
   }
 
   /**
-   * Guards against an author that died between the change and its entry: the
-   * change would be in force without a trace. The responsible node reads what
-   * the stream holds and adds what has been missing for longer than the grace.
+   * Guards against a missing entry when the author crashes before storing it:
+   * the responsible node adds entries missing for longer than the grace period.
    */
   private async settle(): Promise<void> {
     await this.store(entry => this.isOwn(entry));
     if (!this.options.isResponsible()) return;
-    for await (const segment of this.stream.scan(this.settledOffset)) {
+    for await (const segment of this.stream.scan(this.nextUnscannedOffset)) {
       this.recent.markStored(segment.entries);
-      this.settledOffset = segment.offset + 1;
+      this.nextUnscannedOffset = segment.offset + 1;
     }
     const oldestMs =
       this.options.clock.monotonicMs() - this.options.settleGraceMs;
     const missing = new Set(
       this.recent
         .listUnstored()
-        .filter(({notedAtMs}) => notedAtMs <= oldestMs)
+        .filter(({recordedAtMs}) => recordedAtMs <= oldestMs)
         .map(({entry}) => entry.sequence),
     );
     await this.store(entry => missing.has(entry.sequence));
--- a/packages/audit-trail/src/change_recorder.ts
+++ b/packages/audit-trail/src/change_recorder.ts
@@ -1,7 +1,6 @@
 /**
- * Derives audit entries from the records that a node folds. The contents in
- * force are remembered beside the state, since the state itself has changed
- * by the time the recorder is told.
+ * Derives audit entries from folded records. The recorder keeps its own copy
+ * of the contents, because the state has already changed when it is called.
  */
 import {type AgreedState, type FoldedRecord} from '@mimosatack/agreed-state';
 import {type AgreedRecord, DOCUMENT_KINDS} from '@mimosatack/records';
@@ -10,11 +9,11 @@
 
 type Change = Pick<AuditEntry, 'change' | 'kind' | 'id' | 'before' | 'after'>;
 
-/** Derives audit entries, in the order of the fold. */
+/** Derives audit entries; must be called in fold order. */
 export class ChangeRecorder {
   private readonly contents = new Map<string, Content>();
 
-  /** Takes the contents in force from a state that was not folded here. */
+  /** Initializes the current contents from a state adopted from elsewhere. */
   reset(state: AgreedState): void {
     this.contents.clear();
     DOCUMENT_KINDS.flatMap(kind => state.configuration.list(kind)).forEach(
@@ -22,17 +21,17 @@
     );
   }
 
-  /** The entries for the records that people asked for. */
+  /** Returns the entries of the records that operators requested. */
   record(folded: readonly FoldedRecord[]): AuditEntry[] {
     return folded
-      .map(one => this.recordOne(one))
+      .map(item => this.toEntry(item))
       .filter(entry => entry !== null);
   }
 
-  private recordOne(folded: FoldedRecord): AuditEntry | null {
+  private toEntry(folded: FoldedRecord): AuditEntry | null {
     const {record, outcome} = folded;
-    const change = record && this.describe(record);
-    if (!record || !change || isSecondCopy(folded)) return null;
+    const change = record && this.toChange(record);
+    if (!record || !change || isDuplicate(folded)) return null;
     if (outcome.status === 'valid') this.apply(change);
     return {
       sequence: folded.sequence,
@@ -50,7 +49,7 @@
     };
   }
 
-  private describe({body}: AgreedRecord): Change | null {
+  private toChange({body}: AgreedRecord): Change | null {
     switch (body.type) {
       case 'put-document':
         return {
@@ -95,8 +94,8 @@
   }
 }
 
-/** An author whose append had no answer appends its record again. */
-function isSecondCopy({outcome}: FoldedRecord): boolean {
+/** Authors append a record again when they get no response. */
+function isDuplicate({outcome}: FoldedRecord): boolean {
   return outcome.status === 'void' && outcome.reason === 'duplicate';
 }
 
--- a/packages/audit-trail/src/copy_forward.ts
+++ b/packages/audit-trail/src/copy_forward.ts
@@ -1,31 +1,30 @@
 /**
- * Keeps the audit trail longer than the log keeps records: entries that grow
- * old are appended again at the end of their stream, many to one segment.
+ * Retains audit entries beyond the retention of the log by appending old
+ * entries again at the end of the stream, combined into larger segments.
  */
 import {type AuditEntry} from './audit_entry.js';
-import {type AuditStream, type PlacedSegment} from './audit_stream.js';
+import {type AuditStream, type StoredSegment} from './audit_stream.js';
 
-/** What copying looks at. */
 export interface CopyOptions {
   nowMs: number;
   /** Segments older than this are copied. */
   copyAfterMs: number;
-  /** Entries older than this are left to be trimmed. */
+  /** Entries older than this are not copied. */
   keepMs: number;
 }
 
 const MAX_ENTRIES_PER_SEGMENT = 200;
 
 /**
- * Copies the segments that have grown old and returns how many entries it
- * appended. Two nodes that copy at once only leave copies that readers drop.
+ * Copies old segments and returns the number of entries appended. Duplicates
+ * from concurrent copies on two nodes are dropped by readers.
  */
 export async function copyForward(
   stream: AuditStream,
   options: CopyOptions,
 ): Promise<number> {
   const due = await listDueOffsets(stream, options);
-  let batch: PlacedSegment[] = [];
+  let batch: StoredSegment[] = [];
   let copied = 0;
   for await (const segment of stream.scan(due.values().next().value ?? 0)) {
     if (!due.has(segment.offset)) continue;
@@ -37,7 +36,7 @@
   return copied + (await appendCopy(stream, batch, options));
 }
 
-/** Offsets of old segments that no later segment holds again, in order. */
+/** Offsets, in order, of old segments that no later segment repeats. */
 async function listDueOffsets(
   stream: AuditStream,
   {nowMs, copyAfterMs}: CopyOptions,
@@ -52,10 +51,10 @@
 
 async function appendCopy(
   stream: AuditStream,
-  segments: readonly PlacedSegment[],
+  segments: readonly StoredSegment[],
   {nowMs, keepMs}: CopyOptions,
 ): Promise<number> {
-  const entries = dropCopies(
+  const entries = deduplicateEntries(
     segments
       .flatMap(segment => segment.entries)
       .filter(entry => entry.writtenAtMs >= nowMs - keepMs),
@@ -69,10 +68,10 @@
   return entries.length;
 }
 
-function dropCopies(entries: readonly AuditEntry[]): AuditEntry[] {
+function deduplicateEntries(entries: readonly AuditEntry[]): AuditEntry[] {
   return [...new Map(entries.map(entry => [entry.sequence, entry])).values()];
 }
 
-function countEntries(segments: readonly PlacedSegment[]): number {
+function countEntries(segments: readonly StoredSegment[]): number {
   return segments.reduce((sum, {entries}) => sum + entries.length, 0);
 }
--- a/packages/audit-trail/src/find_entries.ts
+++ b/packages/audit-trail/src/find_entries.ts
@@ -1,39 +1,38 @@
-/** Picks the entries that a question asks for, with a bounded memory. */
+/** Selects the entries that match a query, in bounded memory. */
 import {type AuditEntry, type AuditKind} from './audit_entry.js';
 
-/** What is asked of the audit trail. */
 export interface AuditQuery {
   kind?: AuditKind;
   id?: string;
   operator?: string;
-  /** From this time on, by the clock of the node that took the change. */
+  /** Inclusive lower bound, by the clock of the node that received the change. */
   fromMs?: number;
-  /** Up to but without this time. */
+  /** Exclusive upper bound. */
   toMs?: number;
-  /** Only changes before this place in the log; pages go back in time. */
+  /** Only changes with a lower sequence number; pages go back in time. */
   beforeSequence?: number;
   limit: number;
-  /** Leaves out what the one who asks may not see. */
+  /** Whether the operator may see the entry; defaults to all. */
   isVisible?(entry: AuditEntry): boolean;
 }
 
-/** Keeps the newest matching entries, one more than the page holds. */
-export class NewestEntries {
+/** Keeps the newest matching entries, one more than the page size. */
+export class NewestMatches {
   private kept: AuditEntry[] = [];
 
   constructor(private readonly query: AuditQuery) {}
 
-  offer(entries: readonly AuditEntry[]): void {
-    const fresh = entries.filter(
+  add(entries: readonly AuditEntry[]): void {
+    const added = entries.filter(
       entry => matches(entry, this.query) && !this.has(entry),
     );
-    if (fresh.length === 0) return;
-    this.kept = [...this.kept, ...fresh]
+    if (added.length === 0) return;
+    this.kept = [...this.kept, ...added]
       .sort((first, second) => second.sequence - first.sequence)
       .slice(0, this.query.limit + 1);
   }
 
-  /** The page, and the place at which the next one begins. */
+  /** The page, and the `beforeSequence` of the next page. */
   toPage(): {items: AuditEntry[]; nextBeforeSequence: number | null} {
     const items = this.kept.slice(0, this.query.limit);
     const hasMore = this.kept.length > this.query.limit;
--- a/packages/audit-trail/src/measure_main.ts
+++ b/packages/audit-trail/src/measure_main.ts
@@ -1,7 +1,7 @@
-/** Measures the audit trail at the target size; see docs/design. */
+/** Measures size and encoding time of the audit trail at the target scale. */
 import {type AuditEntry} from './audit_entry.js';
 import {encodeSegment} from './audit_segment.js';
-import {NewestEntries} from './find_entries.js';
+import {NewestMatches} from './find_entries.js';
 
 const CHANGES_PER_DAY = 970;
 const DAYS = 90;
@@ -48,7 +48,7 @@
 
 const startedAtMs = performance.now();
 let segmentBytes = 0;
-const newest = new NewestEntries({id: 'template-7', limit: 100});
+const newest = new NewestMatches({id: 'template-7', limit: 100});
 for (let from = 0; from < entries.length; from += ENTRIES_PER_SEGMENT) {
   const part = entries.slice(from, from + ENTRIES_PER_SEGMENT);
   segmentBytes += encodeSegment({
@@ -56,7 +56,7 @@
     copiedFrom: [],
     entries: part,
   }).byteLength;
-  newest.offer(part);
+  newest.add(part);
 }
 const single = encodeSegment({
   appendedAtMs: 0,
--- a/packages/audit-trail/src/recent_entries.ts
+++ b/packages/audit-trail/src/recent_entries.ts
@@ -1,22 +1,21 @@
-/** The newest audit entries, kept in memory until the stream has them too. */
+/** A bounded buffer of the newest audit entries. */
 import {type AuditEntry} from './audit_entry.js';
 
-/** An entry in memory. */
 export interface RecentEntry {
   entry: AuditEntry;
-  notedAtMs: number;
-  /** Whether it is known to stand in the audit stream. */
+  recordedAtMs: number;
+  /** Whether the entry is known to be stored in the audit stream. */
   isStored: boolean;
 }
 
-/** The newest entries, with a bound on their number. */
+/** Keeps the newest entries and evicts the oldest beyond `maxEntries`. */
 export class RecentEntries {
   private readonly bySequence = new Map<number, RecentEntry>();
 
   constructor(private readonly maxEntries: number) {}
 
-  add(entry: AuditEntry, notedAtMs: number): void {
-    this.bySequence.set(entry.sequence, {entry, notedAtMs, isStored: false});
+  add(entry: AuditEntry, recordedAtMs: number): void {
+    this.bySequence.set(entry.sequence, {entry, recordedAtMs, isStored: false});
     const oldest = this.bySequence.keys().next().value;
     if (this.bySequence.size > this.maxEntries && oldest !== undefined) {
       this.bySequence.delete(oldest);
--- a/packages/audit-trail/src/redact_tokens.ts
+++ b/packages/audit-trail/src/redact_tokens.ts
@@ -1,4 +1,4 @@
-/** Keeps the hashes of tokens out of the audit trail. */
+/** Redacts token hashes in the content of teams. */
 import {type Content} from './audit_entry.js';
 
 const REDACTED = '(redacted)';
@@ -10,18 +10,22 @@
 }
 
 /**
- * The content of a team without its hashes. With `previous`, a token whose
- * hash differs from the one of the same name is marked as changed.
+ * Returns the content with token hashes redacted. A token whose hash differs
+ * from the token of the same name in `previous` is marked as changed.
  */
 export function redactTokens(
   content: Content,
   previous: Content = null,
 ): Content {
   if (!Array.isArray(content?.['tokens'])) return content;
-  const earlier = listTokens(previous);
+  const previousTokens = listTokens(previous);
   const tokens = listTokens(content).map(token => {
-    const same = earlier.find(other => other.name === token.name);
-    const isChanged = same !== undefined && same.tokenHash !== token.tokenHash;
+    const previousToken = previousTokens.find(
+      other => other.name === token.name,
+    );
+    const isChanged =
+      previousToken !== undefined &&
+      previousToken.tokenHash !== token.tokenHash;
     return {...token, tokenHash: isChanged ? CHANGED : REDACTED};
   });
   return {...content, tokens};
