--- a/packages/authenticate/src/authenticate.test.ts
+++ b/packages/authenticate/src/authenticate.test.ts
@@ -31,12 +31,12 @@
       },
       1,
     );
-  const askAsOperator = (token: string) =>
+  const authenticateAs = (token: string) =>
     authenticateOperator(`Bearer ${token}`, state, BOOTSTRAP);
-  return {state, publish, askAsOperator};
+  return {state, publish, authenticateAs};
 }
 
-function kindOf(action: () => unknown): string {
+function catchErrorKind(action: () => unknown): string {
   try {
     action();
   } catch (thrown) {
@@ -47,8 +47,8 @@
 
 const tokens = suite('authenticate');
 
-tokens('a token gives its team, name and role', () => {
-  const {state, publish, askAsOperator} = createFixture();
+tokens('a token identifies its team, name and role', () => {
+  const {state, publish, authenticateAs} = createFixture();
   publish([
     {name: 'app', role: 'caller', token: 'caller-token'},
     {name: 'ola', role: 'operator', token: 'operator-token'},
@@ -59,61 +59,58 @@
     tokenName: 'app',
     role: 'caller',
   });
-  assert.equal(askAsOperator('operator-token'), {
+  assert.equal(authenticateAs('operator-token'), {
     operatorName: 'zorza/ola',
     role: 'operator',
     team: 'zorza',
   });
-  assert.is(askAsOperator('admin-token').team, null);
-  assert.is(askAsOperator('bootstrap-token').operatorName, 'bootstrap');
+  assert.is(authenticateAs('admin-token').team, null);
+  assert.is(authenticateAs('bootstrap-token').operatorName, 'bootstrap');
 });
 
-tokens('a missing, unknown or too weak token is refused', () => {
-  const {state, publish, askAsOperator} = createFixture();
+tokens('a missing, unknown or unprivileged token is rejected', () => {
+  const {state, publish, authenticateAs} = createFixture();
   publish([{name: 'app', role: 'caller', token: 'caller-token'}]);
   assert.is(
-    kindOf(() => authenticateCaller(undefined, state)),
+    catchErrorKind(() => authenticateCaller(undefined, state)),
     'unauthorized',
   );
   assert.is(
-    kindOf(() => authenticateCaller('Basic x', state)),
+    catchErrorKind(() => authenticateCaller('Basic x', state)),
     'unauthorized',
   );
   assert.is(
-    kindOf(() => askAsOperator('another')),
+    catchErrorKind(() => authenticateAs('another')),
     'unauthorized',
   );
   assert.is(
-    kindOf(() => askAsOperator('caller-token')),
+    catchErrorKind(() => authenticateAs('caller-token')),
     'forbidden',
   );
 });
 
-tokens('without a bootstrap token no empty hash opens the door', () => {
+tokens('an empty bootstrap hash authenticates no token', () => {
   const {state} = createFixture();
   assert.is(
-    kindOf(() => authenticateOperator('Bearer x', state, '')),
+    catchErrorKind(() => authenticateOperator('Bearer x', state, '')),
     'unauthorized',
   );
 });
 
-/**
- * An operator removes a token that has leaked and sees the change accepted,
- * yet the thief still gets in: the index of tokens is built once and kept.
- */
+// Guards against a stale token index that still accepts a removed token.
 tokens('a removed token stops working with the change that removes it', () => {
-  const {publish, askAsOperator} = createFixture();
+  const {publish, authenticateAs} = createFixture();
   publish([{name: 'ola', role: 'operator', token: 'leaked'}]);
-  assert.is(askAsOperator('leaked').team, 'zorza');
+  assert.is(authenticateAs('leaked').team, 'zorza');
   publish([{name: 'ola', role: 'operator', token: 'fresh'}]);
   assert.is(
-    kindOf(() => askAsOperator('leaked')),
+    catchErrorKind(() => authenticateAs('leaked')),
     'unauthorized',
   );
-  assert.is(askAsOperator('fresh').team, 'zorza');
+  assert.is(authenticateAs('fresh').team, 'zorza');
 });
 
-tokens('docs/operators/roles.md holds the table', () => {
+tokens('docs/operators/roles.md contains the permission table', () => {
   const page = new URL('../../../docs/operators/roles.md', import.meta.url);
   assert.ok(
     readFileSync(page, 'utf8').includes(formatPermissionsAsMarkdown()),
--- a/packages/authenticate/src/authenticate.ts
+++ b/packages/authenticate/src/authenticate.ts
@@ -1,20 +1,20 @@
-/** Finds out who sent a request, from its bearer token. */
+/** Authenticates callers and operators by bearer token. */
 import {type AgreedState, type TokenRole} from '@mimosatack/agreed-state';
 import {TypedError} from '@mimosatack/errors';
 import {mayDo, requireAction} from './permissions.js';
 import {hashToken, isSameHash} from './key_index.js';
-import {indexTokens} from './token_index.js';
+import {getTokenIndex} from './token_index.js';
 
-/** Who sent a caller's request. */
+/** An authenticated caller. */
 export interface Caller {
   team: string;
   tokenName: string;
   role: TokenRole;
 }
 
-/** Who sent an operator's request. */
+/** An authenticated operator. */
 export interface Operator {
-  /** The name that records and the audit trail carry. */
+  /** The name used in records and in the audit trail. */
   operatorName: string;
   role: TokenRole;
   /** The only team that the operator acts for; null for all teams. */
@@ -23,7 +23,7 @@
 
 const BEARER = /^Bearer +(\S+) *$/i;
 
-/** Finds the team of a bearer token; rejects with `unauthorized`. */
+/** Authenticates a caller; throws `unauthorized` or `forbidden`. */
 export function authenticateCaller(
   authorization: string | undefined,
   state: AgreedState,
@@ -34,9 +34,10 @@
 }
 
 /**
- * Finds the operator of a bearer token. A caller's token is `forbidden`.
+ * Authenticates an operator; throws `unauthorized`, or `forbidden` for a
+ * caller's token.
  *
- * @param bootstrapTokenHash the hash of the token that works before any team
+ * @param bootstrapTokenHash the hash of the token that is valid before any team
  *     exists; empty when there is none.
  */
 export function authenticateOperator(
@@ -64,7 +65,7 @@
 }
 
 function findToken(tokenHash: string, state: AgreedState) {
-  const known = indexTokens(state.configuration).find(tokenHash);
-  if (!known) throw new TypedError('unauthorized', 'The token is not known.');
-  return known;
+  const found = getTokenIndex(state.configuration).find(tokenHash);
+  if (!found) throw new TypedError('unauthorized', 'The token is unknown.');
+  return found;
 }
--- a/packages/authenticate/src/key_index.ts
+++ b/packages/authenticate/src/key_index.ts
@@ -1,21 +1,21 @@
-/** Finds whose key it is by its hash, without going through all keys. */
+/** An index of API keys and tokens by hash. */
 import {createHash, timingSafeEqual} from 'node:crypto';
 
-/** A key's hash and whose key it is. */
+/** The hash of a key and its owner. */
 export interface IndexedKey<T> {
   keyHash: string;
   owner: T;
 }
 
-/** How many hexadecimal digits choose the bucket. */
+/** The number of leading hexadecimal digits that select the bucket. */
 const BUCKET_DIGITS = 6;
 
-/** The form in which a key is stored and looked up. */
+/** Returns the SHA-256 of a key in hex, as it is stored and looked up. */
 export function hashToken(key: string): string {
   return createHash('sha256').update(key).digest('hex');
 }
 
-/** Compares two hashes in a time that does not tell where they differ. */
+/** Compares in constant time, to guard against timing attacks. */
 export function isSameHash(first: string, second: string): boolean {
   return (
     first.length === second.length &&
@@ -23,24 +23,24 @@
   );
 }
 
-/** Keys by the first digits of their hashes. */
+/** Keys in buckets by the leading digits of their hashes. */
 export class KeyIndex<T> {
   private readonly buckets = new Map<string, Array<IndexedKey<T>>>();
 
   constructor(keys: ReadonlyArray<IndexedKey<T>>) {
     keys.forEach(key => {
-      const bucket = toBucket(key.keyHash);
+      const bucket = bucketOf(key.keyHash);
       this.buckets.set(bucket, [...(this.buckets.get(bucket) ?? []), key]);
     });
   }
 
   find(keyHash: string): T | undefined {
     return this.buckets
-      .get(toBucket(keyHash))
-      ?.find(known => isSameHash(known.keyHash, keyHash))?.owner;
+      .get(bucketOf(keyHash))
+      ?.find(candidate => isSameHash(candidate.keyHash, keyHash))?.owner;
   }
 }
 
-function toBucket(keyHash: string): string {
+function bucketOf(keyHash: string): string {
   return keyHash.slice(0, BUCKET_DIGITS);
 }
--- a/packages/authenticate/src/permissions.ts
+++ b/packages/authenticate/src/permissions.ts
@@ -1,18 +1,17 @@
-/** What each role may do, in one table. */
+/** The permissions of each role. */
 import {type TokenRole} from '@mimosatack/agreed-state';
 import {TypedError} from '@mimosatack/errors';
 
-/** One row of the table. */
 export interface Permission {
-  /** What the action is, for the operators' page. */
+  /** The text in docs/operators/roles.md and in error messages. */
   description: string;
   roles: readonly TokenRole[];
 }
 
 /**
- * Every action and the roles that may do it. A caller and an operator act for
- * their own team only; an admin acts for all teams. An operator publishes
- * nothing that holds a token, so no role can be raised by publishing.
+ * Callers and operators act for their own team only, admins for all teams.
+ * Operators can't publish documents that contain tokens, which guards against
+ * privilege escalation.
  */
 export const PERMISSIONS = {
   'send-requests': {
@@ -54,16 +53,15 @@
   },
 } as const satisfies Record<string, Permission>;
 
-/** Something that a token may or may not be used for. */
+/** An action that requires a permission. */
 export type Action = keyof typeof PERMISSIONS;
 
-/** Whether a role may do something. */
 export function mayDo(role: TokenRole, action: Action): boolean {
   const {roles}: Permission = PERMISSIONS[action];
   return roles.includes(role);
 }
 
-/** Rejects with `forbidden` what the role may not do. */
+/** Throws `forbidden` unless the role permits the action. */
 export function requireAction(role: TokenRole, action: Action): void {
   if (mayDo(role, action)) return;
   const {description, roles}: Permission = PERMISSIONS[action];
@@ -74,7 +72,7 @@
   );
 }
 
-/** The table as it stands in docs/operators/roles.md. */
+/** Formats the list that docs/operators/roles.md contains. */
 export function formatPermissionsAsMarkdown(): string {
   return Object.values(PERMISSIONS)
     .map(({description, roles}) => `- ${description}: ${roles.join(', ')}`)
--- a/packages/authenticate/src/team_keys.test.ts
+++ b/packages/authenticate/src/team_keys.test.ts
@@ -21,21 +21,21 @@
   return found instanceof TypedError ? found.summary : found.team;
 }
 
-test('each key names its team', () => {
+test('each key identifies its team', () => {
   assert.equal(
     ['one', 'two', 'three'].map(key => find(key)),
     ['link', 'link', 'aurora'],
   );
 });
 
-test('what is no key of a team is refused for its reason', () => {
+test('a missing, unknown or repeated key is rejected with its reason', () => {
   assert.is(find(), 'The request carries no key.');
   assert.is(find('four'), 'The key is not known.');
   assert.is(find('one', 'one'), 'The request carries more than one key.');
 });
 
-// Guards against a refusal that tells the key to whoever reads the log.
-test('a refusal does not name the key', () => {
+// Guards against a key leaking into the log through an error message.
+test('an error does not contain the key', () => {
   const found = authenticateKey([hashToken('secret-key')], KEYS);
   assert.not(JSON.stringify(found).includes('secret-key'));
 });
--- a/packages/authenticate/src/team_keys.ts
+++ b/packages/authenticate/src/team_keys.ts
@@ -1,11 +1,11 @@
-/** Finds out which team sent a request, from the key that it carries. */
+/** Authenticates teams by API key. */
 import {TypedError} from '@mimosatack/errors';
 import {type TeamSpec} from '@mimosatack/types';
 import {KeyIndex} from './key_index.js';
 
 const REMEDY = 'Send one valid key of your team.';
 
-/** The keys of all teams in one configuration. */
+/** The keys of all teams in a configuration. */
 export class TeamKeys {
   private readonly index: KeyIndex<TeamSpec>;
 
@@ -23,9 +23,10 @@
 }
 
 /**
- * The team of the key that a request carries, or `unauthorized`.
+ * Returns the team of the key, or an `unauthorized` error.
  *
- * @param keyHashes of the keys in the request, which should have one.
+ * @param keyHashes the hashes of all keys in the request; valid requests have
+ *     exactly one.
  */
 export function authenticateKey(
   keyHashes: readonly string[],
@@ -33,15 +34,17 @@
 ): TeamSpec | TypedError {
   const [keyHash] = keyHashes;
   if (keyHash === undefined) {
-    return makeUnauthorized('The request carries no key.');
+    return makeUnauthorizedError('The request carries no key.');
   }
   if (keyHashes.length > 1) {
-    return makeUnauthorized('The request carries more than one key.');
+    return makeUnauthorizedError('The request carries more than one key.');
   }
-  return teamKeys.find(keyHash) ?? makeUnauthorized('The key is not known.');
+  return (
+    teamKeys.find(keyHash) ?? makeUnauthorizedError('The key is not known.')
+  );
 }
 
-function makeUnauthorized(message: string): TypedError {
+function makeUnauthorizedError(message: string): TypedError {
   return new TypedError('unauthorized', message, {
     run: 'not-run',
     remedy: REMEDY,
--- a/packages/authenticate/src/token_index.ts
+++ b/packages/authenticate/src/token_index.ts
@@ -1,9 +1,9 @@
-/** Finds a token of the agreed configuration by its hash. */
+/** Looks up tokens of the agreed configuration by hash. */
 import {type Configuration, type TokenRole} from '@mimosatack/agreed-state';
 import {KeyIndex} from './key_index.js';
 
-/** A token that a team has. */
-export interface KnownToken {
+/** A token published by a team. */
+export interface TeamToken {
   team: string;
   tokenName: string;
   role: TokenRole;
@@ -11,28 +11,28 @@
 
 interface CachedIndex {
   changeCount: number;
-  index: KeyIndex<KnownToken>;
+  index: KeyIndex<TeamToken>;
 }
 
-const cached = new WeakMap<Configuration, CachedIndex>();
+const indexCache = new WeakMap<Configuration, CachedIndex>();
 
 /**
- * The index of a configuration, built again only when a document changed. A
- * state that a node adopts from a peer has another configuration object, so
- * it never finds the index of the old one.
+ * Returns the index of a configuration, rebuilt only after a document changed.
+ * The cache is keyed by configuration object, so a state adopted from a peer
+ * never uses the index of the previous state.
  */
-export function indexTokens(
+export function getTokenIndex(
   configuration: Configuration,
-): KeyIndex<KnownToken> {
+): KeyIndex<TeamToken> {
   const {changeCount} = configuration;
-  const known = cached.get(configuration);
-  if (known?.changeCount === changeCount) return known.index;
-  const index = makeIndex(configuration);
-  cached.set(configuration, {changeCount, index});
+  const cachedIndex = indexCache.get(configuration);
+  if (cachedIndex?.changeCount === changeCount) return cachedIndex.index;
+  const index = buildIndex(configuration);
+  indexCache.set(configuration, {changeCount, index});
   return index;
 }
 
-function makeIndex(configuration: Configuration): KeyIndex<KnownToken> {
+function buildIndex(configuration: Configuration): KeyIndex<TeamToken> {
   const keys = configuration.list('team').flatMap(({id: team, content}) =>
     content.tokens.map(({name: tokenName, role, tokenHash}) => ({
       keyHash: tokenHash,
