--- a/packages/follow-log/src/kept_appends.ts
+++ b/packages/follow-log/src/append_buffer.ts
@@ -1,18 +1,18 @@
-/** The last raw appends, for peers that can't read the log themselves. */
+/** A buffer of recent raw appends for peers that can't read the log. */
 import {type LogRecord} from '@mimosatack/platform';
 import {type LogOffset} from '@mimosatack/types';
 
-const MAX_KEPT_BYTES = 2 * 1024 * 1024;
+const MAX_BUFFER_BYTES = 2 * 1024 * 1024;
 
-/** Raw appends without a gap, bounded by their bytes. */
-export class KeptAppends {
+/** Contiguous raw appends, bounded by total size. */
+export class AppendBuffer {
   private records: LogRecord[] = [];
   private bytes = 0;
 
   add(record: LogRecord): void {
     this.records.push(record);
     this.bytes += record.data.length;
-    if (this.bytes > MAX_KEPT_BYTES) this.dropOldest();
+    if (this.bytes > MAX_BUFFER_BYTES) this.evictOldest();
   }
 
   clear(): void {
@@ -20,32 +20,32 @@
     this.bytes = 0;
   }
 
-  /** Appends from `from` on; empty when that one is not kept any more. */
+  /** Returns the appends from `from` on; empty when `from` was evicted. */
   listFrom(from: LogOffset, maxBytes: number): LogRecord[] {
     const first = this.records[0]?.offset;
     if (first === undefined || from < first) return [];
     const wanted = this.records.slice(from - first);
-    const cut = findByteLimit(wanted, maxBytes);
-    return wanted.slice(0, cut);
+    const count = countRecordsWithin(wanted, maxBytes);
+    return wanted.slice(0, count);
   }
 
-  /** Drops a quarter at once, so that this is rarely done. */
-  private dropOldest(): void {
+  /** Drops a quarter at once to amortize the cost of `splice`. */
+  private evictOldest(): void {
     const count = Math.max(1, Math.floor(this.records.length / 4));
     const dropped = this.records.splice(0, count);
     this.bytes -= dropped.reduce((sum, record) => sum + record.data.length, 0);
   }
 }
 
-/** How many records fit, but at least one. */
-function findByteLimit(
+/** The number of records that fit into `maxBytes`, at least one. */
+function countRecordsWithin(
   records: readonly LogRecord[],
   maxBytes: number,
 ): number {
   let bytes = 0;
-  const tooFar = records.findIndex(record => {
+  const firstExcessIndex = records.findIndex(record => {
     bytes += record.data.length;
     return bytes > maxBytes;
   });
-  return tooFar < 0 ? records.length : Math.max(1, tooFar);
+  return firstExcessIndex < 0 ? records.length : Math.max(1, firstExcessIndex);
 }
--- a/packages/follow-log/src/append_queue.ts
+++ b/packages/follow-log/src/append_queue.ts
@@ -1,6 +1,6 @@
 /**
- * Appends records in groups. An author learns the fate of its record only
- * when the record is read back, so a lost answer changes nothing.
+ * Appends records to the log in batches. A submission settles only when its
+ * record is read back, so a lost append response does not affect the result.
  */
 import {type FoldedRecord} from '@mimosatack/agreed-state';
 import {type Clock, sleep} from '@mimosatack/clock';
@@ -14,21 +14,20 @@
   makeExpiryError,
 } from './submission.js';
 
-/** What an append queue is built from. */
 export interface AppendQueueOptions {
   clock: Clock;
   random: RandomSource;
   log: LogService;
   stream: string;
   incarnation: NodeIncarnation;
-  /** How long to wait before an append that failed is tried again. */
+  /** Delay before a failed append is retried. */
   retryDelayMs: number;
 }
 
 const MAX_BATCH_RECORDS = 128;
 const RETRY_JITTER = 0.5;
 
-/** Records of this node on their way into the log. */
+/** Records of this node that have not been read back yet. */
 export class AppendQueue {
   private readonly outbox: Submission[] = [];
   private readonly pending = new Map<string, Submission>();
@@ -39,8 +38,9 @@
   constructor(private readonly options: AppendQueueOptions) {}
 
   /**
-   * Appends one record and resolves with its verdict once it is read back.
-   * Rejects with `log-unavailable`; `run` says whether it may take effect.
+   * Appends one record and resolves with its outcome when it is read back.
+   * Rejects with `log-unavailable` on timeout or stop; `run` tells whether the
+   * record may still take effect.
    */
   submit(
     body: RecordBody,
@@ -71,10 +71,10 @@
     });
   }
 
-  /** A second copy of a record is void; only the first settles its author. */
+  /** Only the first copy of a record settles its submission; others are void. */
   settle(folded: FoldedRecord): void {
     if (folded.recordId === null) return;
-    const submission = this.take(folded.recordId);
+    const submission = this.removePending(folded.recordId);
     submission?.resolve(folded);
   }
 
@@ -84,24 +84,24 @@
   }
 
   private expire(recordId: string): void {
-    const submission = this.take(recordId);
+    const submission = this.removePending(recordId);
     submission?.reject(makeExpiryError(submission));
   }
 
-  private take(recordId: string): Submission | undefined {
+  private removePending(recordId: string): Submission | undefined {
     const submission = this.pending.get(recordId);
     submission?.expiry.cancel();
     this.pending.delete(recordId);
     return submission;
   }
 
-  /** One append at a time; what arrives meanwhile goes into the next one. */
+  /** Runs one append at a time; records submitted meanwhile join the next. */
   private async appendLoop(): Promise<void> {
     if (this.isAppending) return;
     this.isAppending = true;
     while (this.outbox.length > 0 && !this.stopping.signal.aborted) {
       const batch = this.takeBatch();
-      if (batch.length > 0) await this.appendUntilDone(batch);
+      if (batch.length > 0) await this.appendWithRetries(batch);
     }
     this.isAppending = false;
   }
@@ -113,16 +113,18 @@
   }
 
   /**
-   * Guards against an answer that is lost after the write took effect: the
-   * same records, with the same ids, are appended again until an answer comes
-   * or they are read back; the fold drops the second copy.
+   * Guards against a response that is lost after the append took effect: the
+   * same records are retried until one append succeeds or they are read back.
+   * The fold drops duplicates by record id.
    */
-  private async appendUntilDone(batch: readonly Submission[]): Promise<void> {
-    let open = batch;
-    while (open.length > 0 && !this.stopping.signal.aborted) {
-      if (await this.tryAppend(open)) return;
-      await this.pause();
-      open = open.filter(submission => this.isPending(submission));
+  private async appendWithRetries(batch: readonly Submission[]): Promise<void> {
+    let unconfirmed = batch;
+    while (unconfirmed.length > 0 && !this.stopping.signal.aborted) {
+      if (await this.tryAppend(unconfirmed)) return;
+      await this.waitBeforeRetry();
+      unconfirmed = unconfirmed.filter(submission =>
+        this.isPending(submission),
+      );
     }
   }
 
@@ -144,7 +146,7 @@
     return this.pending.has(submission.record.recordId);
   }
 
-  private pause(): Promise<void> {
+  private waitBeforeRetry(): Promise<void> {
     const {clock, random, retryDelayMs} = this.options;
     const delayMs = addJitter(random, retryDelayMs, RETRY_JITTER);
     return sleep(clock, delayMs, this.stopping.signal);
--- a/packages/follow-log/src/log_follower.test.ts
+++ b/packages/follow-log/src/log_follower.test.ts
@@ -27,26 +27,24 @@
   }
 }
 
-following('tells an author what became of its record', async () => {
+following('resolves a submission with the outcome of its record', async () => {
   const follower = makeFollower(new MemoryLog());
   await withFollowers([follower], async () => {
     await follower.start(NO_SOURCES);
     const options = {timeoutMs: LONG_MS};
     const first = await follower.submit(makeTeam('a'), options);
-    const again = await follower.submit(makeTeam('a'), options);
+    const second = await follower.submit(makeTeam('a'), options);
     assert.is(first.outcome.status, 'valid');
-    assert.is(again.outcome.status, 'void');
+    assert.is(second.outcome.status, 'void');
   });
 });
 
-// An operator publishes and the answer of the log service is lost after the
-// write. The node appends again, so two copies are in the log; the operator
-// is told once that it worked, and the version is 1.
-following('settles an append whose answer was lost', async () => {
+// Guards against a change applied twice when the response to an append is lost.
+following('settles an append whose response was lost', async () => {
   const log = new MemoryLog();
   const follower = makeFollower(log);
   await withFollowers([follower], async () => {
-    log.lostAnswers = 2;
+    log.lostReplies = 2;
     await follower.start(NO_SOURCES);
     const folded = await follower.submit(makeTeam('a'), {timeoutMs: LONG_MS});
     assert.is(folded.outcome.status, 'valid');
@@ -55,9 +53,8 @@
   });
 });
 
-// The log service is down when an operator publishes. Nothing was sent, so
-// the refusal says `not-run`, and it comes at the time limit at the latest.
-following('says that a record was not written in an outage', async () => {
+// Guards against an unknown outcome for a record that was never sent.
+following('rejects an unsent record with `not-run` in an outage', async () => {
   const log = new MemoryLog();
   const follower = makeFollower(log);
   await withFollowers([follower], async () => {
@@ -73,9 +70,8 @@
   });
 });
 
-// An append was begun and no answer came. The write may have taken effect, so
-// the refusal must not say that it did not.
-following('says that the outcome is unknown once it was sent', async () => {
+// Guards against `not-run` for a sent record, which may still take effect.
+following('rejects a sent record with an unknown outcome', async () => {
   const log = new MemoryLog();
   const follower = makeFollower(log);
   await withFollowers([follower], async () => {
@@ -88,13 +84,12 @@
   });
 });
 
-// A node is cut from the log while the others go on. Its read only hangs, so
-// it learns from a peer that there is more, and takes it from there.
+// Guards against a node falling behind while its read of the log hangs.
 following('follows a peer that is ahead', async () => {
   const log = new MemoryLog();
-  const cut = new MemoryLog();
+  const stalledLog = new MemoryLog();
   const peer = makeFollower(log, 'node-1');
-  const follower = makeFollower(cut, 'node-2');
+  const follower = makeFollower(stalledLog, 'node-2');
   await withFollowers([peer, follower], async () => {
     await peer.start(NO_SOURCES);
     await peer.submit(makeTeam('a'), {timeoutMs: LONG_MS});
@@ -106,42 +101,41 @@
   });
 });
 
-// A node starts while the log service is down. It must not answer from an
-// empty state; once a peer has one, it works from that.
+// Guards against a node that serves from an empty state when it starts during
+// a log outage.
 following('starts from a peer while the log is down', async () => {
   const log = new MemoryLog();
   const peer = makeFollower(log, 'node-1');
-  const starter = makeFollower(log, 'node-2');
-  const lonely = makeFollower(log, 'node-3');
-  await withFollowers([peer, starter, lonely], async () => {
+  const withPeer = makeFollower(log, 'node-2');
+  const withoutPeers = makeFollower(log, 'node-3');
+  await withFollowers([peer, withPeer, withoutPeers], async () => {
     await peer.start(NO_SOURCES);
     await peer.submit(makeTeam('a'), {timeoutMs: LONG_MS});
     log.isDown = true;
-    await lonely.start(NO_SOURCES);
-    await starter.start(makePeerSources(peer));
-    assert.is(lonely.status.hasState, false);
-    assert.is(starter.status.hasState, true);
-    assert.ok(starter.state.configuration.find('team', 'a'));
+    await withoutPeers.start(NO_SOURCES);
+    await withPeer.start(makePeerSources(peer));
+    assert.is(withoutPeers.status.hasState, false);
+    assert.is(withPeer.status.hasState, true);
+    assert.ok(withPeer.state.configuration.find('team', 'a'));
   });
 });
 
-// The log service has dropped the records that a node still needs. It starts
-// again from the newest checkpoint and reads on from there.
-following('goes on from a checkpoint when records were trimmed', async () => {
+// Guards against a node that gets stuck when the records it needs are trimmed.
+following('continues from a checkpoint when records were trimmed', async () => {
   const log = new MemoryLog();
   const checkpoints = new CheckpointStore(new MemoryLog(), 'checkpoints');
   const writer = makeFollower(log, 'node-1');
-  const late = makeFollower(log, 'node-2');
-  await withFollowers([writer, late], async () => {
+  const lateFollower = makeFollower(log, 'node-2');
+  await withFollowers([writer, lateFollower], async () => {
     await writer.start(NO_SOURCES);
     await writer.submit(makeTeam('a'), {timeoutMs: LONG_MS});
     await checkpoints.write(writer.state);
     await writer.submit(makeTeam('b'), {timeoutMs: LONG_MS});
     log.firstOffset = 1;
     const states = [{pullState: () => checkpoints.readNewest()}];
-    await late.start({...NO_SOURCES, states});
-    await waitUntil(() => late.state.nextOffset === 2);
-    assert.is(late.state.digest(), writer.state.digest());
+    await lateFollower.start({...NO_SOURCES, states});
+    await waitUntil(() => lateFollower.state.nextOffset === 2);
+    assert.is(lateFollower.state.digest(), writer.state.digest());
   });
 });
 
--- a/packages/follow-log/src/log_follower.ts
+++ b/packages/follow-log/src/log_follower.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps this node's copy of the agreed state: it reads the log and folds it.
- * A node that can't read the log follows through its peers, and one that fell
- * behind what the log keeps starts again from a checkpoint.
+ * Maintains this node's copy of the agreed state by folding the log. Falls back
+ * to peers when the log is unreachable, and to a checkpoint when the log has
+ * trimmed the next record.
  */
 import {
   AgreedState,
@@ -15,11 +15,10 @@
 import {type RandomSource, addJitter} from '@mimosatack/random';
 import {type RecordBody} from '@mimosatack/records';
 import {type LogOffset, type NodeIncarnation} from '@mimosatack/types';
+import {AppendBuffer} from './append_buffer.js';
 import {AppendQueue} from './append_queue.js';
-import {KeptAppends} from './kept_appends.js';
 import {type SubmitOptions} from './submission.js';
 
-/** What a follower is built from. */
 export interface LogFollowerOptions {
   clock: Clock;
   random: RandomSource;
@@ -27,38 +26,38 @@
   log: LogService;
   stream: string;
   incarnation: NodeIncarnation;
-  /** How long one read waits at the end of the log. */
+  /** Maximum wait of a read at the end of the log. */
   longPollMs: number;
   retryDelayMs: number;
 }
 
-/** Told of every append that was folded, in order. */
+/** Called after each folded append, in log order. */
 export type FoldListener = (folded: readonly FoldedRecord[]) => void;
 
-/** How far a node has got, and whether it reaches the log itself. */
+/** The progress of a follower and its connection to the log. */
 export interface FollowerStatus {
-  /** Whether the state was ever read from the log, a checkpoint or a peer. */
+  /** Whether a state was read from the log, a checkpoint or a peer. */
   hasState: boolean;
   nextOffset: LogOffset;
   sequence: number;
   isLogReachable: boolean;
-  /** Time since the log service last answered; null when it never did. */
+  /** Time since the last response of the log service; null before the first. */
   sinceContactMs: number | null;
 }
 
-/** Where whole states come from. */
+/** A source of complete states, such as checkpoints or peers. */
 export interface StateSource {
-  /** A state at least as new as any it knows, or null. */
+  /** Returns the newest state that the source has, or null. */
   pullState(): Promise<AgreedState | null>;
 }
 
-/** Where appends come from when the log can't be read. */
+/** A source of appends when the log can't be read. */
 export interface AppendSource {
-  /** Appends from `from` on, in order; empty when it has none. */
+  /** Returns the appends from `from` on, in order; empty when there are none. */
   pullAppends(from: LogOffset): Promise<LogRecord[]>;
 }
 
-/** Everything beside the log itself that a follower can learn from. */
+/** The sources of a follower besides the log. */
 export interface FollowerSources {
   states: readonly StateSource[];
   appends: AppendSource;
@@ -73,14 +72,14 @@
   state = new AgreedState();
   private readonly queue: AppendQueue;
   private readonly listeners: FoldListener[] = [];
-  private readonly kept = new KeptAppends();
+  private readonly appendBuffer = new AppendBuffer();
   private readonly stopping = new AbortController();
   private sources: FollowerSources | null = null;
   private hasState = false;
   private isLogReachable = false;
-  private contactAtMs: number | null = null;
-  private isPulling = false;
-  private reading: Promise<void> | null = null;
+  private lastContactAtMs: number | null = null;
+  private isPullingFromPeers = false;
+  private readLoopDone: Promise<void> | null = null;
 
   constructor(private readonly options: LogFollowerOptions) {
     this.queue = new AppendQueue(options);
@@ -94,7 +93,7 @@
       sequence: this.state.sequence,
       isLogReachable: this.isLogReachable,
       sinceContactMs:
-        this.contactAtMs === null ? null : nowMs - this.contactAtMs,
+        this.lastContactAtMs === null ? null : nowMs - this.lastContactAtMs,
     };
   }
 
@@ -102,17 +101,17 @@
     this.listeners.push(listener);
   }
 
-  /** Begins to follow, from the newest state that any source gives. */
+  /** Adopts the newest state of all sources, then starts reading the log. */
   async start(sources: FollowerSources): Promise<void> {
     this.sources = sources;
     await this.adoptNewestState();
-    this.reading = this.readLoop();
+    this.readLoopDone = this.readLoop();
   }
 
   async stop(): Promise<void> {
     this.stopping.abort();
     this.queue.stop();
-    await this.reading;
+    await this.readLoopDone;
   }
 
   /** See `AppendQueue.submit`. */
@@ -120,34 +119,33 @@
     return this.queue.submit(body, this.state.sequence, options);
   }
 
-  /** Raw appends for a peer, from `from` on, if they are still kept. */
+  /** Returns buffered raw appends from `from` on, for a peer. */
   listAppends(from: LogOffset): LogRecord[] {
-    return this.kept.listFrom(from, MAX_PULL_BYTES);
+    return this.appendBuffer.listFrom(from, MAX_PULL_BYTES);
   }
 
   /**
-   * Told how far a peer has got. Guards against a node that is cut from the
-   * log while its read only hangs: a peer that is ahead shows it, and the
-   * appends are taken from there without waiting for the read to fail.
+   * Handles the offset reported by a peer. Guards against a hanging read of the
+   * log: when a peer is ahead, its appends are fetched right away.
    */
   notePeerOffset(nextOffset: LogOffset): void {
-    if (nextOffset <= this.state.nextOffset || this.isPulling) return;
-    this.isPulling = true;
+    if (nextOffset <= this.state.nextOffset || this.isPullingFromPeers) return;
+    this.isPullingFromPeers = true;
     void this.pullFromPeers().finally(() => {
-      this.isPulling = false;
+      this.isPullingFromPeers = false;
     });
   }
 
   private async pullFromPeers(): Promise<void> {
     const before = this.state.nextOffset;
-    await this.pause();
+    await this.waitBeforeRetry();
     if (this.state.nextOffset > before || !this.sources) return;
     const appends = await this.sources.appends.pullAppends(before);
     this.foldAppends(appends);
     if (this.state.nextOffset === before) await this.adoptNewestState();
   }
 
-  /** Folds appends from any source; those folded before are passed over. */
+  /** Folds appends from any source, skipping those already folded. */
   private foldAppends(records: readonly LogRecord[]): void {
     records.forEach(record => {
       if (record.offset === this.state.nextOffset) this.foldAppend(record);
@@ -159,8 +157,8 @@
     const folded = this.state.foldAppend(record.offset, record.data);
     if (wasSupported && !this.state.isSupported) this.logUnsupported();
     if (!wasSupported) return;
-    this.kept.add(record);
-    this.tellListeners(folded);
+    this.appendBuffer.add(record);
+    this.notifyListeners(folded);
     folded.forEach(one => this.queue.settle(one));
     this.logVoid(folded);
   }
@@ -200,35 +198,35 @@
       stream,
       from: this.state.nextOffset,
       limit: READ_LIMIT,
-      // The first read after an outage returns at once, to show it is over.
+      // The first read after an outage returns immediately, to detect recovery.
       waitMs: this.isLogReachable ? longPollMs : 0,
       signal: this.stopping.signal,
     });
-    this.noteContact();
+    this.recordContact();
     this.foldAppends(page.records);
     this.hasState ||= this.state.nextOffset >= page.nextOffset;
   }
 
-  private noteContact(): void {
+  private recordContact(): void {
     const {clock, logger, stream} = this.options;
-    if (!this.isLogReachable && this.contactAtMs !== null) {
-      const outageMs = Math.round(clock.monotonicMs() - this.contactAtMs);
+    if (!this.isLogReachable && this.lastContactAtMs !== null) {
+      const outageMs = Math.round(clock.monotonicMs() - this.lastContactAtMs);
       logger.log('log-recovered', {stream, outageMs});
     }
     this.isLogReachable = true;
-    this.contactAtMs = clock.monotonicMs();
+    this.lastContactAtMs = clock.monotonicMs();
   }
 
   private async recover(error: TypedError): Promise<void> {
     if (error.kind === 'trimmed') {
-      this.noteContact();
+      this.recordContact();
       this.logTrimmed(error);
       await this.adoptNewestState();
     } else {
-      this.noteOutage(error);
-      await this.learnFromPeers();
+      this.recordOutage(error);
+      await this.catchUpFromPeers();
     }
-    await this.pause();
+    await this.waitBeforeRetry();
   }
 
   private logTrimmed(error: TypedError): void {
@@ -239,16 +237,16 @@
     });
   }
 
-  private noteOutage(error: TypedError): void {
-    if (this.isLogReachable || this.contactAtMs === null) {
+  private recordOutage(error: TypedError): void {
+    if (this.isLogReachable || this.lastContactAtMs === null) {
       const {logger, stream, retryDelayMs} = this.options;
       logger.log('log-unavailable', {stream, error, retryInMs: retryDelayMs});
-      this.contactAtMs ??= this.options.clock.monotonicMs();
+      this.lastContactAtMs ??= this.options.clock.monotonicMs();
     }
     this.isLogReachable = false;
   }
 
-  private async learnFromPeers(): Promise<void> {
+  private async catchUpFromPeers(): Promise<void> {
     if (!this.hasState) await this.adoptNewestState();
     const {nextOffset} = this.state;
     this.foldAppends(
@@ -257,9 +255,8 @@
   }
 
   /**
-   * Takes the newest whole state there is. Guards against an old checkpoint
-   * being served as the newest while the log is down: all sources are asked
-   * and the highest offset wins, and `status` tells which offset that is.
+   * Adopts the newest state of all sources if it is newer than the current one.
+   * Guards against adopting an old checkpoint while a peer has a newer state.
    */
   private async adoptNewestState(): Promise<void> {
     const states = await Promise.all(
@@ -273,19 +270,19 @@
     if (!newest || newest.nextOffset <= this.state.nextOffset) return;
     this.state = newest;
     this.hasState = true;
-    this.kept.clear();
+    this.appendBuffer.clear();
     this.options.logger.log('checkpoint-loaded', {
       stream: this.options.stream,
       coversOffset: newest.nextOffset,
     });
-    this.tellListeners([]);
+    this.notifyListeners([]);
   }
 
-  private tellListeners(folded: readonly FoldedRecord[]): void {
+  private notifyListeners(folded: readonly FoldedRecord[]): void {
     this.listeners.forEach(listener => listener(folded));
   }
 
-  private pause(): Promise<void> {
+  private waitBeforeRetry(): Promise<void> {
     const {clock, random, retryDelayMs} = this.options;
     const delayMs = addJitter(random, retryDelayMs, RETRY_JITTER);
     return sleep(clock, delayMs, this.stopping.signal);
--- a/packages/follow-log/src/submission.ts
+++ b/packages/follow-log/src/submission.ts
@@ -1,10 +1,9 @@
-/** Records that wait until they are read back from the log. */
+/** Submitted records that wait to be read back from the log. */
 import {type FoldedRecord, type Outcome} from '@mimosatack/agreed-state';
 import {type Timer} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
 import {type AgreedRecord} from '@mimosatack/records';
 
-/** What the author of a record wants. */
 export interface SubmitOptions {
   operator?: string | null;
   reason?: string | null;
@@ -12,20 +11,19 @@
   timeoutMs: number;
 }
 
-/** One submitted record. */
 export interface Submission {
   record: AgreedRecord;
-  /** Whether an append that carried it was ever begun. */
+  /** Whether an append with the record was ever started. */
   wasSent: boolean;
-  /** Ends the wait for the record to be read back. */
+  /** The timeout for the record to be read back. */
   expiry: Timer;
   resolve(folded: FoldedRecord): void;
   reject(error: TypedError): void;
 }
 
 /**
- * The error for a record that was not read back in time. If an append was
- * begun its answer may have been lost, so the record may still take effect.
+ * Makes the error for a record that was not read back in time. A record that
+ * was sent may still take effect, because the response may have been lost.
  */
 export function makeExpiryError(submission: Submission): TypedError {
   const {recordId} = submission.record;
@@ -36,19 +34,19 @@
         {
           run: 'unknown',
           remedy:
-            'It may still take effect. Read the current version before ' +
-            'trying again.',
+            'The record may still take effect. Read the current version ' +
+            'before retrying.',
           info: {recordId},
         },
       )
     : new TypedError(
         'log-unavailable',
-        'The log service does not answer; nothing was written.',
+        'The log service is unavailable; nothing was written.',
         {run: 'not-run', retryAfterMs: 5000},
       );
 }
 
-/** Turns a verdict into an error, or returns null for a valid record. */
+/** Converts the outcome of a void record to an error; null for a valid one. */
 export function makeVoidError(outcome: Outcome): TypedError | null {
   if (outcome.status === 'valid') return null;
   const {reason, message} = outcome;
--- a/packages/follow-log/src/test_fixtures.ts
+++ b/packages/follow-log/src/test_fixtures.ts
@@ -1,4 +1,4 @@
-/** A log service in memory that can be told to fail, and followers on it. */
+/** Test fixture: followers on an in-memory log with injectable failures. */
 import {type AgreedState} from '@mimosatack/agreed-state';
 import {SystemClock} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
@@ -13,32 +13,34 @@
 import {type RecordBody} from '@mimosatack/records';
 import {LogFollower} from './log_follower.js';
 
-const WAKE_MS = 1;
+const POLL_INTERVAL_MS = 1;
 
-/** One stream of a log service, in memory. */
+/** A log service with one in-memory stream. */
 export class MemoryLog implements LogService {
   readonly appends: Uint8Array[] = [];
   firstOffset = 0;
   isDown = false;
-  /** How many of the next appends take effect but seem to fail. */
-  lostAnswers = 0;
+  /** The number of upcoming appends that take effect but reject. */
+  lostReplies = 0;
 
   append(_stream: string, data: Uint8Array): Promise<number> {
-    if (this.isDown) return Promise.reject(makeOutage());
+    if (this.isDown) return Promise.reject(makeOutageError());
     this.appends.push(data);
-    if (this.lostAnswers === 0) return Promise.resolve(this.appends.length - 1);
-    this.lostAnswers -= 1;
-    return Promise.reject(makeOutage());
+    if (this.lostReplies === 0) return Promise.resolve(this.appends.length - 1);
+    this.lostReplies -= 1;
+    return Promise.reject(makeOutageError());
   }
 
   async read(request: LogReadRequest): Promise<LogPage> {
-    // Lets other tasks run, as a read over the network would.
-    await new Promise(resolve => setTimeout(resolve, WAKE_MS));
-    if (this.isDown) throw makeOutage();
+    // Yields to other tasks, as a network read does.
+    await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
+    if (this.isDown) throw makeOutageError();
     const {from, limit} = request;
     const {firstOffset} = this;
     if (from < firstOffset) {
-      throw new TypedError('trimmed', 'gone', {info: {firstOffset}});
+      throw new TypedError('trimmed', 'The record was trimmed.', {
+        info: {firstOffset},
+      });
     }
     const records = this.appends
       .slice(from, from + limit)
@@ -47,7 +49,6 @@
   }
 }
 
-/** A follower on a log, with no peers and no checkpoints. */
 export function makeFollower(log: LogService, name = 'node-1'): LogFollower {
   return new LogFollower({
     clock: new SystemClock(),
@@ -66,10 +67,10 @@
   appends: {pullAppends: () => Promise.resolve([])},
 };
 
-/** Another follower as the only source of one that can't read the log. */
+/** Makes another follower the only source of states and appends. */
 export function makePeerSources(peer: LogFollower) {
   return {
-    states: [{pullState: () => Promise.resolve(copyOf(peer))}],
+    states: [{pullState: () => Promise.resolve(copyState(peer))}],
     appends: {
       pullAppends: (from: number) => Promise.resolve(peer.listAppends(from)),
     },
@@ -86,18 +87,17 @@
   };
 }
 
-/** Waits until a condition holds. */
 export async function waitUntil(condition: () => boolean): Promise<void> {
   while (!condition()) {
-    await new Promise(resolve => setTimeout(resolve, WAKE_MS));
+    await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
 
-function copyOf(peer: LogFollower): AgreedState {
+function copyState(peer: LogFollower): AgreedState {
   const {state} = peer;
   return (state.constructor as typeof AgreedState).fromBytes(state.toBytes());
 }
 
-function makeOutage(): TypedError {
+function makeOutageError(): TypedError {
   return new TypedError('platform-unavailable', 'The log service is down.');
 }
