--- a/packages/checkpoints/src/checkpoint_parts.ts
+++ b/packages/checkpoints/src/checkpoint_parts.ts
@@ -1,7 +1,7 @@
 /**
- * The binary form of checkpoints. A checkpoint is compressed and cut into
- * parts, each one append; every part names the whole by its digest, so parts
- * of two writers never mix.
+ * The binary format of checkpoints. A compressed state is split into parts, one
+ * per append. Each part carries the digest of the state, so that readers can
+ * separate the parts of concurrent writers.
  */
 import {createHash} from 'node:crypto';
 import {promisify} from 'node:util';
@@ -14,13 +14,13 @@
 const compress = promisify(deflate);
 const decompress = promisify(inflate);
 
-const PART_FORM = 1;
+const PART_FORMAT_VERSION = 1;
 const MAX_PART_BYTES = 256 * 1024;
 const MAX_PARTS = 1024;
 
 const partSchema = z.object({
-  form: z.literal(PART_FORM),
-  /** SHA-256 of the whole uncompressed state. */
+  form: z.literal(PART_FORMAT_VERSION),
+  /** SHA-256 in hex of the uncompressed state. */
   digest: z.string().length(64),
   coversOffset: z.number().int().min(0),
   partIndex: z.number().int().min(0),
@@ -28,22 +28,22 @@
   data: z.custom<Uint8Array>(value => value instanceof Uint8Array),
 });
 
-/** One part of a checkpoint as it stands in the log. */
+/** One part of a checkpoint, as stored in the log. */
 export type CheckpointPart = z.infer<typeof partSchema>;
 
-/** Cuts a state into the appends that hold its checkpoint. */
+/** Encodes a state as the appends of one checkpoint. */
 export async function encodeCheckpoint(
   state: AgreedState,
 ): Promise<Uint8Array[]> {
   const coversOffset = state.nextOffset;
-  const whole = state.toBytes();
-  const digest = hash(whole);
-  const compressed = await compress(whole);
+  const stateBytes = state.toBytes();
+  const digest = hash(stateBytes);
+  const compressed = await compress(stateBytes);
   const partCount = Math.max(1, Math.ceil(compressed.length / MAX_PART_BYTES));
   return Array.from({length: partCount}, (_unused, partIndex) => {
     const from = partIndex * MAX_PART_BYTES;
     const part: CheckpointPart = {
-      form: PART_FORM,
+      form: PART_FORMAT_VERSION,
       digest,
       coversOffset,
       partIndex,
@@ -54,7 +54,7 @@
   });
 }
 
-/** Reads one append; null when it is no part of a checkpoint. */
+/** Decodes one append; null when it is not a valid checkpoint part. */
 export function decodePart(data: Uint8Array): CheckpointPart | null {
   try {
     const parsed = partSchema.safeParse(unpack(data));
@@ -65,32 +65,35 @@
 }
 
 /**
- * Puts the parts of one checkpoint together; rejects with `record-invalid`
- * when a part is missing or the bytes are not those that were written.
+ * Decodes a state from the parts of its checkpoint. Rejects with
+ * `record-invalid` when a part is missing or corrupted.
  */
 export async function assembleCheckpoint(
   parts: readonly CheckpointPart[],
 ): Promise<AgreedState> {
   const [first] = parts;
-  const chosen = Array.from({length: first?.partCount ?? 0}, (_unused, index) =>
-    parts.find(part => part.partIndex === index),
+  const orderedParts = Array.from(
+    {length: first?.partCount ?? 0},
+    (_unused, index) => parts.find(part => part.partIndex === index),
   );
-  if (!first || chosen.some(part => part === undefined)) {
-    throw new TypedError(
-      'record-invalid',
-      'A part of a checkpoint is missing.',
-    );
+  if (!first || orderedParts.some(part => part === undefined)) {
+    throw new TypedError('record-invalid', 'A checkpoint part is missing.');
   }
   const compressed = Buffer.concat(
-    (chosen as CheckpointPart[]).map(part => part.data),
+    (orderedParts as CheckpointPart[]).map(part => part.data),
   );
-  const whole = await decompress(compressed).catch((cause: Error) => {
-    throw new TypedError('record-invalid', 'A checkpoint is damaged.', {cause});
+  const stateBytes = await decompress(compressed).catch((cause: Error) => {
+    throw new TypedError('record-invalid', 'A checkpoint is corrupted.', {
+      cause,
+    });
   });
-  if (hash(whole) !== first.digest) {
-    throw new TypedError('record-invalid', 'A checkpoint has a wrong digest.');
+  if (hash(stateBytes) !== first.digest) {
+    throw new TypedError(
+      'record-invalid',
+      'The checkpoint digest does not match.',
+    );
   }
-  return AgreedState.fromBytes(whole);
+  return AgreedState.fromBytes(stateBytes);
 }
 
 function hash(data: Uint8Array): string {
--- a/packages/checkpoints/src/checkpoint_store.test.ts
+++ b/packages/checkpoints/src/checkpoint_store.test.ts
@@ -11,14 +11,14 @@
 import {CheckpointStore} from './checkpoint_store.js';
 import {decodePart, encodeCheckpoint} from './checkpoint_parts.js';
 
-/** A stream in memory. */
+/** A log service with one in-memory stream. */
 class MemoryStream implements LogService {
   appends: Uint8Array[] = [];
-  /** Appends that succeed before the writer dies. */
+  /** The number of appends that succeed before the writer crashes. */
   appendsLeft = Infinity;
 
   append(_stream: string, data: Uint8Array): Promise<number> {
-    if (this.appendsLeft <= 0) return Promise.reject(new Error('died'));
+    if (this.appendsLeft <= 0) return Promise.reject(new Error('crashed'));
     this.appendsLeft -= 1;
     this.appends.push(data);
     return Promise.resolve(this.appends.length - 1);
@@ -59,7 +59,7 @@
   return state;
 }
 
-/** Text that can't be compressed, so that a checkpoint has several parts. */
+/** Incompressible text, so that a checkpoint has several parts. */
 function hashText(index: number): string {
   return ['a', 'b']
     .map(salt =>
@@ -70,7 +70,7 @@
 
 const store = suite('checkpoint store');
 
-store('gives back the newest state', async () => {
+store('reads the newest state', async () => {
   const stream = new MemoryStream();
   const checkpoints = new CheckpointStore(stream, 'checkpoints');
   assert.is(await checkpoints.readNewest(), null);
@@ -80,7 +80,7 @@
   assert.is(state?.digest(), makeState(3).digest());
 });
 
-store('writes the same bytes for the same state', async () => {
+store('encodes equal states to equal bytes', async () => {
   const [first, second] = await Promise.all([
     encodeCheckpoint(makeState(5)),
     encodeCheckpoint(makeState(5)),
@@ -88,10 +88,9 @@
   assert.equal(first, second);
 });
 
-// A node dies while it writes a checkpoint of several parts. A node that
-// starts then must not take the part for the whole, nor give up: it goes on
-// from the checkpoint before.
-store('passes over a checkpoint that was cut off', async () => {
+// Guards against reading a partial checkpoint, or none at all, after a writer
+// crashed between two parts.
+store('skips an incomplete checkpoint', async () => {
   const stream = new MemoryStream();
   const checkpoints = new CheckpointStore(stream, 'checkpoints');
   await checkpoints.write(makeState(2));
@@ -104,8 +103,8 @@
   assert.is(state?.digest(), makeState(2).digest());
 });
 
-// Two nodes write at once and their parts stand mixed in the stream.
-store('puts mixed parts of two writers together', async () => {
+// Guards against mixing up the interleaved parts of two concurrent writers.
+store('assembles interleaved parts of two writers', async () => {
   const stream = new MemoryStream();
   const older = await encodeCheckpoint(makeState(2900, 170));
   const newer = await encodeCheckpoint(makeState(3000, 170));
@@ -117,9 +116,8 @@
   assert.is(state?.digest(), makeState(3000, 170).digest());
 });
 
-// A part was damaged on the way. Its digest shows it, and the checkpoint
-// before is used instead.
-store('passes over damaged bytes', async () => {
+// Guards against loading a corrupted checkpoint instead of the previous one.
+store('skips a corrupted checkpoint', async () => {
   const stream = new MemoryStream();
   const checkpoints = new CheckpointStore(stream, 'checkpoints');
   await checkpoints.write(makeState(1));
--- a/packages/checkpoints/src/checkpoint_store.ts
+++ b/packages/checkpoints/src/checkpoint_store.ts
@@ -1,4 +1,4 @@
-/** Writes checkpoints to a stream of the log service and finds the newest. */
+/** Writes checkpoints to a log stream and reads the newest one. */
 import {type AgreedState} from '@mimosatack/agreed-state';
 import {type TypedError, toTypedError} from '@mimosatack/errors';
 import {type LogPage, type LogService} from '@mimosatack/platform';
@@ -9,8 +9,8 @@
   encodeCheckpoint,
 } from './checkpoint_parts.js';
 
-/** How many appends one step backwards through the stream reads. */
-const WINDOW = 64;
+/** The number of appends per step of the backward scan. */
+const SCAN_WINDOW = 64;
 
 /** The checkpoints in one stream. */
 export class CheckpointStore {
@@ -20,9 +20,8 @@
   ) {}
 
   /**
-   * Appends the parts of one checkpoint. A part whose answer was lost is
-   * written again by the next checkpoint at the latest; a checkpoint that is
-   * cut off half-way is passed over by readers. Resolves with the bytes.
+   * Appends the parts of one checkpoint and resolves with their total size in
+   * bytes. Rejects when an append fails; readers skip incomplete checkpoints.
    */
   async write(state: AgreedState): Promise<number> {
     const parts = await encodeCheckpoint(state);
@@ -31,14 +30,14 @@
   }
 
   /**
-   * The newest whole checkpoint, or null when there is none. Rejects with
-   * `platform-unavailable` when the log service can't be read.
+   * Reads the newest complete checkpoint; null when there is none. Rejects with
+   * `platform-unavailable` when the log service is unavailable.
    */
   async readNewest(): Promise<AgreedState | null> {
     const {firstOffset, nextOffset} = await this.readBounds();
     let parts: CheckpointPart[] = [];
-    for (let until = nextOffset; until > firstOffset; until -= WINDOW) {
-      const from = Math.max(firstOffset, until - WINDOW);
+    for (let until = nextOffset; until > firstOffset; until -= SCAN_WINDOW) {
+      const from = Math.max(firstOffset, until - SCAN_WINDOW);
       parts = [...(await this.readParts(from, until)), ...parts];
       const newest = await assembleNewest(parts);
       if (newest) return newest;
@@ -65,8 +64,8 @@
     const parts = page.records
       .map(record => decodePart(record.data))
       .filter(part => part !== null);
-    const isWhole = !last || last.offset + 1 >= until;
-    return isWhole
+    const isComplete = !last || last.offset + 1 >= until;
+    return isComplete
       ? parts
       : [...parts, ...(await this.readParts(last.offset + 1, until))];
   }
@@ -76,7 +75,7 @@
   }
 }
 
-/** Tries checkpoints from the one that covers most to the one before. */
+/** Returns the newest checkpoint that can be assembled; null if there is none. */
 async function assembleNewest(
   parts: readonly CheckpointPart[],
 ): Promise<AgreedState | null> {
@@ -95,7 +94,7 @@
   return null;
 }
 
-/** Where the stream begins, as the refusal to read before it says. */
+/** Reads the first offset of the stream from a `trimmed` error. */
 function readFirstOffset(error: TypedError): number {
   const firstOffset = error.details.info?.['firstOffset'];
   if (error.kind === 'trimmed' && typeof firstOffset === 'number') {
