--- a/packages/caller-edge/src/caller_edge.ts
+++ b/packages/caller-edge/src/caller_edge.ts
@@ -1,8 +1,6 @@
 /**
- * The HTTP server that callers connect to. It works on Node's own server: a
- * request has to reach the backend server with its path, body and headers
- * unchanged, and an answer has to leave as it came, which a framework's
- * routing and parsing would get in the way of.
+ * The HTTP server that callers connect to. Uses Node's `http` module directly,
+ * because a framework's routing and parsing could alter proxied messages.
  */
 import {
   type IncomingMessage,
@@ -23,42 +21,41 @@
 import {HttpAnswerSink} from './http_answer_sink.js';
 import {readBody} from './read_body.js';
 
-/** What the edge is built from. */
 export interface CallerEdgeOptions {
   clock: Clock;
   gate: DrainGate;
   dialect: EdgeDialect;
-  /** Why a request is not served at all, told before its body is read. */
+  /** Returns an error to reject a request before its body is read, or null. */
   screen: (head: RequestHead) => TypedError | null;
   serve: (request: CallerRequest, sink: AnswerSink) => Promise<void>;
   onFault: (error: TypedError) => void;
 }
 
-/** Headers beyond this are refused by the parser itself. */
+/** Node's HTTP parser rejects larger headers. */
 const PARSER_MAX_HEADER_BYTES = 65_536;
-/** Limits while no configuration is known. */
-const FIRST_LIMITS: CallerLimits = {
+/** Limits until a configuration is loaded. */
+const DEFAULT_LIMITS: CallerLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 1_048_576,
   headerTimeoutMs: 5_000,
   idleTimeoutMs: 15_000,
 };
-/** How often the server looks for connections that are too slow. */
-const CHECK_INTERVAL_MS = 500;
+/** Interval at which the server checks connections for timeouts. */
+const TIMEOUT_CHECK_INTERVAL_MS = 500;
 const BACKLOG = 1_024;
-/** Another node takes the request at once. */
+/** Short, because other nodes can serve the request immediately. */
 const STOPPING_RETRY_MS = 50;
 
-/** Takes callers' requests and hands them to the pipeline. */
+/** Reads callers' requests and passes them to the request pipeline. */
 export class CallerEdge {
-  private limits = FIRST_LIMITS;
+  private limits = DEFAULT_LIMITS;
   private readonly server: Server;
 
   constructor(private readonly options: CallerEdgeOptions) {
     this.server = createServer(
       {
         maxHeaderSize: PARSER_MAX_HEADER_BYTES,
-        connectionsCheckingInterval: CHECK_INTERVAL_MS,
+        connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
         noDelay: true,
       },
       (incoming, response) => void this.handle(incoming, response),
@@ -82,20 +79,20 @@
     this.applyLimits();
   }
 
-  /** Ends what nobody uses; the others are closed after their answers. */
+  /** Closes idle connections; active ones close after their responses. */
   closeIdle(): void {
     this.server.closeIdleConnections();
   }
 
-  /** Takes no more connections; those that carry a request go on. */
+  /** Stops accepting connections; requests in flight continue. */
   stopListening(): void {
     this.server.close();
     this.server.closeIdleConnections();
   }
 
   /**
-   * Closes all that is left. Connections on which nothing was ever sent are
-   * not idle to Node's server, and would keep a stop waiting for ever.
+   * Closes all remaining connections. Guards against a shutdown that hangs on
+   * connections without any request, which Node does not count as idle.
    */
   closeAll(): void {
     this.server.closeAllConnections();
@@ -113,16 +110,16 @@
     const {clock, dialect, gate} = this.options;
     const work = gate.inFlight.begin(`${incoming.method} ${incoming.url}`);
     response.once('close', () => work.end());
-    const read = dialect.readRequest(incoming, clock.monotonicMs());
+    const parsed = dialect.readRequest(incoming, clock.monotonicMs());
     const sink = new HttpAnswerSink({
       response,
       dialect,
-      requestId: read instanceof TypedError ? null : read.requestId,
+      requestId: parsed instanceof TypedError ? null : parsed.requestId,
       closesConnection: () => gate.state !== 'serving' || !incoming.complete,
     });
-    if (!(read instanceof TypedError)) work.nameRequest(read.requestId);
+    if (!(parsed instanceof TypedError)) work.nameRequest(parsed.requestId);
     try {
-      await this.serveRead(read, incoming, sink);
+      await this.serveParsed(parsed, incoming, sink);
     } catch (thrown) {
       const error = toTypedError(thrown);
       this.options.onFault(error);
@@ -131,28 +128,28 @@
     }
   }
 
-  private async serveRead(
-    read: RequestHead | TypedError,
+  private async serveParsed(
+    parsed: RequestHead | TypedError,
     incoming: IncomingMessage,
     sink: HttpAnswerSink,
   ): Promise<void> {
-    if (read instanceof TypedError) return sink.refuse(read);
+    if (parsed instanceof TypedError) return sink.refuse(parsed);
     if (this.options.gate.state === 'refusing') {
-      return sink.refuse(makeStopping());
+      return sink.refuse(makeShutdownError());
     }
-    const barred = this.options.screen(read);
-    if (barred) return sink.refuse(barred);
-    const body = await this.readBodyOf(incoming);
+    const rejection = this.options.screen(parsed);
+    if (rejection) return sink.refuse(rejection);
+    const body = await this.readLimitedBody(incoming);
     if (body instanceof TypedError) return sink.refuse(body);
-    if (body) await this.options.serve({...read, body}, sink);
+    if (body) await this.options.serve({...parsed, body}, sink);
   }
 
-  private async readBodyOf(
+  private async readLimitedBody(
     incoming: IncomingMessage,
   ): Promise<Uint8Array | TypedError | null> {
     const {maxBodyBytes, idleTimeoutMs} = this.limits;
     if (countHeaderBytes(incoming) > this.limits.maxHeaderBytes) {
-      return makeHeadersTooLarge(this.limits.maxHeaderBytes);
+      return makeHeadersTooLargeError(this.limits.maxHeaderBytes);
     }
     try {
       return await readBody(
@@ -166,22 +163,22 @@
   }
 }
 
-function makeStopping(): TypedError {
-  return new TypedError('shutting-down', 'This node is stopping.', {
+function makeShutdownError(): TypedError {
+  return new TypedError('shutting-down', 'The node is shutting down.', {
     run: 'not-run',
     retryAfterMs: STOPPING_RETRY_MS,
   });
 }
 
-/** Names, values, and the four bytes that stand around each pair. */
+/** Counts names and values plus four bytes of `: ` and CRLF per header. */
 function countHeaderBytes({rawHeaders}: IncomingMessage): number {
   return rawHeaders.reduce((sum, part) => sum + part.length + 2, 0);
 }
 
-function makeHeadersTooLarge(maxBytes: number): TypedError {
+function makeHeadersTooLargeError(maxBytes: number): TypedError {
   return new TypedError(
     'headers-too-large',
-    `The headers have more than ${maxBytes} bytes.`,
+    `The headers exceed ${maxBytes} bytes.`,
     {run: 'not-run'},
   );
 }
--- a/packages/caller-edge/src/edge_dialect.ts
+++ b/packages/caller-edge/src/edge_dialect.ts
@@ -1,19 +1,19 @@
-/** How callers' requests are read and refusals are written. */
+/** The interface for parsing callers' requests and formatting errors. */
 import {type IncomingMessage} from 'node:http';
 import {type TypedError} from '@mimosatack/errors';
 import {type CallerRequest} from '@mimosatack/serve-requests';
 
-/** A refusal as it goes out. */
+/** An HTTP error response. */
 export interface RefusalForm {
   status: number;
-  /** Names and values by turns. */
+  /** Alternating names and values. */
   headers: readonly string[];
   body: string;
 }
 
-/** Translates between HTTP messages of one interface and typed requests. */
+/** Converts between HTTP messages of one API and typed requests. */
 export interface EdgeDialect {
-  /** The request without its body, or why it can't be taken. */
+  /** Parses a request without its body, or returns the error. */
   readRequest(
     incoming: IncomingMessage,
     receivedAtMs: number,
--- a/packages/caller-edge/src/http_answer_sink.ts
+++ b/packages/caller-edge/src/http_answer_sink.ts
@@ -1,34 +1,33 @@
-/** Writes the answer of one request to its HTTP connection. */
+/** Writes the response of one request to its HTTP connection. */
 import {type ServerResponse} from 'node:http';
 import {type TypedError} from '@mimosatack/errors';
 import {type AnswerSink} from '@mimosatack/serve-requests';
 import {type EdgeDialect} from './edge_dialect.js';
 
-/** What a sink is made from. */
 export interface HttpAnswerSinkOptions {
   response: ServerResponse;
   dialect: EdgeDialect;
   requestId: string | null;
-  /** Whether the connection is to be closed after the answer. */
+  /** Whether to close the connection after the response. */
   closesConnection: () => boolean;
 }
 
-/** The answer's side of one exchange. */
+/** An answer sink on an HTTP response; ignores calls after its end. */
 export class HttpAnswerSink implements AnswerSink {
-  private readonly leaving = new AbortController();
-  private isOver = false;
+  private readonly disconnect = new AbortController();
+  private isEnded = false;
 
   constructor(private readonly options: HttpAnswerSinkOptions) {
     const {response} = options;
     response.on('error', () => undefined);
     response.once('close', () => {
-      if (!response.writableFinished && !this.isOver) this.leaving.abort();
-      this.isOver = true;
+      if (!response.writableFinished && !this.isEnded) this.disconnect.abort();
+      this.isEnded = true;
     });
   }
 
   get gone(): AbortSignal {
-    return this.leaving.signal;
+    return this.disconnect.signal;
   }
 
   get hasBegun(): boolean {
@@ -36,44 +35,44 @@
   }
 
   refuse(error: TypedError): void {
-    if (this.isOver || this.hasBegun) return;
+    if (this.isEnded || this.hasBegun) return;
     const {dialect, requestId, response} = this.options;
-    const form = dialect.formatRefusal(error, requestId);
-    response.writeHead(form.status, this.addClose(form.headers));
-    this.finish(form.body);
+    const refusal = dialect.formatRefusal(error, requestId);
+    response.writeHead(refusal.status, this.withCloseHeader(refusal.headers));
+    this.finish(refusal.body);
   }
 
   begin(status: number, headers: readonly string[]): void {
-    if (this.isOver || this.hasBegun) return;
-    this.options.response.writeHead(status, this.addClose(headers));
+    if (this.isEnded || this.hasBegun) return;
+    this.options.response.writeHead(status, this.withCloseHeader(headers));
   }
 
-  write(piece: Uint8Array): boolean {
-    if (this.isOver) return true;
-    return this.options.response.write(piece);
+  write(chunk: Uint8Array): boolean {
+    if (this.isEnded) return true;
+    return this.options.response.write(chunk);
   }
 
   onDrain(callback: () => void): void {
-    if (this.isOver) return callback();
+    if (this.isEnded) return callback();
     this.options.response.once('drain', callback);
   }
 
   end(): void {
-    if (!this.isOver) this.finish();
+    if (!this.isEnded) this.finish();
   }
 
   abort(): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.isEnded) return;
+    this.isEnded = true;
     this.options.response.destroy();
   }
 
   private finish(body?: string): void {
-    this.isOver = true;
+    this.isEnded = true;
     this.options.response.end(body);
   }
 
-  private addClose(headers: readonly string[]): string[] {
+  private withCloseHeader(headers: readonly string[]): string[] {
     return this.options.closesConnection()
       ? [...headers, 'Connection', 'close']
       : [...headers];
--- a/packages/caller-edge/src/read_body.ts
+++ b/packages/caller-edge/src/read_body.ts
@@ -1,16 +1,15 @@
-/** Reads the body of a request into memory, within bounds. */
+/** Reads a request body into memory, with limits on size and idle time. */
 import {type IncomingMessage} from 'node:http';
 import {type Clock, type Timer} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
 
-/** Bounds on a body. */
 export interface BodyLimits {
   maxBytes: number;
-  /** The longest silence in the middle of the body. */
+  /** Maximum time between two chunks of the body. */
   idleTimeoutMs: number;
 }
 
-/** Resolves with the body, or null when the caller left before its end. */
+/** Resolves with the body, or null when the connection closes early. */
 export function readBody(
   incoming: IncomingMessage,
   limits: BodyLimits,
@@ -18,53 +17,55 @@
 ): Promise<Uint8Array | null> {
   const declared = Number(incoming.headers['content-length'] ?? 0);
   if (declared > limits.maxBytes) {
-    return Promise.reject(makeTooLarge(limits.maxBytes));
+    return Promise.reject(makeBodyTooLargeError(limits.maxBytes));
   }
   return new Promise((resolve, reject) => {
-    const pieces: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let byteCount = 0;
     let timer: Timer | null = null;
-    const watch = () => {
+    const resetIdleTimer = () => {
       timer?.cancel();
-      timer = clock.setTimer(limits.idleTimeoutMs, () => reject(makeTooSlow()));
+      timer = clock.setTimer(limits.idleTimeoutMs, () =>
+        reject(makeBodyTimeoutError()),
+      );
     };
-    incoming.on('data', (piece: Buffer) => {
-      byteCount += piece.length;
+    incoming.on('data', (chunk: Buffer) => {
+      byteCount += chunk.length;
       if (byteCount > limits.maxBytes) {
         incoming.pause();
         timer?.cancel();
-        return reject(makeTooLarge(limits.maxBytes));
+        return reject(makeBodyTooLargeError(limits.maxBytes));
       }
-      pieces.push(piece);
-      watch();
+      chunks.push(chunk);
+      resetIdleTimer();
     });
     incoming.once('end', () => {
       timer?.cancel();
-      resolve(joinPieces(pieces));
+      resolve(concatChunks(chunks));
     });
     incoming.once('close', () => {
       timer?.cancel();
       resolve(null);
     });
     incoming.once('error', () => resolve(null));
-    watch();
+    resetIdleTimer();
   });
 }
 
-function joinPieces(pieces: readonly Buffer[]): Uint8Array {
-  const [only] = pieces;
-  return pieces.length === 1 && only ? only : Buffer.concat(pieces);
+function concatChunks(chunks: readonly Buffer[]): Uint8Array {
+  const [single] = chunks;
+  return chunks.length === 1 && single ? single : Buffer.concat(chunks);
 }
 
-function makeTooLarge(maxBytes: number): TypedError {
+function makeBodyTooLargeError(maxBytes: number): TypedError {
   return new TypedError(
     'body-too-large',
-    `The body has more than ${maxBytes} bytes.`,
+    `The body exceeds ${maxBytes} bytes.`,
     {run: 'not-run'},
   );
 }
 
-function makeTooSlow(): TypedError {
+function makeBodyTimeoutError(): TypedError {
   return new TypedError('request-timeout', 'The body did not arrive in time.', {
     run: 'not-run',
   });
