--- a/packages/cli/src/admin_client.ts
+++ b/packages/cli/src/admin_client.ts
@@ -1,4 +1,4 @@
-/** Calls the operators' interface of a node, or of the next one. */
+/** HTTP client of the admin API, with failover to the next node. */
 import {
   ERROR_KINDS,
   type ErrorKind,
@@ -8,7 +8,6 @@
 import {Agent, type Dispatcher, request} from 'undici';
 import {z} from 'zod';
 
-/** One call; what a plan is made of. */
 export interface AdminRequest {
   method: 'GET' | 'PUT' | 'POST' | 'DELETE';
   path: string;
@@ -16,23 +15,22 @@
   body?: unknown;
 }
 
-/** Where the operators' interface is and who asks. */
 export interface AdminClientOptions {
-  /** Tried in order until one answers. */
+  /** Tried in order until one responds. */
   baseUrls: readonly string[];
   token: string;
   timeoutMs: number;
-  /** Certificates to trust beside those of the system, as PEM. */
+  /** CA certificates to trust in addition to those of the system, as PEM. */
   trustedCertificates?: string;
 }
 
 const CONNECT_TIMEOUT_MS = 3_000;
 const PAGE_LIMIT = 500;
 const CERTIFICATE_REMEDY =
-  'Give the certificate of its authority with --ca-file, or correct the scheme.';
+  'Give the CA certificate with --ca-file, or correct the scheme of the URL.';
 
-/** Failures of a connection over which nothing can have been sent. */
-const NOTHING_SENT_CODES = [
+/** Error codes that occur before any byte of the request is sent. */
+const CONNECT_ERROR_CODES = [
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -41,8 +39,8 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ];
 
-/** Failures of the handshake, before which nothing is sent either. */
-const HANDSHAKE_CODE = /CERT|^ERR_TLS|^ERR_SSL|^EPROTO$/;
+/** Error codes of a failed TLS handshake, also before the request is sent. */
+const TLS_ERROR_CODE = /CERT|^ERR_TLS|^ERR_SSL|^EPROTO$/;
 
 const errorSchema = z.object({
   error: z.object({
@@ -59,7 +57,7 @@
   nextCursor: z.string().nullable(),
 });
 
-/** A client of `/admin/v1`; every method rejects with a `TypedError`. */
+/** A client of `/admin/v1`; its methods reject with a `TypedError`. */
 export class AdminClient {
   private readonly dispatcher: Dispatcher;
 
@@ -74,17 +72,21 @@
     });
   }
 
-  /** Sends one request to the first node that takes it. */
+  /** Sends a request to the first reachable node and validates the response. */
   async send<T>(call: AdminRequest, schema: z.ZodType<T>): Promise<T> {
-    const answer = await this.sendToAny(call);
-    const parsed = schema.safeParse(answer);
+    const response = await this.sendToFirstReachable(call);
+    const parsed = schema.safeParse(response);
     if (parsed.success) return parsed.data;
-    throw new TypedError('internal', 'The node gave an unreadable answer.', {
-      remedy: 'Use a tool of the same release as the node.',
-    });
+    throw new TypedError(
+      'internal',
+      'The response of the node has an unexpected format.',
+      {
+        remedy: 'Use a tool of the same release as the node.',
+      },
+    );
   }
 
-  /** Reads all pages of a list. */
+  /** Reads all pages of a paginated list. */
   async list<T>(
     path: string,
     query: AdminRequest['query'],
@@ -107,7 +109,7 @@
     return this.dispatcher.close();
   }
 
-  private async sendToAny(call: AdminRequest): Promise<unknown> {
+  private async sendToFirstReachable(call: AdminRequest): Promise<unknown> {
     const failures: TypedError[] = [];
     const messages: string[] = [];
     for (const baseUrl of this.options.baseUrls) {
@@ -115,7 +117,7 @@
         return await this.sendTo(baseUrl, call);
       } catch (thrown) {
         const error = toTypedError(thrown);
-        if (!isOtherNodeWorthTrying(error)) throw error;
+        if (!shouldTryNextNode(error)) throw error;
         failures.push(error);
         messages.push(`${baseUrl}: ${error.message}`);
       }
@@ -143,10 +145,10 @@
       });
       const text = await response.body.text();
       if (response.statusCode < 300) return parseJson(text);
-      throw readRefusal(text, response.statusCode);
+      throw parseErrorResponse(text, response.statusCode);
     } catch (thrown) {
       if (thrown instanceof TypedError) throw thrown;
-      throw describeFailure(thrown, method);
+      throw toConnectionError(thrown, method);
     }
   }
 }
@@ -160,39 +162,42 @@
 }
 
 /**
- * Guards against a change that is made twice: once part of a request may have
- * arrived, the change may be in force although no answer came, so only
- * reading is tried again at another node.
+ * Guards against applying a change twice: a node may have applied a change
+ * whose response was lost, so only reads are retried at another node.
  */
-function describeFailure(thrown: unknown, method: string): TypedError {
+function toConnectionError(thrown: unknown, method: string): TypedError {
   const cause = thrown instanceof Error ? thrown : new Error(String(thrown));
   const code = (thrown as {code?: string}).code ?? '';
-  const isHandshake = HANDSHAKE_CODE.test(code);
-  const mayHaveArrived = !isHandshake && !NOTHING_SENT_CODES.includes(code);
+  const isTlsError = TLS_ERROR_CODE.test(code);
+  const mayHaveArrived = !isTlsError && !CONNECT_ERROR_CODES.includes(code);
   if (method === 'GET' || !mayHaveArrived) {
-    return new TypedError('node-unreachable', 'no answer', {
+    return new TypedError('node-unreachable', 'no response', {
       cause,
-      ...(isHandshake ? {remedy: CERTIFICATE_REMEDY} : {}),
+      ...(isTlsError ? {remedy: CERTIFICATE_REMEDY} : {}),
     });
   }
-  return new TypedError('outcome-unknown', 'The answer was lost', {
-    cause,
-    run: 'unknown',
-    remedy: 'The change may be in force. Read it before you try again.',
-  });
+  return new TypedError(
+    'outcome-unknown',
+    'The connection was lost before the response',
+    {
+      cause,
+      run: 'unknown',
+      remedy: 'The change may be in force. Read it before you try again.',
+    },
+  );
 }
 
-function isOtherNodeWorthTrying({kind}: TypedError): boolean {
+function shouldTryNextNode({kind}: TypedError): boolean {
   return kind === 'node-unreachable' || kind === 'shutting-down';
 }
 
-function readRefusal(text: string, statusCode: number): TypedError {
+function parseErrorResponse(text: string, statusCode: number): TypedError {
   const parsed = errorSchema.safeParse(parseJson(text));
   if (!parsed.success) {
     return new TypedError(
       'internal',
-      `The answer has status ${statusCode} and is not from a node.`,
-      {remedy: "Check that --admin-url is an operators' interface."},
+      `The response with status ${statusCode} is not an error of the admin API.`,
+      {remedy: 'Check that --admin-url is the admin URL of a node.'},
     );
   }
   const {kind, message, remedy, retryAfterMs, info} = parsed.data.error;
@@ -204,7 +209,7 @@
   });
 }
 
-/** A newer node may know kinds that this tool does not. */
+/** Maps an error kind of a newer node, unknown to this tool, by its status. */
 function fallbackKind(statusCode: number): ErrorKind {
   return statusCode < 500 ? 'bad-request' : 'internal';
 }
--- a/packages/cli/src/base_command.ts
+++ b/packages/cli/src/base_command.ts
@@ -1,4 +1,4 @@
-/** Options and manners that every command shares. */
+/** Options, output and error handling that all commands share. */
 import {
   type TypedError,
   formatErrorBody,
@@ -9,11 +9,11 @@
 import {EXIT_CODES, toExitCode} from './exit_codes.js';
 import {type ToolContext} from './tool_context.js';
 
-/** What a command came to. */
+/** The output of a command and its exit code. */
 export interface Report {
-  /** What `--json` prints. */
+  /** Printed with `--json`. */
   json: unknown;
-  /** What people read. */
+  /** Printed without `--json`. */
   text: string;
   exitCode?: number;
 }
@@ -40,35 +40,34 @@
 
   protected abstract perform(): Promise<Report>;
 
-  /** Tells of something that goes on, beside the report. */
-  protected tell(line: string): void {
+  protected writeToStderr(line: string): void {
     this.context.stderr.write(`${line}\n`);
   }
 
   private fail(thrown: unknown): number {
     if (thrown instanceof UsageError) {
-      this.tell(`usage: ${thrown.message}`);
+      this.writeToStderr(`usage: ${thrown.message}`);
       return EXIT_CODES.usage;
     }
     const error = toTypedError(thrown);
-    this.tell(this.isJson ? toJson(error) : toText(error));
+    this.writeToStderr(this.isJson ? toJson(error) : toText(error));
     return toExitCode(error);
   }
 }
 
-/** A command that talks to the operators' interface. */
+/** A command that calls the admin API. */
 export abstract class AdminCommand extends BaseCommand {
   adminUrls = Option.Array('--admin-url', {
     description:
-      "Base URL of a node's operators' interface; may be given several times, and the next is tried when one is down",
+      "Base URL of a node's admin API; may be repeated, and the next one is tried when one is unreachable",
   });
   token = Option.String('--token', {
     env: 'MIMOSATACK_TOKEN',
-    description: 'Bearer token; better given as MIMOSATACK_TOKEN',
+    description: 'Bearer token; prefer the variable MIMOSATACK_TOKEN',
   });
   caFile = Option.String('--ca-file', {
     env: 'MIMOSATACK_CA_FILE',
-    description: 'PEM file with certificates to trust',
+    description: 'PEM file with CA certificates to trust',
   });
 
   override async execute(): Promise<number> {
@@ -85,51 +84,53 @@
       this.context.env['MIMOSATACK_ADMIN_URL'] ?? '',
     ];
     this.client = new AdminClient({
-      baseUrls: readUrls(baseUrls),
+      baseUrls: parseUrls(baseUrls),
       token: requireText(this.token, '--token', 'MIMOSATACK_TOKEN'),
       timeoutMs: REQUEST_TIMEOUT_MS,
       trustedCertificates:
         this.caFile === undefined
           ? undefined
-          : await readInput(this.context, this.caFile),
+          : await readInputFile(this.context, this.caFile),
     });
     return this.client;
   }
 }
 
-/** Reads a file that the command line names. */
-export async function readInput(
+/** Reads a file; a file that cannot be read is a usage error. */
+export async function readInputFile(
   context: ToolContext,
   path: string,
 ): Promise<string> {
   try {
     return await context.readFile(path);
   } catch (thrown) {
-    const why = thrown instanceof Error ? thrown.message : String(thrown);
-    throw new UsageError(`${path} can't be read: ${why}`);
+    const reason = thrown instanceof Error ? thrown.message : String(thrown);
+    throw new UsageError(`Cannot read ${path}: ${reason}`);
   }
 }
 
-/** Reads a whole number that is not negative. */
-export function readCount(
+/** Parses a non-negative integer. */
+export function parseCount(
   text: string | undefined,
   flag: string,
 ): number | undefined {
   if (text === undefined) return undefined;
   if (/^\d{1,15}$/.test(text)) return Number(text);
-  throw new UsageError(`${flag} takes a whole number, not "${text}".`);
+  throw new UsageError(
+    `${flag} must be a non-negative integer, not "${text}".`,
+  );
 }
 
-function readUrls(texts: readonly string[]): string[] {
+function parseUrls(texts: readonly string[]): string[] {
   const urls = texts
     .flatMap(text => text.split(','))
     .map(text => text.trim())
     .filter(text => text !== '');
   requireText(urls[0], '--admin-url', 'MIMOSATACK_ADMIN_URL');
-  const wrong = urls.find(url => !/^https?:\/\/[^/]+/.test(url));
-  if (wrong === undefined) return urls;
+  const invalid = urls.find(url => !/^https?:\/\/[^/]+/.test(url));
+  if (invalid === undefined) return urls;
   throw new UsageError(
-    `--admin-url takes a URL such as http://10.0.0.5:7081; not "${wrong}".`,
+    `--admin-url must be a URL such as http://10.0.0.5:7081, not "${invalid}".`,
   );
 }
 
--- a/packages/cli/src/changing_command.ts
+++ b/packages/cli/src/changing_command.ts
@@ -1,34 +1,38 @@
-/** Commands that change something, and wait until it is in force. */
+/** Base classes of commands that make a change or wait for a condition. */
 import {sleep} from '@mimosatack/clock';
 import {TypedError} from '@mimosatack/errors';
 import {Option} from 'clipanion';
 import {type z} from 'zod';
 import {type AdminRequest} from './admin_client.js';
-import {type AcceptedAnswer, acceptedSchema, inForceSchema} from './answers.js';
-import {AdminCommand, readCount} from './base_command.js';
+import {
+  type AcceptedResponse,
+  acceptedSchema,
+  inForceSchema,
+} from './responses.js';
+import {AdminCommand, parseCount} from './base_command.js';
 
 const DEFAULT_TIMEOUT_SECONDS = 30;
 const SECOND_MS = 1_000;
 const POLL_INTERVAL_MS = 250;
 
-/** A command that waits for something, with its progress on stderr. */
+/** A command that polls for a condition and reports progress on stderr. */
 export abstract class WaitingCommand extends AdminCommand {
   timeoutSeconds = Option.String('--timeout-seconds', {
-    description: `How long to wait; ${DEFAULT_TIMEOUT_SECONDS} when left out`,
+    description: `How long to wait; ${DEFAULT_TIMEOUT_SECONDS} by default`,
   });
 
-  /** Looks again and again until `look` gives something. */
+  /** Polls until `poll` resolves with a value other than null, or times out. */
   protected async waitFor<T>(
     what: string,
-    look: () => Promise<T | null>,
+    poll: () => Promise<T | null>,
   ): Promise<T> {
     const {clock} = this.context;
     const timeoutSeconds =
-      readCount(this.timeoutSeconds, '--timeout-seconds') ??
+      parseCount(this.timeoutSeconds, '--timeout-seconds') ??
       DEFAULT_TIMEOUT_SECONDS;
     const endMs = clock.monotonicMs() + timeoutSeconds * SECOND_MS;
     for (;;) {
-      const found = await look();
+      const found = await poll();
       if (found !== null) return found;
       if (clock.monotonicMs() >= endMs) throw makeTimeout(what, timeoutSeconds);
       await sleep(clock, POLL_INTERVAL_MS);
@@ -36,21 +40,21 @@
   }
 }
 
-/** A command that makes one change. */
+/** A command that makes one change through the admin API. */
 export abstract class ChangingCommand extends WaitingCommand {
   reason = Option.String('--reason', {
-    description: 'Why, for the audit trail',
+    description: 'Reason to record in the audit trail',
   });
   shouldWait = Option.Boolean('--wait', false, {
     description: 'Wait until the change is in force on all live nodes',
   });
 
   /** Sends the change and, with `--wait`, waits until it is in force. */
-  protected async apply(plan: AdminRequest): Promise<AcceptedAnswer> {
+  protected async apply(plan: AdminRequest): Promise<AcceptedResponse> {
     return this.applyAs(plan, acceptedSchema);
   }
 
-  protected async applyAs<T extends AcceptedAnswer>(
+  protected async applyAs<T extends AcceptedResponse>(
     plan: AdminRequest,
     schema: z.ZodType<T>,
   ): Promise<T> {
@@ -74,7 +78,7 @@
       const line =
         `in force on ${done} of ${total} nodes` +
         (missing === '' ? '' : `; not on ${missing}`);
-      if (line !== lastLine) this.tell(line);
+      if (line !== lastLine) this.writeToStderr(line);
       lastLine = line;
       return view.isInForceEverywhere ? true : null;
     });
@@ -84,7 +88,7 @@
 function makeTimeout(what: string, timeoutSeconds: number): TypedError {
   return new TypedError(
     'deadline-exceeded',
-    `Waited ${timeoutSeconds} s in vain for ${what}.`,
-    {remedy: 'Wait longer with --timeout-seconds, or look at `status`.'},
+    `Timed out after ${timeoutSeconds} s waiting for ${what}.`,
+    {remedy: 'Increase --timeout-seconds, or run `mimosatack status`.'},
   );
 }
--- a/packages/cli/src/commands/audit/index.ts
+++ b/packages/cli/src/commands/audit/index.ts
@@ -1,14 +1,13 @@
 /** `mimosatack audit`. */
 import {Command, Option} from 'clipanion';
-import {type AuditEntryAnswer, auditPageSchema} from '../../answers.js';
-import {AdminCommand, type Report, readCount} from '../../base_command.js';
+import {type AuditEntryResponse, auditPageSchema} from '../../responses.js';
+import {AdminCommand, type Report, parseCount} from '../../base_command.js';
 import {describeDifference} from '../../print/difference.js';
 import {formatTable} from '../../print/table.js';
 import {formatTime} from '../../print/times.js';
 
 const DEFAULT_LIMIT = 50;
 
-/** Shows who changed what, when and why. */
 export class AuditCommand extends AdminCommand {
   static override paths = [['audit']];
   static override usage = Command.Usage({
@@ -29,24 +28,28 @@
   kind = Option.String('--kind', {
     description: 'team, model, service, template, event, backend-server',
   });
-  subjectId = Option.String('--id', {description: 'Only of this id'});
+  subjectId = Option.String('--id', {
+    description: 'Only changes of the object with this id',
+  });
   operator = Option.String('--operator', {
-    description: 'Only by this operator',
+    description: 'Only changes by this operator',
+  });
+  from = Option.String('--from', {
+    description: 'Only changes at or after this time',
   });
-  from = Option.String('--from', {description: 'From this time on'});
-  to = Option.String('--to', {description: 'Before this time'});
+  to = Option.String('--to', {description: 'Only changes before this time'});
   limit = Option.String('--limit', {
-    description: `How many at most; ${DEFAULT_LIMIT} when left out`,
+    description: `Maximum number of entries; ${DEFAULT_LIMIT} by default`,
   });
   cursor = Option.String('--cursor', {
-    description: 'nextCursor of the page before',
+    description: 'nextCursor of the previous page',
   });
   shouldDiff = Option.Boolean('--diff', false, {
-    description: 'Show what each change changed',
+    description: 'Show the changed fields of each change',
   });
 
   protected async perform(): Promise<Report> {
-    const limit = readCount(this.limit, '--limit') ?? DEFAULT_LIMIT;
+    const limit = parseCount(this.limit, '--limit') ?? DEFAULT_LIMIT;
     const {kind, subjectId: id, operator, from, to, cursor} = this;
     const client = await this.connect();
     const page = await client.send(
@@ -57,7 +60,7 @@
       },
       auditPageSchema,
     );
-    if (page.note !== null) this.tell(page.note);
+    if (page.note !== null) this.writeToStderr(page.note);
     const text = this.shouldDiff
       ? page.items.map(formatEntry).join('')
       : formatEntries(page.items);
@@ -69,10 +72,9 @@
   }
 }
 
-/** The commands about the audit trail. */
 export const AUDIT_COMMANDS = [AuditCommand];
 
-function formatEntries(entries: readonly AuditEntryAnswer[]): string {
+function formatEntries(entries: readonly AuditEntryResponse[]): string {
   return formatTable(entries, [
     {title: 'time', read: entry => formatTime(entry.writtenAtMs)},
     {title: 'operator', read: entry => entry.operator},
@@ -83,7 +85,7 @@
   ]);
 }
 
-function formatEntry(entry: AuditEntryAnswer): string {
+function formatEntry(entry: AuditEntryResponse): string {
   const head =
     `${formatTime(entry.writtenAtMs)} ${entry.operator ?? '-'} ` +
     `${entry.change} ${entry.kind} ${entry.id}: ${describeOutcome(entry)}` +
@@ -92,7 +94,7 @@
   return [head, ...lines.map(line => `  ${line}`), ''].join('\n');
 }
 
-function describeOutcome({outcome}: AuditEntryAnswer): string {
+function describeOutcome({outcome}: AuditEntryResponse): string {
   return outcome.status === 'valid'
     ? 'in force'
     : `refused, ${outcome.reason ?? 'void'}`;
--- a/packages/cli/src/commands/document/delete_command.ts
+++ b/packages/cli/src/commands/document/delete_command.ts
@@ -1,14 +1,14 @@
 /** `mimosatack <kind> delete`, and `event cancel`. */
 import {type DocumentKind} from '@mimosatack/records';
 import {Command, type CommandClass, Option} from 'clipanion';
-import {type Report, readCount} from '../../base_command.js';
+import {type Report, parseCount} from '../../base_command.js';
 import {ChangingCommand} from '../../changing_command.js';
 import {planDelete} from '../../plans/document_plans.js';
 import {withArticle} from '../../print/with_article.js';
 import {type ToolContext} from '../../tool_context.js';
 import {readDocument} from './read_version.js';
 
-/** The command that deletes one document. */
+/** Creates the command that deletes a document of one kind. */
 export function makeDeleteCommand(
   kind: DocumentKind,
 ): CommandClass<ToolContext> {
@@ -30,11 +30,11 @@
 
     documentId = Option.String({name: 'id'});
     expectedVersion = Option.String('--expected-version', {
-      description: 'The version that the change was made against',
+      description: 'Version that the change is based on',
     });
 
     protected async perform(): Promise<Report> {
-      const given = readCount(this.expectedVersion, '--expected-version');
+      const given = parseCount(this.expectedVersion, '--expected-version');
       const client = await this.connect();
       const id = this.documentId;
       const version = given ?? (await readDocument(client, kind, id)).version;
--- a/packages/cli/src/commands/document/index.ts
+++ b/packages/cli/src/commands/document/index.ts
@@ -1,4 +1,4 @@
-/** The commands that are the same for every kind of document. */
+/** Commands that exist for every kind of document. */
 import {type CommandClass} from 'clipanion';
 import {KINDS} from '../../plans/document_plans.js';
 import {type ToolContext} from '../../tool_context.js';
--- a/packages/cli/src/commands/document/list_command.ts
+++ b/packages/cli/src/commands/document/list_command.ts
@@ -1,18 +1,18 @@
 /** `mimosatack <kind> list`. */
 import {type DocumentKind} from '@mimosatack/records';
 import {Command, type CommandClass, Option} from 'clipanion';
-import {type DocumentAnswer, documentSchema} from '../../answers.js';
+import {type DocumentResponse, documentSchema} from '../../responses.js';
 import {AdminCommand, type Report} from '../../base_command.js';
 import {toListPath} from '../../plans/document_plans.js';
 import {type Column, formatTable} from '../../print/table.js';
 import {type ToolContext} from '../../tool_context.js';
 
-const BASE_COLUMNS: Column<DocumentAnswer>[] = [
+const BASE_COLUMNS: Column<DocumentResponse>[] = [
   {title: 'id', read: document => document.id},
   {title: 'version', read: document => document.version},
 ];
 
-const OWN_COLUMNS: Record<DocumentKind, string[]> = {
+const CONTENT_COLUMNS: Record<DocumentKind, string[]> = {
   team: ['displayName'],
   model: ['pool', 'version', 'memoryMib'],
   service: ['pool'],
@@ -20,7 +20,7 @@
   event: ['team', 'template'],
 };
 
-/** The command that lists documents of one kind. */
+/** Creates the command that lists documents of one kind. */
 export function makeListCommand(kind: DocumentKind): CommandClass<ToolContext> {
   return class extends AdminCommand {
     static override paths = [[kind, 'list']];
@@ -29,7 +29,9 @@
       description: `List ${kind}s`,
     });
 
-    team = Option.String('--team', {description: "Only this team's"});
+    team = Option.String('--team', {
+      description: 'Only documents of this team',
+    });
 
     protected async perform(): Promise<Report> {
       const client = await this.connect();
@@ -38,13 +40,13 @@
         {team: this.team},
         documentSchema,
       );
-      const own = OWN_COLUMNS[kind].map(field => ({
+      const contentColumns = CONTENT_COLUMNS[kind].map(field => ({
         title: field,
-        read: (document: DocumentAnswer) => toText(document.content[field]),
+        read: (document: DocumentResponse) => toText(document.content[field]),
       }));
       return {
         json: {items},
-        text: formatTable(items, [...BASE_COLUMNS, ...own]),
+        text: formatTable(items, [...BASE_COLUMNS, ...contentColumns]),
       };
     }
   };
--- a/packages/cli/src/commands/document/put_command.ts
+++ b/packages/cli/src/commands/document/put_command.ts
@@ -1,7 +1,7 @@
 /** `mimosatack <kind> put`. */
 import {type DocumentKind} from '@mimosatack/records';
 import {Command, type CommandClass, Option} from 'clipanion';
-import {type Report, readCount} from '../../base_command.js';
+import {type Report, parseCount} from '../../base_command.js';
 import {ChangingCommand} from '../../changing_command.js';
 import {planPut} from '../../plans/document_plans.js';
 import {withArticle} from '../../print/with_article.js';
@@ -9,26 +9,26 @@
 import {readContent} from './read_content.js';
 import {readVersion} from './read_version.js';
 
-/** The command that publishes one document. */
+/** Creates the command that publishes a document of one kind. */
 export function makePutCommand(kind: DocumentKind): CommandClass<ToolContext> {
   return class extends ChangingCommand {
     static override paths = [[kind, 'put']];
     static override usage = Command.Usage({
       category: 'Documents',
       description: `Publish ${withArticle(kind)} from a JSON file`,
-      details: `Without \`--expected-version\` the change is made against the version that is in force when the command runs. Give the version you read, so that nobody's change in between is overwritten.`,
+      details: `Without \`--expected-version\` the change is based on the version in force when the command runs. Give the version that you read, so that a concurrent change is not overwritten.`,
       examples: [['Publish and wait', `$0 ${kind} put name file.json --wait`]],
     });
 
     documentId = Option.String({name: 'id'});
     file = Option.String({name: 'file'});
     expectedVersion = Option.String('--expected-version', {
-      description: 'The version that the change was made against; 0 to create',
+      description: 'Version that the change is based on; 0 to create',
     });
 
     protected async perform(): Promise<Report> {
       const content = await readContent(this.context, this.file);
-      const given = readCount(this.expectedVersion, '--expected-version');
+      const given = parseCount(this.expectedVersion, '--expected-version');
       const client = await this.connect();
       const id = this.documentId;
       const expectedVersion = given ?? (await readVersion(client, kind, id));
--- a/packages/cli/src/commands/document/read_version.ts
+++ b/packages/cli/src/commands/document/read_version.ts
@@ -1,21 +1,20 @@
-/** Finds the version that a change must name. */
+/** Reads documents and the version that a change must expect. */
 import {toTypedError} from '@mimosatack/errors';
 import {type DocumentKind} from '@mimosatack/records';
 import {type AdminClient} from '../../admin_client.js';
-import {type DocumentAnswer, documentSchema} from '../../answers.js';
+import {type DocumentResponse, documentSchema} from '../../responses.js';
 import {toDocumentPath} from '../../plans/document_plans.js';
 
-/** Reads one document. */
 export function readDocument(
   client: AdminClient,
   kind: DocumentKind,
   id: string,
-): Promise<DocumentAnswer> {
+): Promise<DocumentResponse> {
   const path = toDocumentPath(kind, id);
   return client.send({method: 'GET', path}, documentSchema);
 }
 
-/** The version in force; for one that is deleted, the one it would go on at. */
+/** Reads the version to expect; for a deleted document, the node reports it. */
 export async function readVersion(
   client: AdminClient,
   kind: DocumentKind,
--- a/packages/cli/src/commands/document/show_command.ts
+++ b/packages/cli/src/commands/document/show_command.ts
@@ -6,13 +6,13 @@
 import {type ToolContext} from '../../tool_context.js';
 import {readDocument} from './read_version.js';
 
-/** The command that shows one document. */
+/** Creates the command that shows a document of one kind. */
 export function makeShowCommand(kind: DocumentKind): CommandClass<ToolContext> {
   return class extends AdminCommand {
     static override paths = [[kind, 'show']];
     static override usage = Command.Usage({
       category: 'Documents',
-      description: `Show ${withArticle(kind)} as it is in force`,
+      description: `Show the version of ${withArticle(kind)} that is in force`,
     });
 
     documentId = Option.String({name: 'id'});
--- a/packages/cli/src/commands/document/validate_command.ts
+++ b/packages/cli/src/commands/document/validate_command.ts
@@ -1,7 +1,7 @@
 /** `mimosatack <kind> validate`. */
 import {type DocumentKind} from '@mimosatack/records';
 import {Command, type CommandClass, Option} from 'clipanion';
-import {type DryRunAnswer, dryRunSchema} from '../../answers.js';
+import {type DryRunResponse, dryRunSchema} from '../../responses.js';
 import {AdminCommand, type Report} from '../../base_command.js';
 import {EXIT_CODES} from '../../exit_codes.js';
 import {planValidate} from '../../plans/document_plans.js';
@@ -10,7 +10,7 @@
 import {type ToolContext} from '../../tool_context.js';
 import {readContent} from './read_content.js';
 
-/** The command that tries one document out. */
+/** Creates the command that validates a document of one kind. */
 export function makeValidateCommand(
   kind: DocumentKind,
 ): CommandClass<ToolContext> {
@@ -18,7 +18,7 @@
     static override paths = [[kind, 'validate']];
     static override usage = Command.Usage({
       category: 'Documents',
-      description: `Show what publishing ${withArticle(kind)} would do, without doing it`,
+      description: `Show the effects of publishing ${withArticle(kind)} without publishing it`,
     });
 
     documentId = Option.String({name: 'id'});
@@ -40,9 +40,13 @@
   };
 }
 
-function describe(result: DryRunAnswer): string {
+function describe(result: DryRunResponse): string {
   if (!result.isAccepted) {
-    return ['It would be refused:', ...indent(result.faults), ''].join('\n');
+    return [
+      'The document would be refused:',
+      ...indent(result.faults),
+      '',
+    ].join('\n');
   }
   const events = result.affectedEvents.flatMap(({eventId, before, after}) => [
     `Event ${eventId} would change:`,
@@ -53,7 +57,7 @@
       ? []
       : ['The event would be:', JSON.stringify(result.resolvedEvent, null, 2)];
   return [
-    `It would be accepted over version ${result.expectedVersion}.`,
+    `The document would be accepted on top of version ${result.expectedVersion}.`,
     ...resolved,
     ...events,
     '',
--- a/packages/cli/src/commands/document/versions_command.ts
+++ b/packages/cli/src/commands/document/versions_command.ts
@@ -17,7 +17,7 @@
   change: z.string(),
 });
 
-/** The command that lists the versions that the audit trail keeps. */
+/** Creates the command that lists the versions in the audit trail. */
 export function makeVersionsCommand(
   kind: DocumentKind,
 ): CommandClass<ToolContext> {
--- a/packages/cli/src/commands/event/change_command.ts
+++ b/packages/cli/src/commands/event/change_command.ts
@@ -1,11 +1,10 @@
 /** `mimosatack event change`. */
 import {Command, Option} from 'clipanion';
-import {type Report, readCount} from '../../base_command.js';
+import {type Report, parseCount} from '../../base_command.js';
 import {ChangingCommand} from '../../changing_command.js';
-import {planChange, readParameters} from '../../plans/event_plans.js';
+import {planChange, parseParameters} from '../../plans/event_plans.js';
 import {readDocument} from '../document/read_version.js';
 
-/** Changes parameters of an event. */
 export class ChangeEventCommand extends ChangingCommand {
   static override paths = [['event', 'change']];
   static override usage = Command.Usage({
@@ -21,17 +20,18 @@
 
   eventId = Option.String({name: 'id'});
   params = Option.Array('--param', [], {
-    description: 'A parameter as name=value; a list is separated by commas',
+    description:
+      'Parameter as name=value; separate the items of a list with commas',
   });
   unset = Option.Array('--unset', [], {
-    description: 'A parameter that goes back to its default',
+    description: 'Parameter to reset to its default',
   });
   templateVersion = Option.String('--template-version', {
-    description: 'Keep the event on this version of the template',
+    description: 'Pin the event to this version of the template',
   });
 
   protected async perform(): Promise<Report> {
-    const version = readCount(this.templateVersion, '--template-version');
+    const version = parseCount(this.templateVersion, '--template-version');
     const client = await this.connect();
     const event = await readDocument(client, 'event', this.eventId);
     const template = await readDocument(
@@ -41,7 +41,7 @@
     );
     const accepted = await this.apply(
       planChange(event, {
-        parameters: readParameters(this.params, template),
+        parameters: parseParameters(this.params, template),
         unset: this.unset,
         templateVersion: version,
         reason: this.reason,
--- a/packages/cli/src/commands/event/create_command.ts
+++ b/packages/cli/src/commands/event/create_command.ts
@@ -1,13 +1,12 @@
 /** `mimosatack event create`. */
 import {Command, Option} from 'clipanion';
-import {type Report, readCount} from '../../base_command.js';
+import {type Report, parseCount} from '../../base_command.js';
 import {ChangingCommand} from '../../changing_command.js';
-import {planCreate, readParameters} from '../../plans/event_plans.js';
+import {planCreate, parseParameters} from '../../plans/event_plans.js';
 import {readDocument} from '../document/read_version.js';
 import {formatStatus} from './format_status.js';
-import {EventWatch} from './watch_event.js';
+import {EventWatcher} from './watch_event.js';
 
-/** Creates an event from a template. */
 export class CreateEventCommand extends ChangingCommand {
   static override paths = [['event', 'create']];
   static override usage = Command.Usage({
@@ -24,20 +23,21 @@
   eventId = Option.String({name: 'id'});
   template = Option.String('--template', {
     required: true,
-    description: 'The template to fill in',
+    description: 'Template to create the event from',
   });
   templateVersion = Option.String('--template-version', {
-    description: 'Keep the event on this version of the template',
+    description: 'Pin the event to this version of the template',
   });
   params = Option.Array('--param', [], {
-    description: 'A parameter as name=value; a list is separated by commas',
+    description:
+      'Parameter as name=value; separate the items of a list with commas',
   });
   shouldWaitWarm = Option.Boolean('--wait-warm', false, {
     description: 'Wait until all replicas of the event are warm',
   });
 
   protected async perform(): Promise<Report> {
-    const version = readCount(this.templateVersion, '--template-version');
+    const version = parseCount(this.templateVersion, '--template-version');
     const client = await this.connect();
     const template = await readDocument(client, 'template', this.template);
     const accepted = await this.apply(
@@ -45,15 +45,17 @@
         id: this.eventId,
         template: this.template,
         templateVersion: version,
-        parameters: readParameters(this.params, template),
+        parameters: parseParameters(this.params, template),
         reason: this.reason,
       }),
     );
     const created = `event ${this.eventId} is created, at version ${accepted.version}.\n`;
     if (!this.shouldWaitWarm) return {json: accepted, text: created};
-    const watch = new EventWatch(client, this.eventId, line => this.tell(line));
+    const watcher = new EventWatcher(client, this.eventId, line =>
+      this.writeToStderr(line),
+    );
     const status = await this.waitFor('the event to be warm', () =>
-      watch.look(),
+      watcher.poll(),
     );
     return {
       json: {...accepted, status},
--- a/packages/cli/src/commands/event/format_status.ts
+++ b/packages/cli/src/commands/event/format_status.ts
@@ -1,10 +1,10 @@
-import {type EventStatusAnswer} from '../../answers.js';
+import {type EventStatusResponse} from '../../responses.js';
 import {describeProgress} from '../../plans/event_progress.js';
 import {formatTable} from '../../print/table.js';
 import {formatTime} from '../../print/times.js';
 
-/** How far an event is, with one row for each model it needs. */
-export function formatStatus(status: EventStatusAnswer): string {
+/** Formats the progress of an event, with one row for each model it needs. */
+export function formatStatus(status: EventStatusResponse): string {
   const table = formatTable(status.needs, [
     {title: 'model', read: need => need.model},
     {title: 'version', read: need => need.version},
--- a/packages/cli/src/commands/event/status_command.ts
+++ b/packages/cli/src/commands/event/status_command.ts
@@ -3,14 +3,13 @@
 import {AdminCommand, type Report} from '../../base_command.js';
 import {WaitingCommand} from '../../changing_command.js';
 import {formatStatus} from './format_status.js';
-import {EventWatch, readEventStatus} from './watch_event.js';
+import {EventWatcher, readEventStatus} from './watch_event.js';
 
-/** Shows how far an event is. */
 export class EventStatusCommand extends AdminCommand {
   static override paths = [['event', 'status']];
   static override usage = Command.Usage({
     category: 'Events',
-    description: 'Show how far the replicas of an event are',
+    description: 'Show the warm-up progress of an event',
   });
 
   eventId = Option.String({name: 'id'});
@@ -21,7 +20,6 @@
   }
 }
 
-/** Waits until an event is warm. */
 export class WatchEventCommand extends WaitingCommand {
   static override paths = [['event', 'watch']];
   static override usage = Command.Usage({
@@ -33,9 +31,11 @@
 
   protected async perform(): Promise<Report> {
     const client = await this.connect();
-    const watch = new EventWatch(client, this.eventId, line => this.tell(line));
+    const watcher = new EventWatcher(client, this.eventId, line =>
+      this.writeToStderr(line),
+    );
     const status = await this.waitFor('the event to be warm', () =>
-      watch.look(),
+      watcher.poll(),
     );
     return {json: status, text: formatStatus(status)};
   }
--- a/packages/cli/src/commands/event/watch_event.ts
+++ b/packages/cli/src/commands/event/watch_event.ts
@@ -1,42 +1,42 @@
-/** Waiting for an event to be warm. */
+/** Polls the status of an event until the event is warm. */
 import {TypedError} from '@mimosatack/errors';
 import {type AdminClient} from '../../admin_client.js';
-import {type EventStatusAnswer, eventStatusSchema} from '../../answers.js';
+import {type EventStatusResponse, eventStatusSchema} from '../../responses.js';
 import {toDocumentPath} from '../../plans/document_plans.js';
 import {
   describeProgress,
-  findWatchEnd,
+  findWatchOutcome,
   progressKey,
 } from '../../plans/event_progress.js';
 
-/** Reads how far an event is. */
 export function readEventStatus(
   client: AdminClient,
   id: string,
-): Promise<EventStatusAnswer> {
+): Promise<EventStatusResponse> {
   const path = `${toDocumentPath('event', id)}/status`;
   return client.send({method: 'GET', path}, eventStatusSchema);
 }
 
-/** One look at an event: its status once it is warm, else null. */
-export class EventWatch {
+/** Polls one event and reports each change of its progress. */
+export class EventWatcher {
   private lastKey = '';
 
   constructor(
     private readonly client: AdminClient,
     private readonly eventId: string,
-    private readonly tell: (line: string) => void,
+    private readonly report: (line: string) => void,
   ) {}
 
-  async look(): Promise<EventStatusAnswer | null> {
+  /** Resolves with the status once the event is warm, else with null. */
+  async poll(): Promise<EventStatusResponse | null> {
     const status = await readEventStatus(this.client, this.eventId);
     const key = progressKey(status);
-    if (key !== this.lastKey) this.tell(describeProgress(status));
+    if (key !== this.lastKey) this.report(describeProgress(status));
     this.lastKey = key;
-    const end = findWatchEnd(status);
-    if (end !== 'over') return end === 'warm' ? status : null;
+    const outcome = findWatchOutcome(status);
+    if (outcome !== 'over') return outcome === 'warm' ? status : null;
     throw new TypedError('not-warm', `Event ${this.eventId} is over.`, {
-      remedy: 'Change its start, or create another event.',
+      remedy: 'Change the start of the event, or create another event.',
     });
   }
 }
--- a/packages/cli/src/commands/explain/index.ts
+++ b/packages/cli/src/commands/explain/index.ts
@@ -5,17 +5,16 @@
   parseLog,
 } from '@mimosatack/explain-request';
 import {Command, Option} from 'clipanion';
-import {BaseCommand, type Report, readInput} from '../../base_command.js';
+import {BaseCommand, type Report, readInputFile} from '../../base_command.js';
 import {EXIT_CODES} from '../../exit_codes.js';
 
-/** Says what became of a request, by the logs of the nodes. */
 export class ExplainCommand extends BaseCommand {
   static override paths = [['explain']];
   static override usage = Command.Usage({
     category: 'Operation',
-    description: 'Say what became of a request, by the logs of the nodes',
+    description: 'Explain the result of a request from the logs of the nodes',
     details:
-      'Takes the id of a request and the log files of all nodes. Ends with 1 when no line names the request.',
+      'Takes the id of a request and the log files of all nodes. Exits with 1 when no line names the request.',
     examples: [['Explain a refusal', '$0 explain 9c41d07be2a35f68 logs/*.log']],
   });
 
@@ -24,7 +23,7 @@
 
   protected async perform(): Promise<Report> {
     const texts = await Promise.all(
-      this.files.map(file => readInput(this.context, file)),
+      this.files.map(file => readInputFile(this.context, file)),
     );
     const logs = texts.map(parseLog);
     const lines = logs.flatMap(log => log.lines);
@@ -34,7 +33,7 @@
     if (!explanation) {
       return {
         json: {requestId: this.requestId, isFound: false, skipped},
-        text: `No line names ${this.requestId}. Give the logs of all nodes, also of those that were replaced.\n${note}`,
+        text: `No line names ${this.requestId}. Give the logs of all nodes, including nodes that were replaced.\n${note}`,
         exitCode: EXIT_CODES.refused,
       };
     }
@@ -45,5 +44,4 @@
   }
 }
 
-/** The commands about single requests. */
 export const EXPLAIN_COMMANDS = [ExplainCommand];
--- a/packages/cli/src/commands/help_command.ts
+++ b/packages/cli/src/commands/help_command.ts
@@ -1,25 +1,24 @@
-/** `mimosatack --help`: one short line for each command. */
+/** `mimosatack --help`: lists the commands, one per line. */
 import {Command} from 'clipanion';
 import {formatTable} from '../print/table.js';
 import {type ToolContext} from '../tool_context.js';
 
 const CATEGORIES = ['Documents', 'Events', 'Operation'];
 
-const INTRODUCTION = `mimosatack: drive a mimosatack system.
+const INTRODUCTION = `mimosatack: operate a mimosatack system.
 
-Say where a node's operators' interface is and who you are:
+Set the admin URLs of the nodes and your token:
   MIMOSATACK_ADMIN_URL=http://10.0.0.5:7081,http://10.0.0.6:7081
   MIMOSATACK_TOKEN=<your token>
 
-mimosatack <command> --help tells the options of a command.
+Run mimosatack <command> --help for the options of a command.
 `;
 
 const EXIT_CODES_NOTE = `
-Exit codes: 0 done, 1 refused or failed, 2 wrong usage, 3 waited in vain,
-4 no node reachable, 5 another change was first.
+Exit codes: 0 success, 1 refused or failed, 2 invalid usage, 3 timed out,
+4 no node reachable, 5 version conflict.
 `;
 
-/** Lists all commands. */
 export class HelpCommand extends Command<ToolContext> {
   static override paths = [['-h'], ['--help'], ['help']];
 
--- a/packages/cli/src/commands/host/drain_commands.ts
+++ b/packages/cli/src/commands/host/drain_commands.ts
@@ -4,15 +4,15 @@
 import {ChangingCommand} from '../../changing_command.js';
 import {type ToolContext} from '../../tool_context.js';
 
-/** Keeps new work away from a backend server, or gives it work again. */
+/** Creates `host drain`, or `host resume` for a drained backend server. */
 function makeDrainCommand(isDraining: boolean): CommandClass<ToolContext> {
   return class extends ChangingCommand {
     static override paths = [['host', isDraining ? 'drain' : 'resume']];
     static override usage = Command.Usage({
       category: 'Operation',
       description: isDraining
-        ? 'Keep new work away from a backend server'
-        : 'Give a drained backend server work again',
+        ? 'Stop sending new work to a backend server'
+        : 'Resume sending work to a drained backend server',
     });
 
     backendServerId = Option.String({name: 'backend-server'});
@@ -24,11 +24,12 @@
         path: `/admin/v1/backend-servers/${id}/drain`,
         body: {isDraining, reason: this.reason},
       });
-      const what = isDraining ? 'receives no new work' : 'receives work again';
-      return {json: accepted, text: `${this.backendServerId} ${what}.\n`};
+      const effect = isDraining
+        ? 'receives no new work'
+        : 'receives work again';
+      return {json: accepted, text: `${this.backendServerId} ${effect}.\n`};
     }
   };
 }
 
-/** Both directions. */
 export const DRAIN_COMMANDS = [makeDrainCommand(true), makeDrainCommand(false)];
--- a/packages/cli/src/commands/host/index.ts
+++ b/packages/cli/src/commands/host/index.ts
@@ -1,7 +1,7 @@
 import {DRAIN_COMMANDS} from './drain_commands.js';
 import {ListBackendServersCommand, ListNodesCommand} from './list_commands.js';
 
-/** The commands about nodes and backend servers. */
+/** Commands for nodes and backend servers. */
 export const HOST_COMMANDS = [
   ListNodesCommand,
   ListBackendServersCommand,
--- a/packages/cli/src/commands/host/list_commands.ts
+++ b/packages/cli/src/commands/host/list_commands.ts
@@ -29,7 +29,7 @@
     .nullable(),
 });
 
-/** Lists the nodes as one of them sees them. */
+/** Lists the nodes that the contacted node knows. */
 export class ListNodesCommand extends AdminCommand {
   static override paths = [
     ['host', 'nodes'],
@@ -37,7 +37,7 @@
   ];
   static override usage = Command.Usage({
     category: 'Operation',
-    description: 'List the nodes as one of them sees them',
+    description: 'List the nodes that the contacted node knows',
   });
 
   protected async perform(): Promise<Report> {
@@ -56,7 +56,7 @@
   }
 }
 
-/** Lists the backend servers and who sends them orders. */
+/** Lists the backend servers and the node that controls each of them. */
 export class ListBackendServersCommand extends AdminCommand {
   static override paths = [
     ['host', 'backend-servers'],
@@ -64,7 +64,7 @@
   ];
   static override usage = Command.Usage({
     category: 'Operation',
-    description: 'List the backend servers and who sends them orders',
+    description: 'List the backend servers and the node that controls each',
   });
 
   protected async perform(): Promise<Report> {
--- a/packages/cli/src/commands/nodes/index.ts
+++ b/packages/cli/src/commands/nodes/index.ts
@@ -9,22 +9,22 @@
   type NodeState,
   findNodeFaults,
   listTeams,
-  makeSilentNode,
+  makeUnreachableNode,
   readNodeMetrics,
 } from './read_node_metrics.js';
 
-/** A node answers in some ms; one that is cut off must not hold up the others. */
+/** Keeps an unreachable node from delaying the report on the others. */
 const ANSWER_TIMEOUT_MS = 2_000;
 const STATUS_OK = 200;
 
-/** Shows who schedules and which configuration each node has. */
+/** Shows which nodes schedule, and the configuration of each node. */
 export class NodesCommand extends BaseCommand {
   static override paths = [['nodes']];
   static override usage = Command.Usage({
     category: 'Operation',
-    description: 'Show who schedules and how far each node has got',
+    description: 'Show which node schedules and the configuration of each node',
     details:
-      'Takes the metrics addresses of the nodes. Ends with 1 when one does not answer, when configurations differ, or when not exactly one schedules.',
+      'Takes the metrics URLs of the nodes. Exits with 1 when a node does not respond, when configurations differ, or unless exactly one node schedules.',
     examples: [
       ['Two nodes', '$0 nodes http://10.1.0.38:9464 http://10.2.0.40:9464'],
     ],
@@ -69,7 +69,7 @@
   const url = URL.canParse(address) ? new URL(address) : null;
   if (!url || !/^https?:$/.test(url.protocol)) {
     throw new UsageError(
-      `"${address}" is no address; give one like http://10.1.0.38:9464.`,
+      `"${address}" is not a metrics URL; give one like http://10.1.0.38:9464.`,
     );
   }
   if (url.pathname === '/') url.pathname = '/metrics';
@@ -78,19 +78,18 @@
 
 async function readNode(metricsUrl: string): Promise<NodeState> {
   try {
-    const answer = await request(metricsUrl, {
+    const response = await request(metricsUrl, {
       headersTimeout: ANSWER_TIMEOUT_MS,
       bodyTimeout: ANSWER_TIMEOUT_MS,
       signal: AbortSignal.timeout(ANSWER_TIMEOUT_MS),
     });
-    const text = await answer.body.text();
-    return answer.statusCode === STATUS_OK
+    const text = await response.body.text();
+    return response.statusCode === STATUS_OK
       ? readNodeMetrics(metricsUrl, text)
-      : makeSilentNode(metricsUrl, `status ${answer.statusCode}`);
+      : makeUnreachableNode(metricsUrl, `status ${response.statusCode}`);
   } catch (thrown) {
-    return makeSilentNode(metricsUrl, toTypedError(thrown).summary);
+    return makeUnreachableNode(metricsUrl, toTypedError(thrown).summary);
   }
 }
 
-/** The commands about the nodes on the users' platform. */
 export const NODES_COMMANDS = [NodesCommand];
--- a/packages/cli/src/commands/nodes/nodes.test.ts
+++ b/packages/cli/src/commands/nodes/nodes.test.ts
@@ -21,7 +21,7 @@
   ].join('\n');
 }
 
-/** Serves metrics while `use` runs. */
+/** Serves each text at a URL of its own while `use` runs. */
 async function withNodes(
   texts: readonly string[],
   use: (urls: string[]) => Promise<void>,
@@ -50,16 +50,15 @@
   }
 }
 
-/* Servers end one after the other; is one of the callers' requests the cause? */
-test('how many requests a node contains is shown', () =>
+test('the number of contained requests is shown', () =>
   withNodes([formatMetrics(7, 1)], async urls => {
     const {stdout} = await runWith(['nodes', ...urls]);
     assert.match(stdout, / contained /);
     assert.match(stdout, /yes +7 +17 .*2/);
   }));
 
-// Guards against a team whose refusals nobody can explain from the nodes' state.
-test('how much each team has left is shown', () => {
+// Guards against quota refusals that the state of the nodes does not explain.
+test('the remaining quota of each team is shown', () => {
   const teams = [
     '# TYPE mimosatack_configuration_age_ms gauge',
     'mimosatack_configuration_age_ms 480',
@@ -81,7 +80,7 @@
   );
 });
 
-test('who schedules and which configuration each node has is shown', () =>
+test('the scheduling node and all configuration versions are shown', () =>
   withNodes([formatMetrics(7, 1), formatMetrics(7, 0)], async urls => {
     const {exitCode, stdout} = await runWith(['nodes', ...urls]);
     assert.is(exitCode, EXIT_CODES.ok);
@@ -89,11 +88,9 @@
     assert.match(stdout, /\/metrics +no +7 +17/);
   }));
 
-/*
- * A node is cut off from the others: it holds on to an old configuration and
- * believes that it schedules. Operators see it only by comparing nodes.
- */
-test('nodes that differ, and one that is gone, are told', () =>
+// Guards against overlooking a partitioned node that keeps an old configuration
+// and still schedules.
+test('differing and unreachable nodes are reported', () =>
   withNodes([formatMetrics(7, 1), formatMetrics(6, 1)], async urls => {
     const argv = ['nodes', ...urls, 'http://127.0.0.1:1', '--json'];
     const {exitCode, stdout} = await runWith(argv);
@@ -102,7 +99,7 @@
     assert.is(faults.length, 3);
   }));
 
-test('an address that is none is refused with its remedy', async () => {
+test('an invalid address is refused with a remedy', async () => {
   const {exitCode, stderr} = await runWith(['nodes', '10.1.0.38']);
   assert.is(exitCode, EXIT_CODES.usage);
   assert.match(stderr, /give one like http:/);
--- a/packages/cli/src/commands/nodes/parse_prometheus_text_format.d.ts
+++ b/packages/cli/src/commands/nodes/parse_prometheus_text_format.d.ts
@@ -1,4 +1,4 @@
-/** The part of the library that is used; it brings no types. */
+/** Types for the used part of the library, which ships none. */
 declare module 'parse-prometheus-text-format' {
   interface MetricFamily {
     name: string;
--- a/packages/cli/src/commands/nodes/read_node_metrics.ts
+++ b/packages/cli/src/commands/nodes/read_node_metrics.ts
@@ -1,30 +1,30 @@
-/** What a node's metrics say of its part in the system. */
+/** Derives the state of nodes and team quotas from metrics of the nodes. */
 import parsePrometheus from 'parse-prometheus-text-format';
 
-/** How far one node has got; null for what it does not tell. */
+/** State of one node; a metric that the node does not export is null. */
 export interface NodeState {
   metricsUrl: string;
-  /** Null when the node answered. */
+  /** Null when the node responded. */
   error: string | null;
   configurationVersion: number | null;
   serversKnown: number | null;
-  /** Since the node's list of backend servers was last known to be whole. */
+  /** Age of the last complete list of backend servers. */
   serversAgeMs: number | null;
   isScheduling: boolean | null;
-  /** Requests that are sent to no server, since servers ended under them. */
+  /** Requests that are blocked because backend servers crashed serving them. */
   containedRequests: number | null;
-  /** Since its configuration, and so its keys, were known to be the newest. */
+  /** Time since the configuration and its API keys were confirmed as newest. */
   configurationAgeMs: number | null;
   teams: readonly TeamState[];
 }
 
-/** What a node knows of one team's quota. */
+/** State of one team's quota, as a node reports it. */
 export interface TeamState {
   team: string;
-  /** The quota a second. */
+  /** Quota per second. */
   rate: number;
   left: number;
-  /** Spent at the node and not yet known to the node that holds the quotas. */
+  /** Charges not yet reported to the node that holds the quotas. */
   unsettled: number;
 }
 
@@ -63,7 +63,10 @@
   };
 }
 
-export function makeSilentNode(metricsUrl: string, error: string): NodeState {
+export function makeUnreachableNode(
+  metricsUrl: string,
+  error: string,
+): NodeState {
   return {
     ...{metricsUrl, error, configurationVersion: null, serversKnown: null},
     ...{serversAgeMs: null, isScheduling: null, containedRequests: null},
@@ -71,24 +74,30 @@
   };
 }
 
-/** What is wrong with the nodes together, in words; empty when nothing is. */
+/** Describes inconsistencies among the nodes; empty when there are none. */
 export function findNodeFaults(nodes: readonly NodeState[]): string[] {
-  const answering = nodes.filter(({error}) => error === null);
-  const silent = nodes.length - answering.length;
+  const responding = nodes.filter(({error}) => error === null);
+  const unreachable = nodes.length - responding.length;
   const versions = new Set(
-    answering.map(({configurationVersion}) => configurationVersion),
+    responding.map(({configurationVersion}) => configurationVersion),
   );
-  const holders = answering.filter(({isScheduling}) => isScheduling).length;
+  const schedulers = responding.filter(({isScheduling}) => isScheduling).length;
   const checks: Array<[boolean, string]> = [
-    [silent > 0, `${silent} of ${nodes.length} nodes do not answer.`],
+    [
+      unreachable > 0,
+      `${unreachable} of ${nodes.length} nodes do not respond.`,
+    ],
     [versions.size > 1, 'Nodes have different configurations.'],
-    [answering.length > 0 && holders === 0, 'No node of these schedules.'],
-    [holders > 1, `${holders} nodes schedule; all but one are out of touch.`],
+    [
+      responding.length > 0 && schedulers === 0,
+      'None of these nodes schedules.',
+    ],
+    [schedulers > 1, `${schedulers} nodes schedule; only one node may.`],
   ];
   return checks.filter(([isFault]) => isFault).map(([, fault]) => fault);
 }
 
-/** The teams' quotas, as the node that schedules holds them. */
+/** Team quotas of the scheduling node, with unsettled charges of all nodes. */
 export function listTeams(nodes: readonly NodeState[]): TeamState[] {
   const held = nodes.find(({isScheduling}) => isScheduling)?.teams ?? [];
   return held.map(state => ({
--- a/packages/cli/src/commands/replica/index.ts
+++ b/packages/cli/src/commands/replica/index.ts
@@ -18,18 +18,22 @@
   untilMs: z.number(),
 });
 
-/** Lists the decided replicas. */
+/** Lists all replica placements, loaded or not. */
 export class ListReplicasCommand extends AdminCommand {
   static override paths = [['replica', 'list']];
   static override usage = Command.Usage({
     category: 'Operation',
-    description: 'List the decided replicas',
+    description: 'List the replicas with their placement and status',
   });
 
-  event = Option.String('--event', {description: 'Only for this event'});
-  model = Option.String('--model', {description: 'Only of this model'});
+  event = Option.String('--event', {
+    description: 'Only replicas for this event',
+  });
+  model = Option.String('--model', {
+    description: 'Only replicas of this model',
+  });
   backendServer = Option.String('--backend-server', {
-    description: 'Only on this backend server',
+    description: 'Only replicas on this backend server',
   });
 
   protected async perform(): Promise<Report> {
@@ -55,5 +59,4 @@
   }
 }
 
-/** The commands about replicas. */
 export const REPLICA_COMMANDS = [ListReplicasCommand];
--- a/packages/cli/src/commands/settings/index.ts
+++ b/packages/cli/src/commands/settings/index.ts
@@ -5,14 +5,13 @@
 import {BaseCommand, type Report} from '../../base_command.js';
 import {EXIT_CODES} from '../../exit_codes.js';
 
-/** Checks the settings of a daemon without starting it. */
 export class CheckSettingsCommand extends BaseCommand {
   static override paths = [['settings', 'check']];
   static override usage = Command.Usage({
     category: 'Operation',
     description: 'Check the settings of mimosatackd without starting it',
     details:
-      'Takes the flags of `mimosatackd` and its environment variables, and prints every fault, or the settings in force without secrets.',
+      'Takes the flags of `mimosatackd` and its environment variables, and prints every fault, or the effective settings without secrets.',
     examples: [
       ['Check flags', '$0 settings check --node-name entry-1 --region pomorze'],
     ],
@@ -37,5 +36,4 @@
   }
 }
 
-/** The commands about settings. */
 export const SETTINGS_COMMANDS = [CheckSettingsCommand];
--- a/packages/cli/src/commands/status/index.ts
+++ b/packages/cli/src/commands/status/index.ts
@@ -1,8 +1,8 @@
 /** `mimosatack status` and `mimosatack in-force`. */
 import {Command, Option, UsageError} from 'clipanion';
 import {z} from 'zod';
-import {inForceSchema} from '../../answers.js';
-import {AdminCommand, type Report, readCount} from '../../base_command.js';
+import {inForceSchema} from '../../responses.js';
+import {AdminCommand, type Report, parseCount} from '../../base_command.js';
 import {EXIT_CODES} from '../../exit_codes.js';
 import {formatFields, formatTable} from '../../print/table.js';
 
@@ -20,12 +20,11 @@
   digest: z.string(),
 });
 
-/** Shows how far a node has got. */
 export class StatusCommand extends AdminCommand {
   static override paths = [['status']];
   static override usage = Command.Usage({
     category: 'Operation',
-    description: 'Show how far a node has got',
+    description: 'Show the log position and state of a node',
   });
 
   protected async perform(): Promise<Report> {
@@ -51,21 +50,20 @@
   }
 }
 
-/** Shows on which nodes a change is in force. */
 export class InForceCommand extends AdminCommand {
   static override paths = [['in-force']];
   static override usage = Command.Usage({
     category: 'Operation',
     description: 'Show on which nodes a change is in force',
     details:
-      'A change tells its sequence when it is accepted. Ends with 1 while a live node lacks it.',
+      'The response to a change contains its sequence. Exits with 1 while the change is not in force on a live node.',
   });
 
   sequence = Option.String({name: 'sequence'});
 
   protected async perform(): Promise<Report> {
-    const sequence = readCount(this.sequence, 'sequence');
-    if (!sequence) throw new UsageError('The sequence begins at 1.');
+    const sequence = parseCount(this.sequence, 'sequence');
+    if (!sequence) throw new UsageError('The sequence must be 1 or greater.');
     const client = await this.connect();
     const view = await client.send(
       {method: 'GET', path: '/admin/v1/in-force', query: {sequence}},
@@ -86,5 +84,4 @@
   }
 }
 
-/** The commands about how far the system has got. */
 export const STATUS_COMMANDS = [StatusCommand, InForceCommand];
--- a/packages/cli/src/commands/team/index.ts
+++ b/packages/cli/src/commands/team/index.ts
@@ -1,4 +1,4 @@
 import {AddTokenCommand, RemoveTokenCommand} from './token_commands.js';
 
-/** The commands that teams have beside those of all documents. */
+/** Commands for teams, in addition to those for all documents. */
 export const TEAM_COMMANDS = [AddTokenCommand, RemoveTokenCommand];
--- a/packages/cli/src/docs.test.ts
+++ b/packages/cli/src/docs.test.ts
@@ -8,7 +8,7 @@
 const PAGES = new URL('operators/', DOCS);
 const TOOL = 'mimosatack ';
 
-/** Every line of the shell blocks in the pages that runs the tool. */
+/** Lists the lines in shell blocks of the docs that run the tool. */
 function listCommandLines(): {page: string; argv: string[]}[] {
   const pages = [
     ...readdirSync(PAGES).map(page => new URL(page, PAGES)),
@@ -32,7 +32,7 @@
   );
 }
 
-/** Splits a line as a shell does, as far as the pages need it. */
+/** Splits a line at spaces, except inside double quotes. */
 function toArgv(line: string): string[] {
   return [...line.matchAll(/"([^"]*)"|(\S+)/g)].map(
     match => match[1] ?? match[2] ?? '',
@@ -41,7 +41,7 @@
 
 const docs = suite('commands in docs/operators');
 
-docs('every command in the pages is understood', () => {
+docs('every command in the pages parses', () => {
   const lines = listCommandLines();
   assert.ok(lines.length > 20);
   lines.forEach(({page, argv}) =>
@@ -53,7 +53,7 @@
   );
 });
 
-docs('help texts and checks of settings in the pages run', async () => {
+docs('help and settings commands in the pages succeed', async () => {
   const env = {MIMOSATACK_CLUSTER_SECRET: 'a-secret-of-the-cluster'};
   const lines = listCommandLines().filter(
     ({argv}) =>
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Program: the command-line tool for operators. */
+/** Entry point of `mimosatack`, the command-line tool for operators. */
 import {randomBytes} from 'node:crypto';
 import {readFile} from 'node:fs/promises';
 import {SystemClock} from '@mimosatack/clock';
--- a/packages/cli/src/plans/document_plans.ts
+++ b/packages/cli/src/plans/document_plans.ts
@@ -1,8 +1,7 @@
-/** Plans for documents: plain data in, the request to send out. */
+/** Builds the admin API requests for documents. */
 import {DOCUMENT_KINDS, type DocumentKind} from '@mimosatack/records';
 import {type AdminRequest} from '../admin_client.js';
 
-/** What is to be published. */
 export interface DocumentChange {
   kind: DocumentKind;
   id: string;
@@ -11,20 +10,18 @@
   reason?: string;
 }
 
-/** Every kind of document, in the order in which they are published. */
+/** Every kind of document, in publishing order. */
 export const KINDS = DOCUMENT_KINDS;
 
-/** The path of all documents of a kind. */
 export function toListPath(kind: DocumentKind): string {
   return `/admin/v1/${kind}s`;
 }
 
-/** The path of one document. */
 export function toDocumentPath(kind: DocumentKind, id: string): string {
   return `${toListPath(kind)}/${encodeURIComponent(id)}`;
 }
 
-/** Publishes a document. */
+/** Builds a request that publishes a document. */
 export function planPut(change: DocumentChange): AdminRequest {
   const {kind, id, content, expectedVersion, reason} = change;
   return {
@@ -34,7 +31,7 @@
   };
 }
 
-/** Tries a document out. */
+/** Builds a request that validates a document without publishing it. */
 export function planValidate(
   kind: DocumentKind,
   id: string,
@@ -47,7 +44,7 @@
   };
 }
 
-/** Deletes a document. */
+/** Builds a request that deletes a document. */
 export function planDelete(
   kind: DocumentKind,
   id: string,
--- a/packages/cli/src/plans/event_plans.ts
+++ b/packages/cli/src/plans/event_plans.ts
@@ -1,14 +1,13 @@
-/** Plans for events: parameters from the command line, and changes. */
+/** Builds the admin API requests for events. */
 import {UsageError} from 'clipanion';
 import {z} from 'zod';
 import {type AdminRequest} from '../admin_client.js';
-import {type DocumentAnswer} from '../answers.js';
+import {type DocumentResponse} from '../responses.js';
 import {planPut} from './document_plans.js';
 
-/** Parameters by name. */
+/** Parameter values by name. */
 export type Parameters = Record<string, unknown>;
 
-/** What a new event is made of. */
 export interface NewEvent {
   id: string;
   template: string;
@@ -17,10 +16,9 @@
   reason?: string;
 }
 
-/** What is changed in an event. */
 export interface EventChange {
   parameters: Parameters;
-  /** Parameters that go back to their default. */
+  /** Names of parameters to reset to their default. */
   unset: readonly string[];
   templateVersion?: number;
   reason?: string;
@@ -37,12 +35,12 @@
 const ASSIGNMENT = /^([A-Za-z0-9][A-Za-z0-9._-]*)=(.*)$/s;
 
 /**
- * Reads `name=value` texts by the types that the template declares. A name
- * that the template does not have stays a text, and the node refuses it.
+ * Parses `name=value` assignments by the types that the template declares. The
+ * value of an undeclared name stays a string, and the node refuses the name.
  */
-export function readParameters(
+export function parseParameters(
   assignments: readonly string[],
-  template: DocumentAnswer,
+  template: DocumentResponse,
 ): Parameters {
   const {parameters} = templateSchema.parse(template.content);
   return Object.fromEntries(
@@ -50,22 +48,22 @@
       const [, name, text] = ASSIGNMENT.exec(assignment) ?? [];
       if (name === undefined || text === undefined) {
         throw new UsageError(
-          `--param takes name=value, such as --param replicas=2; not ${assignment}.`,
+          `--param must have the form name=value, such as --param replicas=2, not ${assignment}.`,
         );
       }
-      return [name, readValue(text, parameters[name]?.type, name)];
+      return [name, parseValue(text, parameters[name]?.type, name)];
     }),
   );
 }
 
-/** Creates an event from a template. */
+/** Builds a request that creates an event from a template. */
 export function planCreate(event: NewEvent): AdminRequest {
   return {method: 'POST', path: '/admin/v1/events', body: event};
 }
 
-/** Publishes an event again with some parameters changed. */
+/** Builds a request that publishes an event with changed parameters. */
 export function planChange(
-  event: DocumentAnswer,
+  event: DocumentResponse,
   change: EventChange,
 ): AdminRequest {
   const content = eventSchema.parse(event.content);
@@ -87,16 +85,16 @@
   });
 }
 
-function readValue(
+function parseValue(
   text: string,
   type: string | undefined,
   name: string,
 ): unknown {
   switch (type) {
     case 'number':
-      return readNumber(text, name);
+      return parseNumber(text, name);
     case 'boolean':
-      return readBoolean(text, name);
+      return parseBoolean(text, name);
     case 'string-list':
       return text === '' ? [] : text.split(',').map(item => item.trim());
     default:
@@ -104,13 +102,13 @@
   }
 }
 
-function readNumber(text: string, name: string): number {
+function parseNumber(text: string, name: string): number {
   const value = Number(text);
   if (text.trim() !== '' && Number.isFinite(value)) return value;
-  throw new UsageError(`--param ${name} takes a number, not "${text}".`);
+  throw new UsageError(`--param ${name} must be a number, not "${text}".`);
 }
 
-function readBoolean(text: string, name: string): boolean {
+function parseBoolean(text: string, name: string): boolean {
   if (text === 'true' || text === 'false') return text === 'true';
-  throw new UsageError(`--param ${name} takes true or false, not "${text}".`);
+  throw new UsageError(`--param ${name} must be true or false, not "${text}".`);
 }
--- a/packages/cli/src/plans/event_progress.ts
+++ b/packages/cli/src/plans/event_progress.ts
@@ -1,12 +1,12 @@
-/** What to tell of an event that warms up, and when to stop waiting. */
-import {type EventStatusAnswer} from '../answers.js';
+/** Describes the warm-up of an event and when waiting for it ends. */
+import {type EventStatusResponse} from '../responses.js';
 import {formatDuration} from '../print/times.js';
 
-/** Whether waiting for an event has come to its end. */
-export type WatchEnd = 'warm' | 'over' | null;
+/** Why waiting for an event ended; null while the event is still warming up. */
+export type WatchOutcome = 'warm' | 'over' | null;
 
-/** One line that says how far an event is. */
-export function describeProgress(status: EventStatusAnswer): string {
+/** Formats the progress of an event as one line. */
+export function describeProgress(status: EventStatusResponse): string {
   const sum = (field: 'replicas' | 'decided' | 'warm' | 'loading') =>
     status.needs.reduce((total, need) => total + need[field], 0);
   const start =
@@ -19,16 +19,15 @@
   );
 }
 
-/** Progress without what changes with every look. */
-export function progressKey(status: EventStatusAnswer): string {
+/** A key that changes only with the progress, not with the remaining time. */
+export function progressKey(status: EventStatusResponse): string {
   return JSON.stringify([
     status.phase,
     status.needs.map(need => [need.warm, need.loading, need.decided]),
   ]);
 }
 
-/** Whether there is nothing more to wait for. */
-export function findWatchEnd(status: EventStatusAnswer): WatchEnd {
+export function findWatchOutcome(status: EventStatusResponse): WatchOutcome {
   if (status.phase === 'over') return 'over';
   return status.isWarm ? 'warm' : null;
 }
--- a/packages/cli/src/plans/plans.test.ts
+++ b/packages/cli/src/plans/plans.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import {describeDifference} from '../print/difference.js';
 import {formatDuration} from '../print/times.js';
-import {planChange, readParameters} from './event_plans.js';
+import {planChange, parseParameters} from './event_plans.js';
 import {planAddToken, planRemoveToken} from './team_plans.js';
 
 function makeDocument(kind: string, content: Record<string, unknown>) {
@@ -21,12 +21,12 @@
 
 const plans = suite('plans');
 
-plans('parameters are read by the types of the template', () => {
+plans('parameters are parsed by the types that the template declares', () => {
   const texts = [
     ...['start=2030-01-01T18:00:00Z', 'replicas=2', 'dark=true'],
     ...['places=hel, slupsk', 'wind=a=b'],
   ];
-  assert.equal(readParameters(texts, TEMPLATE), {
+  assert.equal(parseParameters(texts, TEMPLATE), {
     start: '2030-01-01T18:00:00Z',
     replicas: 2,
     dark: true,
@@ -34,30 +34,36 @@
     wind: 'a=b',
   });
   assert.throws(
-    () => readParameters(['dark=maybe'], TEMPLATE),
+    () => parseParameters(['dark=maybe'], TEMPLATE),
     (thrown: unknown) => thrown instanceof UsageError,
   );
 });
 
-plans('a change keeps what it does not name, at the version read', () => {
-  const event = makeDocument('event', {
-    team: 'zorza',
-    template: 'sky',
-    parameters: {start: 'a', replicas: 1, dark: true},
-  });
-  const plan = planChange(event, {parameters: {replicas: 2}, unset: ['dark']});
-  assert.equal(plan.body, {
-    expectedVersion: 3,
-    content: {
+plans(
+  'a change keeps the other fields and expects the version that was read',
+  () => {
+    const event = makeDocument('event', {
       team: 'zorza',
       template: 'sky',
-      parameters: {start: 'a', replicas: 2},
-    },
-    reason: undefined,
-  });
-});
+      parameters: {start: 'a', replicas: 1, dark: true},
+    });
+    const plan = planChange(event, {
+      parameters: {replicas: 2},
+      unset: ['dark'],
+    });
+    assert.equal(plan.body, {
+      expectedVersion: 3,
+      content: {
+        team: 'zorza',
+        template: 'sky',
+        parameters: {start: 'a', replicas: 2},
+      },
+      reason: undefined,
+    });
+  },
+);
 
-plans('a token is added beside the others and removed by its name', () => {
+plans('a token is added to the existing ones and removed by name', () => {
   const known = {name: 'app', role: 'caller', tokenHash: 'h1'};
   const team = makeDocument('team', {displayName: 'Zorza', tokens: [known]});
   const token = {name: 'ola', role: 'operator' as const, tokenHash: 'h2'};
@@ -78,7 +84,7 @@
   ]);
 });
 
-plans('durations are told in their two largest units', () => {
+plans('durations are formatted in their two largest units', () => {
   assert.is(formatDuration(1_500), '1.5 s');
   assert.is(formatDuration(125_000), '2 min 5 s');
   assert.is(formatDuration(-3_660_000), '-1 h 1 min');
--- a/packages/cli/src/plans/team_plans.ts
+++ b/packages/cli/src/plans/team_plans.ts
@@ -1,12 +1,12 @@
-/** Plans for the tokens of a team. */
+/** Builds the admin API requests for the tokens of a team. */
 import {type TokenRole} from '@mimosatack/agreed-state';
 import {UsageError} from 'clipanion';
 import {z} from 'zod';
 import {type AdminRequest} from '../admin_client.js';
-import {type DocumentAnswer} from '../answers.js';
+import {type DocumentResponse} from '../responses.js';
 import {planPut} from './document_plans.js';
 
-/** A token to be known; only its hash is sent. */
+/** A token to add; only its hash is sent. */
 export interface NewToken {
   name: string;
   role: TokenRole;
@@ -19,24 +19,24 @@
   ),
 });
 
-/** Publishes the team with one token more. */
+/** Builds a request that adds a token to a team. */
 export function planAddToken(
-  team: DocumentAnswer,
+  team: DocumentResponse,
   token: NewToken,
   reason?: string,
 ): AdminRequest {
   const content = teamSchema.parse(team.content);
   if (content.tokens.some(known => known.name === token.name)) {
     throw new UsageError(
-      `Team ${team.id} has a token ${token.name} already; remove it first, or choose another name.`,
+      `Team ${team.id} already has a token ${token.name}; remove it first, or choose another name.`,
     );
   }
   return planTokens(team, [...content.tokens, token], reason);
 }
 
-/** Publishes the team without one of its tokens. */
+/** Builds a request that removes a token from a team. */
 export function planRemoveToken(
-  team: DocumentAnswer,
+  team: DocumentResponse,
   tokenName: string,
   reason?: string,
 ): AdminRequest {
@@ -52,7 +52,7 @@
 }
 
 function planTokens(
-  team: DocumentAnswer,
+  team: DocumentResponse,
   tokens: readonly unknown[],
   reason?: string,
 ): AdminRequest {
--- a/packages/cli/src/print/difference.ts
+++ b/packages/cli/src/print/difference.ts
@@ -1,8 +1,8 @@
-/** What changed between two contents, one path a line. */
+/** Differences between two JSON values, one line per path. */
 
 const MAX_VALUE_LENGTH = 60;
 
-/** The paths whose values differ, as `path: before -> after`. */
+/** Lists the paths whose values differ, as `path: before -> after`. */
 export function describeDifference(before: unknown, after: unknown): string[] {
   const earlier = flatten(before);
   const later = flatten(after);
@@ -10,7 +10,8 @@
   return paths
     .filter(path => earlier.get(path) !== later.get(path))
     .map(
-      path => `${path}: ${show(earlier.get(path))} -> ${show(later.get(path))}`,
+      path =>
+        `${path}: ${formatValue(earlier.get(path))} -> ${formatValue(later.get(path))}`,
     );
 }
 
@@ -24,7 +25,7 @@
   );
 }
 
-function show(value: string | undefined): string {
+function formatValue(value: string | undefined): string {
   if (value === undefined) return '(none)';
   return value.length > MAX_VALUE_LENGTH
     ? `${value.slice(0, MAX_VALUE_LENGTH)}…`
--- a/packages/cli/src/print/table.ts
+++ b/packages/cli/src/print/table.ts
@@ -1,7 +1,7 @@
-/** Readable tables for terminals and for pipes. */
+/** Plain-text tables. */
 import Table from 'cli-table3';
 
-const NO_LINES = Object.fromEntries(
+const NO_BORDERS = Object.fromEntries(
   [
     ...['top', 'top-mid', 'top-left', 'top-right'],
     ...['bottom', 'bottom-mid', 'bottom-left', 'bottom-right'],
@@ -9,13 +9,13 @@
   ].map(name => [name, '']),
 );
 
-/** One column: its title and how a row fills it. */
+/** One column: its title and the value of a row in it. */
 export interface Column<T> {
   title: string;
   read(row: T): string | number | boolean | null | undefined;
 }
 
-/** Rows without lines or colours, so that other tools can cut them. */
+/** Formats rows without borders or colours, for use by other tools. */
 export function formatTable<T>(
   rows: readonly T[],
   columns: readonly Column<T>[],
@@ -23,7 +23,7 @@
   if (rows.length === 0) return 'There are none.\n';
   const table = new Table({
     head: columns.map(column => column.title),
-    chars: {...NO_LINES, middle: '  '},
+    chars: {...NO_BORDERS, middle: '  '},
     style: {head: [], border: [], 'padding-left': 0, 'padding-right': 0},
   });
   rows.forEach(row =>
@@ -32,7 +32,7 @@
   return `${table.toString().replace(/ +$/gm, '')}\n`;
 }
 
-/** Names with their values, one a line. */
+/** Formats names and values, one pair per line. */
 export function formatFields(
   fields: Readonly<Record<string, string | number | boolean | null>>,
 ): string {
--- a/packages/cli/src/print/times.ts
+++ b/packages/cli/src/print/times.ts
@@ -1,11 +1,11 @@
-/** Times as people read them. */
+/** Formats times and durations. */
 
 const SECOND_MS = 1_000;
 const MINUTE_MS = 60_000;
 const HOUR_MS = 3_600_000;
 const DAY_MS = 86_400_000;
 
-/** A time in UTC, to the second. */
+/** Formats a time in UTC, to the second. */
 export function formatTime(timeMs: number | null): string {
   if (timeMs === null) return '-';
   const time = new Date(timeMs);
@@ -14,23 +14,23 @@
     : time.toISOString().replace(/\.\d+Z$/, 'Z');
 }
 
-/** How long something takes, in its two largest units. */
+/** Formats a duration in its two largest units. */
 export function formatDuration(durationMs: number): string {
   const sign = durationMs < 0 ? '-' : '';
-  const restMs = Math.abs(durationMs);
-  if (restMs >= DAY_MS) {
-    return sign + inUnits(restMs, DAY_MS, 'd', HOUR_MS, 'h');
+  const absoluteMs = Math.abs(durationMs);
+  if (absoluteMs >= DAY_MS) {
+    return sign + formatInUnits(absoluteMs, DAY_MS, 'd', HOUR_MS, 'h');
   }
-  if (restMs >= HOUR_MS) {
-    return sign + inUnits(restMs, HOUR_MS, 'h', MINUTE_MS, 'min');
+  if (absoluteMs >= HOUR_MS) {
+    return sign + formatInUnits(absoluteMs, HOUR_MS, 'h', MINUTE_MS, 'min');
   }
-  if (restMs >= MINUTE_MS) {
-    return sign + inUnits(restMs, MINUTE_MS, 'min', SECOND_MS, 's');
+  if (absoluteMs >= MINUTE_MS) {
+    return sign + formatInUnits(absoluteMs, MINUTE_MS, 'min', SECOND_MS, 's');
   }
-  return `${sign}${(restMs / SECOND_MS).toFixed(1)} s`;
+  return `${sign}${(absoluteMs / SECOND_MS).toFixed(1)} s`;
 }
 
-function inUnits(
+function formatInUnits(
   durationMs: number,
   largeMs: number,
   largeName: string,
--- a/packages/cli/src/print/with_article.ts
+++ b/packages/cli/src/print/with_article.ts
@@ -1,4 +1,4 @@
-/** A noun with `a` or `an`, as it is spoken. */
+/** Prefixes a noun with `a` or `an`. */
 export function withArticle(noun: string): string {
   return `${/^[aeiou]/.test(noun) ? 'an' : 'a'} ${noun}`;
 }
--- a/packages/cli/src/answers.ts
+++ b/packages/cli/src/responses.ts
@@ -1,4 +1,4 @@
-/** The answers of the operators' interface that the tool reads. */
+/** Schemas of the admin API responses that the tool reads. */
 import {z} from 'zod';
 
 const content = z.record(z.string(), z.unknown());
@@ -91,9 +91,11 @@
   note: z.string().nullable(),
 });
 
-export type DocumentAnswer = z.infer<typeof documentSchema>;
-export type AcceptedAnswer = z.infer<typeof acceptedSchema>;
-export type DryRunAnswer = z.infer<typeof dryRunSchema>;
-export type InForceAnswer = z.infer<typeof inForceSchema>;
-export type EventStatusAnswer = z.infer<typeof eventStatusSchema>;
-export type AuditEntryAnswer = z.infer<typeof auditPageSchema>['items'][number];
+export type DocumentResponse = z.infer<typeof documentSchema>;
+export type AcceptedResponse = z.infer<typeof acceptedSchema>;
+export type DryRunResponse = z.infer<typeof dryRunSchema>;
+export type InForceResponse = z.infer<typeof inForceSchema>;
+export type EventStatusResponse = z.infer<typeof eventStatusSchema>;
+export type AuditEntryResponse = z.infer<
+  typeof auditPageSchema
+>['items'][number];
--- a/packages/cli/src/run_tool.test.ts
+++ b/packages/cli/src/run_tool.test.ts
@@ -4,7 +4,11 @@
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
 import {EXIT_CODES, listCommandPaths} from './index.js';
-import {createFixture, makeSilentNode, runWith} from './testing_fixture.js';
+import {
+  createFixture,
+  makeUnresponsiveNode,
+  runWith,
+} from './testing_fixture.js';
 
 const FILES = {
   'team.json': {displayName: 'Zorza'},
@@ -24,8 +28,7 @@
   'broken.json': '{"team":',
 };
 
-/** A node with a team, a model and a template. */
-async function createPublished() {
+async function createFixtureWithDocuments() {
   const fixture = await createFixture();
   await fixture.run('team put zorza team.json', FILES);
   await fixture.run('model put alert-writer model.json', FILES);
@@ -33,8 +36,8 @@
   return fixture;
 }
 
-/** Takes each request in full and then cuts the connection. */
-async function startCuttingServer() {
+/** Reads each request, then closes the connection without a response. */
+async function startDisconnectingServer() {
   let requests = 0;
   const server = createServer(incoming => {
     requests += 1;
@@ -48,10 +51,10 @@
   return {baseUrl, countRequests: () => requests, close};
 }
 
-const jobs = suite('mimosatack');
+const commands = suite('mimosatack');
 
-jobs('an event goes from its template to cancelled', async () => {
-  const {run, close} = await createPublished();
+commands('an event is created, changed and cancelled', async () => {
+  const {run, close} = await createFixtureWithDocuments();
   const created = await run(
     'event create tonight --template sky --param start=2030-01-01T18:00:00Z --param replicas=2 --reason aurora --wait',
   );
@@ -72,8 +75,8 @@
   await close();
 });
 
-jobs('a table is for people and --json for programs', async () => {
-  const {run, close} = await createPublished();
+commands('list prints a table, or JSON with --json', async () => {
+  const {run, close} = await createFixtureWithDocuments();
   const table = await run('team list');
   assert.match(table.stdout, /^id +version +displayName\nzorza +1 +Zorza\n$/);
   const json = JSON.parse((await run('team list --json')).stdout) as {
@@ -86,8 +89,8 @@
   await close();
 });
 
-jobs('the audit trail shows what a change changed', async () => {
-  const {run, close} = await createPublished();
+commands('audit --diff shows the changed fields', async () => {
+  const {run, close} = await createFixtureWithDocuments();
   const files = {'team.json': {displayName: 'Zorza Obserwatorów'}};
   await run('team put zorza team.json --reason name', files);
   const audit = await run('audit --kind team --diff --limit 1');
@@ -96,8 +99,8 @@
   await close();
 });
 
-jobs('a token is printed once, and only its hash is stored', async () => {
-  const {run, follower, close} = await createPublished();
+commands('a token is printed once, and only its hash is stored', async () => {
+  const {run, follower, close} = await createFixtureWithDocuments();
   const added = await run('team token add zorza ola --role operator');
   assert.is(added.stdout, 'a-new-token\n');
   const stored = follower.state.configuration.find('team', 'zorza');
@@ -109,12 +112,12 @@
   await close();
 });
 
-jobs.run();
+commands.run();
 
-const exits = suite('mimosatack: exit codes');
+const exitCodes = suite('mimosatack: exit codes');
 
-exits('1: the node refuses, and says what to do', async () => {
-  const {run, close} = await createPublished();
+exitCodes('1: a refusal prints the remedy', async () => {
+  const {run, close} = await createFixtureWithDocuments();
   const refused = await run('event show tomorrow');
   assert.is(refused.exitCode, EXIT_CODES.refused);
   assert.is(refused.stdout, '');
@@ -124,8 +127,8 @@
   await close();
 });
 
-exits('2: the command line or a file is not right', async () => {
-  const {run, close} = await createPublished();
+exitCodes('2: the command line or a file is invalid', async () => {
+  const {run, close} = await createFixtureWithDocuments();
   const lines = [
     'evnt list',
     'event create',
@@ -150,67 +153,66 @@
   await close();
 });
 
-/**
- * A change is accepted while one node hears nothing. With `--wait` the tool
- * must not claim that the change is in force everywhere; it names the node
- * and ends with a code of its own.
- */
-exits('3: a change is not in force everywhere in time', async () => {
-  const {run, nodes, close} = await createPublished();
-  nodes.push(makeSilentNode('entry-2'));
-  const line = 'team put zorza team.json --wait --timeout-seconds 0';
-  const waited = await run(line, FILES);
-  assert.is(waited.exitCode, EXIT_CODES.timedOut);
-  assert.match(waited.stderr, /in force on 0 of 1 nodes; not on entry-2/);
-  await close();
-});
+// Guards against `--wait` reporting success while a node lacks the change.
+exitCodes(
+  '3: a change is not in force everywhere before the timeout',
+  async () => {
+    const {run, nodes, close} = await createFixtureWithDocuments();
+    nodes.push(makeUnresponsiveNode('entry-2'));
+    const line = 'team put zorza team.json --wait --timeout-seconds 0';
+    const waited = await run(line, FILES);
+    assert.is(waited.exitCode, EXIT_CODES.timedOut);
+    assert.match(waited.stderr, /in force on 0 of 1 nodes; not on entry-2/);
+    await close();
+  },
+);
 
-exits('4: no node is reachable; of several the next is tried', async () => {
-  const {run, baseUrl, close} = await createPublished();
-  const gone = 'http://127.0.0.1:1';
-  const both = {MIMOSATACK_ADMIN_URL: `${gone},${baseUrl}`};
-  assert.is((await run('status', {}, both)).exitCode, EXIT_CODES.ok);
-  const written = await run('team put aurora team.json', FILES, both);
-  assert.is(written.exitCode, EXIT_CODES.ok, written.stderr);
-  const none = await run(`status --admin-url ${gone} --json`);
-  assert.is(none.exitCode, EXIT_CODES.unreachable);
-  assert.match(none.stderr, /^{"error":{"kind":"node-unreachable"/);
-  await close();
-});
+exitCodes(
+  '4: no node is reachable; with several URLs the next is tried',
+  async () => {
+    const {run, baseUrl, close} = await createFixtureWithDocuments();
+    const unreachableUrl = 'http://127.0.0.1:1';
+    const both = {MIMOSATACK_ADMIN_URL: `${unreachableUrl},${baseUrl}`};
+    assert.is((await run('status', {}, both)).exitCode, EXIT_CODES.ok);
+    const written = await run('team put aurora team.json', FILES, both);
+    assert.is(written.exitCode, EXIT_CODES.ok, written.stderr);
+    const none = await run(`status --admin-url ${unreachableUrl} --json`);
+    assert.is(none.exitCode, EXIT_CODES.unreachable);
+    assert.match(none.stderr, /^{"error":{"kind":"node-unreachable"/);
+    await close();
+  },
+);
 
-exits('5: another change was first', async () => {
-  const {run, close} = await createPublished();
+exitCodes('5: the expected version is outdated', async () => {
+  const {run, close} = await createFixtureWithDocuments();
   const line = 'team put zorza team.json --expected-version 0';
   assert.is((await run(line, FILES)).exitCode, EXIT_CODES.conflict);
   await close();
 });
 
-/**
- * A node takes a change in full and dies before it answers. Sending the
- * change to the next node would end in a conflict with itself, and the
- * operator would believe that it failed; it must be told to look first.
- */
-exits('a change whose answer is lost is not sent again', async () => {
-  const {run, baseUrl, follower, close} = await createPublished();
-  const cutting = await startCuttingServer();
-  const urls = {MIMOSATACK_ADMIN_URL: `${cutting.baseUrl},${baseUrl}`};
+// Guards against resending a change whose response was lost: the next node
+// would report a conflict although the first node applied the change.
+exitCodes('a change whose response is lost is not sent again', async () => {
+  const {run, baseUrl, follower, close} = await createFixtureWithDocuments();
+  const disconnecting = await startDisconnectingServer();
+  const urls = {MIMOSATACK_ADMIN_URL: `${disconnecting.baseUrl},${baseUrl}`};
   const {sequence} = follower.state;
   const line = 'team put zorza team.json --expected-version 1';
   const lost = await run(line, FILES, urls);
   assert.is(lost.exitCode, EXIT_CODES.refused);
   assert.match(lost.stderr, /^outcome-unknown: [^]*Read it before/);
-  assert.is(cutting.countRequests(), 1);
+  assert.is(disconnecting.countRequests(), 1);
   assert.is(follower.state.sequence, sequence);
   assert.is((await run('team list', {}, urls)).exitCode, EXIT_CODES.ok);
-  await cutting.close();
+  await disconnecting.close();
   await close();
 });
 
-exits.run();
+exitCodes.run();
 
 const settings = suite('mimosatack settings check');
 
-settings('all faults are told, and secrets are not', async () => {
+settings('all faults are printed, without secret values', async () => {
   const flags = ['--node-name', 'a b', '--colour', 'red'];
   const env = {MIMOSATACK_CLUSTER_SECRET: 'short'};
   const checked = await runWith(['settings', 'check', ...flags], {}, env);
@@ -244,7 +246,7 @@
   );
 });
 
-docs('docs/operators/cli.md tells every exit code', () => {
+docs('docs/operators/cli.md lists every exit code', () => {
   const page = readFileSync(
     new URL('../../../docs/operators/cli.md', import.meta.url),
     'utf8',
@@ -264,24 +266,27 @@
   }),
 };
 
-explaining('a request that a log names is explained', async () => {
+explaining('a request in the logs is explained', async () => {
   const argv = ['explain', 'r1', 'entry-1.log'];
   const {exitCode, stdout} = await runWith(argv, LOG);
   assert.is(exitCode, EXIT_CODES.ok);
   assert.match(stdout, /Cause: entry-1 refused it .*No route takes it/);
   const json = await runWith([...argv, '--json'], LOG);
-  const told = JSON.parse(json.stdout) as {verdict: {result: string}};
-  assert.is(told.verdict.result, 'refused');
+  const explained = JSON.parse(json.stdout) as {verdict: {result: string}};
+  assert.is(explained.verdict.result, 'refused');
 });
 
-explaining('an unknown request and an unreadable log are told', async () => {
-  const unknown = await runWith(['explain', 'r2', 'entry-1.log'], LOG);
-  assert.is(unknown.exitCode, EXIT_CODES.refused);
-  assert.match(unknown.stdout, /No line names r2/);
-  const missing = await runWith(['explain', 'r1', 'entry-9.log'], LOG);
-  assert.is.not(missing.exitCode, EXIT_CODES.ok);
-  assert.match(missing.stderr, /entry-9\.log/);
-});
+explaining(
+  'an unknown request and an unreadable log are reported',
+  async () => {
+    const unknown = await runWith(['explain', 'r2', 'entry-1.log'], LOG);
+    assert.is(unknown.exitCode, EXIT_CODES.refused);
+    assert.match(unknown.stdout, /No line names r2/);
+    const missing = await runWith(['explain', 'r1', 'entry-9.log'], LOG);
+    assert.is.not(missing.exitCode, EXIT_CODES.ok);
+    assert.match(missing.stderr, /entry-9\.log/);
+  },
+);
 
 docs.run();
 explaining.run();
--- a/packages/cli/src/run_tool.ts
+++ b/packages/cli/src/run_tool.ts
@@ -1,4 +1,4 @@
-/** Puts the commands together and runs one of them. */
+/** Registers all commands and runs one of them. */
 import {Builtins, Cli, type Command} from 'clipanion';
 import {closest} from 'fastest-levenshtein';
 import {AUDIT_COMMANDS} from './commands/audit/index.js';
@@ -27,7 +27,7 @@
   return command === null ? EXIT_CODES.usage : cli.run(command, context);
 }
 
-/** Why a command line is not understood; null when it is. */
+/** Returns the syntax error of a command line, or null when it parses. */
 export function findSyntaxError(
   argv: readonly string[],
   context: ToolContext,
@@ -40,7 +40,7 @@
   }
 }
 
-/** Every command path, as one text each. */
+/** Lists all command paths, such as `mimosatack event list`. */
 export function listCommandPaths(): string[] {
   return buildCli(false)
     .definitions()
@@ -80,13 +80,13 @@
     return cli.process([...argv], context);
   } catch (thrown) {
     const error = thrown instanceof Error ? thrown : new Error(String(thrown));
-    context.stderr.write(describeUsage(error, argv, cli));
+    context.stderr.write(formatUsageError(error, argv, cli));
     return null;
   }
 }
 
-/** An unknown command gets a hint; the library would list all commands. */
-function describeUsage(
+/** Suggests the nearest command, where the library would list all of them. */
+function formatUsageError(
   error: Error,
   argv: readonly string[],
   cli: Cli<ToolContext>,
@@ -99,6 +99,6 @@
   const nearest = closest(words.join(' '), names);
   return (
     `usage: There is no command "${words.join(' ')}". ` +
-    `Did you mean "mimosatack ${nearest}"? mimosatack --help lists them all.\n`
+    `Did you mean "mimosatack ${nearest}"? Run mimosatack --help to list all commands.\n`
   );
 }
--- a/packages/cli/src/testing_fixture.ts
+++ b/packages/cli/src/testing_fixture.ts
@@ -1,4 +1,4 @@
-/** Fixture of the tests: the tool against a node's operators' interface. */
+/** Test fixture that runs the tool against the admin API of one node. */
 import {PassThrough} from 'node:stream';
 import {AuditTrail} from '@mimosatack/audit-trail';
 import {hashToken} from '@mimosatack/authenticate';
@@ -12,17 +12,17 @@
 import {Cli} from 'clipanion';
 import {runTool} from './index.js';
 
-/** A token that may do everything. */
+/** A token with all permissions. */
 export const ADMIN = 'admin-token';
 
-/** What one command printed and how it ended. */
+/** The output and exit code of one command. */
 export interface ToolRun {
   exitCode: number;
   stdout: string;
   stderr: string;
 }
 
-/** What the tool takes from the process, from memory. */
+/** Creates a context with files and environment variables in memory. */
 export function createContext(
   files: Readonly<Record<string, unknown>> = {},
   env: Readonly<Record<string, string>> = {},
@@ -41,7 +41,7 @@
   };
 }
 
-/** Runs the tool with files from memory. */
+/** Runs the tool with files and environment variables in memory. */
 export async function runWith(
   argv: readonly string[],
   files: Readonly<Record<string, unknown>> = {},
@@ -56,7 +56,7 @@
   };
 }
 
-/** A node over a log service in memory, and the tool pointed at it. */
+/** Starts a node on an in-memory log service and points the tool at it. */
 export async function createFixture() {
   const clock = new SystemClock();
   const log = new MemoryLogService();
@@ -121,8 +121,8 @@
   return {run, baseUrl, nodes, follower, close};
 }
 
-/** A node that this one hears nothing of. */
-export function makeSilentNode(nodeName: string): NodeView {
+/** A node in the list that has not reported a log offset. */
+export function makeUnresponsiveNode(nodeName: string): NodeView {
   return {
     nodeName,
     incarnation: `${nodeName}.x`,
