--- a/packages/explain-request/src/explain_request.ts
+++ b/packages/explain-request/src/explain_request.ts
@@ -1,38 +1,38 @@
-/** Says what became of one request, by the log lines of all nodes. */
+/** Explains the result of one request from the log lines of all nodes. */
 import {findVerdict, type Verdict} from './find_verdict.js';
 import {type LogLine} from './parse_log.js';
 
 export {type Verdict} from './find_verdict.js';
 
-/** What is known of a request. */
+/** The result of a request, with the log lines that support it. */
 export interface Explanation {
   requestId: string;
   verdict: Verdict;
-  /** The request's own lines, in the order of time. */
+  /** Lines that carry the id of the request, by time. */
   own: readonly LogLine[];
-  /** What happened meanwhile to the nodes and servers that it met. */
+  /** Lines about repeats of the request and about parts involved, by time. */
   related: readonly LogLine[];
 }
 
-/** What happened this long before a request may be its cause. */
-const BEFORE_MS = 5_000;
-/** What shows afterwards, such as the restart of a node that was killed. */
-const AFTER_MS = 5_000;
+/** Events up to this long before a request may be the cause of its failure. */
+const WINDOW_BEFORE_MS = 5_000;
+/** Covers delayed events, such as the restart of a killed node. */
+const WINDOW_AFTER_MS = 5_000;
 
-/** Events that tell of a node as a whole. */
+/** Events about a node as a whole. */
 const NODE_EVENTS: readonly string[] = [
   ...['node-started', 'shutdown-phase', 'unexpected-error', 'duty-lost'],
   ...['dependency-lost', 'dependency-regained', 'duty-holder-changed'],
   ...['configuration-applied', 'lines-dropped', 'settings-reloaded'],
 ];
-/** Events that tell of one backend server. */
+/** Events about one backend server. */
 const SERVER_EVENTS: readonly string[] = ['server-changed', 'engine-ordered'];
-/** Events that tell of the same request under other ids, at any time. */
+/** Events about requests with the same fingerprint, at any time. */
 const REPEAT_EVENTS: readonly string[] = [
   ...['attempt-ended', 'request-contained', 'request-released'],
 ];
 
-/** Null when no line names the request. */
+/** Returns null when no line names the request. */
 export function explainRequest(
   requestId: string,
   lines: readonly LogLine[],
@@ -43,18 +43,18 @@
   const [first] = own;
   const last = own.at(-1);
   if (!first || !last) return null;
-  const sinceMs = first.atMs - BEFORE_MS;
-  const untilMs = last.atMs + AFTER_MS;
+  const sinceMs = first.atMs - WINDOW_BEFORE_MS;
+  const untilMs = last.atMs + WINDOW_AFTER_MS;
   const nodes = new Set(own.map(({nodeName}) => nodeName));
   const servers = new Set(own.map(({fields}) => fields['backendServerId']));
   const models = new Set(own.flatMap(({fields}) => fields['model'] ?? []));
-  const prints = new Set(
+  const fingerprints = new Set(
     own.flatMap(({fields}) => fields['fingerprint'] ?? []),
   );
   const related = sortByTime(
     lines.filter(
       line =>
-        isRepeat(line, requestId, prints) ||
+        isRepeat(line, requestId, fingerprints) ||
         (line.atMs >= sinceMs &&
           line.atMs <= untilMs &&
           isRelated(line, {nodes, servers, models})),
@@ -66,8 +66,8 @@
   };
 }
 
-/** What a request met. */
-interface Met {
+/** Nodes, servers and models that a request involved. */
+interface InvolvedParts {
   nodes: ReadonlySet<string>;
   servers: ReadonlySet<unknown>;
   models: ReadonlySet<unknown>;
@@ -75,7 +75,7 @@
 
 function isRelated(
   {nodeName, eventName, fields}: LogLine,
-  {nodes, servers, models}: Met,
+  {nodes, servers, models}: InvolvedParts,
 ): boolean {
   if (NODE_EVENTS.includes(eventName)) return nodes.has(nodeName);
   if (!SERVER_EVENTS.includes(eventName)) return false;
@@ -85,11 +85,11 @@
 function isRepeat(
   {eventName, fields}: LogLine,
   requestId: string,
-  prints: ReadonlySet<unknown>,
+  fingerprints: ReadonlySet<unknown>,
 ): boolean {
   return (
     REPEAT_EVENTS.includes(eventName) &&
-    prints.has(fields['fingerprint']) &&
+    fingerprints.has(fields['fingerprint']) &&
     fields['requestId'] !== requestId
   );
 }
--- a/packages/explain-request/src/find_verdict.ts
+++ b/packages/explain-request/src/find_verdict.ts
@@ -1,25 +1,25 @@
-/** Names the cause of what became of a request. */
+/** Determines the result of a request and its most likely cause. */
 import {type LogLine} from './parse_log.js';
 
-/** What became of it, and the most likely cause. */
+/** The result of a request and its most likely cause. */
 export interface Verdict {
   result: 'answered' | 'refused' | 'broken-off' | 'caller-gone' | 'unfinished';
   cause: string;
-  /** Where to look next. */
+  /** What to check next. */
   advice: string;
 }
 
-/** A server that changed this near to a failure is taken for its cause. */
-const NEAR_MS = 3_000;
+/** A server state change within this time of a failure counts as its cause. */
+const SERVER_CHANGE_WINDOW_MS = 3_000;
 
-/** Events that tell why a request was not let in. */
-const BARRING_EVENTS: ReadonlySet<string> = new Set([
+/** Events that record why a request was refused on arrival. */
+const ADMISSION_REFUSAL_EVENTS: ReadonlySet<string> = new Set([
   'key-refused',
   'quota-refused',
 ]);
 
-/** Reasons of the node that schedules, in words. */
-const REASONS: ReadonlyMap<unknown, string> = new Map([
+/** Descriptions of the scheduling node's refusal reasons. */
+const REFUSAL_REASONS: ReadonlyMap<unknown, string> = new Map([
   [
     'no-room',
     'no engine had room for the model, or could have loaded it, before the caller would have left',
@@ -31,7 +31,7 @@
   ['unknown-model', 'no configuration lists the model or the adapter'],
 ]);
 
-/** Finds the verdict by a request's own lines and those around it. */
+/** Derives the verdict from the lines of a request and related lines. */
 export function findVerdict(
   own: readonly LogLine[],
   related: readonly LogLine[],
@@ -60,33 +60,34 @@
   const status = findLastAttempt(own)?.fields['status'];
   return {
     result: 'answered',
-    cause: `The server's own answer (status ${show(status)}) went to the caller after ${show(tookMs)} ms and ${show(attempts)} attempts.`,
+    cause: `The backend server's response (status ${formatValue(status)}) was sent to the caller after ${formatValue(tookMs)} ms and ${formatValue(attempts)} attempts.`,
     advice:
       Number(status) >= 500
-        ? 'The server failed it by itself: look at its own log.'
-        : 'If it was late, compare the times of the lines below.',
+        ? 'The backend server failed the request: check the log of that server.'
+        : 'If the response was late, compare the times of the lines below.',
   };
 }
 
 function findCallerGone(own: readonly LogLine[], finished: LogLine): Verdict {
-  const tookMs = show(finished.fields['tookMs']);
+  const tookMs = formatValue(finished.fields['tookMs']);
   const sent = own.findLast(({eventName}) => eventName === 'request-sent');
   const attempt = findLastAttempt(own);
   if (!sent) {
     return {
       result: 'caller-gone',
       cause: `The caller left after ${tookMs} ms, while the request waited for a server.`,
-      advice: 'See the orders for its model below: was it being loaded?',
+      advice:
+        'Check the orders for its model below: was the model being loaded?',
     };
   }
-  const server = show(sent.fields['backendServerId']);
+  const server = formatValue(sent.fields['backendServerId']);
   const hasBegun = typeof attempt?.fields['headMs'] === 'number';
   return {
     result: 'caller-gone',
     cause: hasBegun
-      ? `The caller left after ${tookMs} ms, in the middle of the answer of ${server}; ${findWaitMs(own, finished)} ms of that it waited to be sent.`
+      ? `The caller left after ${tookMs} ms, in the middle of the answer of ${server}; ${computeWaitMs(own, finished)} ms of that it waited to be sent.`
       : `The caller left after ${tookMs} ms; ${server} had not begun to answer.`,
-    advice: `Look at the log and the load of ${server} at that time.`,
+    advice: `Check the log and the load of ${server} at that time.`,
   };
 }
 
@@ -99,16 +100,16 @@
     ({eventName, fields}) =>
       eventName === 'ask-decided' && fields['decision'] === 'refuse',
   );
-  const reason = REASONS.get(decided?.fields['reason']);
+  const reason = REFUSAL_REASONS.get(decided?.fields['reason']);
   if (decided && reason !== undefined) {
     return {
       result: 'refused',
-      cause: `${decided.nodeName}, which scheduled, refused it after ${show(decided.fields['waitedMs'])} ms: ${reason}.`,
-      advice: `See the orders for ${show(decided.fields['model'])} below; ${show(decided.fields['waiting'])} other requests waited.`,
+      cause: `${decided.nodeName}, which scheduled, refused it after ${formatValue(decided.fields['waitedMs'])} ms: ${reason}.`,
+      advice: `See the orders for ${formatValue(decided.fields['model'])} below; ${formatValue(decided.fields['waiting'])} other requests waited.`,
     };
   }
-  const barred = findBarredCause(own);
-  if (barred) return {result: 'refused', ...barred};
+  const admissionCause = findAdmissionRefusalCause(own);
+  if (admissionCause) return {result: 'refused', ...admissionCause};
   if (finished.fields['kind'] === 'contained') {
     return {result: 'refused', ...findContainedCause(related, finished)};
   }
@@ -117,31 +118,33 @@
   }
   return {
     result: 'refused',
-    cause: `${finished.nodeName} refused it before any server was asked: ${show(finished.fields['reason'])}`,
-    advice: `docs/operators/refusals.md says what "${show(finished.fields['kind'])}" means.`,
+    cause: `${finished.nodeName} refused it before sending it to a server: ${formatValue(finished.fields['reason'])}`,
+    advice: `docs/operators/refusals.md says what "${formatValue(finished.fields['kind'])}" means.`,
   };
 }
 
-/** Of a request that was refused for its key, or beyond its team's quota. */
-function findBarredCause(
+/** Explains a refusal for an invalid key or an exceeded quota. */
+function findAdmissionRefusalCause(
   own: readonly LogLine[],
 ): Omit<Verdict, 'result'> | null {
-  const line = own.findLast(({eventName}) => BARRING_EVENTS.has(eventName));
+  const line = own.findLast(({eventName}) =>
+    ADMISSION_REFUSAL_EVENTS.has(eventName),
+  );
   if (!line) return null;
   const {nodeName, fields} = line;
   if (line.eventName === 'key-refused') {
     return {
-      cause: `${nodeName} refused its key by configuration ${show(fields['configurationVersion'])}, known to be the newest ${show(fields['configurationAgeMs'])} ms before: ${show(fields['reason'])}`,
-      advice: 'docs/operators/teams.md says what to do about each reason.',
+      cause: `${nodeName} refused the key by configuration ${formatValue(fields['configurationVersion'])}, confirmed as the newest ${formatValue(fields['configurationAgeMs'])} ms before: ${formatValue(fields['reason'])}`,
+      advice: 'docs/operators/teams.md describes a remedy for each reason.',
     };
   }
   return {
-    cause: `The team ${show(fields['team'])} had ${show(fields['left'])} left of its quota, and the request counts ${show(fields['amount'])}; ${nodeName} decided that as ${show(fields['decidedBy'])}.`,
-    advice: `The caller was told to come back after ${show(fields['retryAfterMs'])} ms; raise the quota if the team is to be served more.`,
+    cause: `The team ${formatValue(fields['team'])} had ${formatValue(fields['left'])} left of its quota, and the request counts ${formatValue(fields['amount'])}; ${nodeName} decided this as ${formatValue(fields['decidedBy'])}.`,
+    advice: `The caller was told to retry after ${formatValue(fields['retryAfterMs'])} ms; raise the quota if the team needs more capacity.`,
   };
 }
 
-/** Of a request that is sent to no server, since servers have ended under it. */
+/** Explains a refusal because backend servers crashed serving the request. */
 function findContainedCause(
   related: readonly LogLine[],
   finished: LogLine,
@@ -149,15 +152,15 @@
   const contained = related.find(
     ({eventName}) => eventName === 'request-contained',
   );
-  const lives = show(contained?.fields['serverLives']);
+  const crashedServers = formatValue(contained?.fields['serverLives']);
   return {
-    cause: `Servers had ended under the same request, whose fingerprint is ${show(finished.fields['fingerprint'])}: ${lives}.`,
+    cause: `Backend servers crashed while serving the same request, whose fingerprint is ${formatValue(finished.fields['fingerprint'])}: ${crashedServers}.`,
     advice:
-      'The lines attempt-ended below name the ids under which they did. Tell its caller, or mend the servers.',
+      'The attempt-ended lines below list the ids of those requests. Notify the caller, or fix the servers.',
   };
 }
 
-/** Of a request whose last attempt failed. */
+/** Explains a request whose last attempt failed. */
 function findAttemptCause(
   own: readonly LogLine[],
   related: readonly LogLine[],
@@ -166,43 +169,43 @@
   const attempt = findLastAttempt(own);
   if (!attempt) {
     return {
-      cause: `It ended with: ${show(finished.fields['reason'])}`,
-      advice: 'Look at the lines of its node below.',
+      cause: `The request failed with: ${formatValue(finished.fields['reason'])}`,
+      advice: 'Check the lines of its node below.',
     };
   }
   const {backendServerId, error, outcome} = attempt.fields;
-  const server = show(backendServerId);
+  const server = formatValue(backendServerId);
   if (finished.fields['kind'] === 'deadline-exceeded') {
-    return findOverdueCause(own, finished, server);
+    return findDeadlineCause(own, finished, server);
   }
   const change = related.find(
     ({eventName, fields, atMs}) =>
       eventName === 'server-changed' &&
       fields['backendServerId'] === backendServerId &&
       fields['state'] !== 'ready' &&
-      Math.abs(atMs - attempt.atMs) <= NEAR_MS,
+      Math.abs(atMs - attempt.atMs) <= SERVER_CHANGE_WINDOW_MS,
   );
   const changed = change
-    ? ` The list told that ${server} was ${show(change.fields['state'])} within ${NEAR_MS / 1_000} s of that.`
+    ? ` The server list reported that ${server} was ${formatValue(change.fields['state'])} within ${SERVER_CHANGE_WINDOW_MS / 1_000} s of the failure.`
     : '';
   return {
-    cause: `The attempt at ${server} ended as "${show(outcome)}": ${show(error)}${changed}`,
+    cause: `The attempt at ${server} ended with outcome "${formatValue(outcome)}": ${formatValue(error)}${changed}`,
     advice: change
-      ? `${server} left or was lost: nothing is wrong with the node.`
-      : `Look at the log of ${server}, and at other requests to it at that time.`,
+      ? `${server} shut down or was lost: the node is not the cause.`
+      : `Check the log of ${server}, and other requests to this server at that time.`,
   };
 }
 
-/** A request that waited for so much of its time was late by its waiting. */
-const WAITED_PART = 0.5;
+/** From this share of its time on, waiting counts as the cause of a timeout. */
+const MIN_WAIT_SHARE = 0.5;
 
-/** Of a request whose time was over before its answer was whole. */
-function findOverdueCause(
+/** Explains a request whose deadline passed before the response ended. */
+function findDeadlineCause(
   own: readonly LogLine[],
   finished: LogLine,
   server: string,
 ): Omit<Verdict, 'result'> {
-  const waitedMs = findWaitMs(own, finished);
+  const waitedMs = computeWaitMs(own, finished);
   const tookMs = Number(finished.fields['tookMs'] ?? 0);
   const headMs = findLastAttempt(own)?.fields['headMs'];
   const state =
@@ -210,22 +213,22 @@
       ? `began to answer after ${headMs} ms and was not done`
       : 'had not begun to answer';
   return {
-    cause: `Its time was over after ${show(finished.fields['tookMs'])} ms: it waited ${waitedMs} ms to be sent, and ${server} ${state}.`,
+    cause: `Its time was over after ${formatValue(finished.fields['tookMs'])} ms: it waited ${waitedMs} ms to be sent, and ${server} ${state}.`,
     advice:
-      waitedMs >= WAITED_PART * tookMs
-        ? 'See below what it waited for: an order for its model, or a node that schedules.'
-        : `Look at the log and the load of ${server} at that time.`,
+      waitedMs >= MIN_WAIT_SHARE * tookMs
+        ? 'Check below what the request waited for: an order for its model, or the scheduling node.'
+        : `Check the log and the load of ${server} at that time.`,
   };
 }
 
-/** How long a request was there before it was sent. */
-function findWaitMs(own: readonly LogLine[], finished: LogLine): number {
+/** Time from the arrival of a request until it was sent to a server. */
+function computeWaitMs(own: readonly LogLine[], finished: LogLine): number {
   const sent = own.find(({eventName}) => eventName === 'request-sent');
   const tookMs = Number(finished.fields['tookMs'] ?? 0);
   return sent ? Math.max(0, tookMs - (finished.atMs - sent.atMs)) : tookMs;
 }
 
-/** A node that was killed writes no last line of what it served. */
+/** Explains a request without a final line, as a killed node leaves it. */
 function findUnfinished(
   own: readonly LogLine[],
   related: readonly LogLine[],
@@ -240,14 +243,15 @@
   return restart
     ? {
         result: 'unfinished',
-        cause: `${restart.nodeName} ended without its last words and was started again, while the request was being served.`,
-        advice: 'Ask who ended the process, or whether its host was lost.',
+        cause: `${restart.nodeName} ended without a clean shutdown and restarted while it served the request.`,
+        advice: 'Check what killed the process, and whether its host failed.',
       }
     : {
         result: 'unfinished',
         cause:
-          'No line tells its end: its node still serves it, was killed, or its log is not complete.',
-        advice: 'Give the logs of all nodes, and look for lines-dropped.',
+          'No line reports the end of the request: its node still serves it, was killed, or its log is incomplete.',
+        advice:
+          'Give the logs of all nodes, and check for lines-dropped events.',
       };
 }
 
@@ -255,7 +259,7 @@
   return own.findLast(({eventName}) => eventName === 'attempt-ended');
 }
 
-function show(value: unknown): string {
+function formatValue(value: unknown): string {
   if (value === undefined || value === null) return 'unknown';
   return typeof value === 'string' ? value : JSON.stringify(value);
 }
--- a/packages/explain-request/src/format_explanation.ts
+++ b/packages/explain-request/src/format_explanation.ts
@@ -1,9 +1,9 @@
-/** Writes an explanation for people. */
+/** Formats an explanation as text. */
 import {type Explanation} from './explain_request.js';
 import {type LogLine} from './parse_log.js';
 
-/** Fields that stand elsewhere in the line, or mean nothing to people. */
-const HIDDEN: readonly string[] = [
+/** Fields that the line already shows, or that only programs need. */
+const HIDDEN_FIELDS: readonly string[] = [
   ...['name', 'hostname', 'pid', 'level', 'msg', 'time', 'v', 'nodeName'],
   ...['eventName', 'eventNumber'],
 ];
@@ -21,29 +21,29 @@
     `Cause: ${verdict.cause}`,
     `Next: ${verdict.advice}`,
     '',
-    'Its own lines:',
+    'Lines of the request:',
     ...own.map(format),
     '',
-    'Meanwhile:',
-    ...(related.length === 0 ? ['  nothing is told'] : related.map(format)),
+    'Related lines:',
+    ...(related.length === 0 ? ['  none'] : related.map(format)),
     '',
   ].join('\n');
 }
 
-/** The id is shown where it is another one's: of the same request, come again. */
+/** Shows the request id only in lines of other requests. */
 function formatLine(
   line: LogLine,
   {requestId, startMs}: {requestId: string; startMs: number},
 ): string {
   const {atMs, nodeName, eventName, fields} = line;
   const shown = Object.entries(fields)
-    .filter(([name, value]) => !HIDDEN.includes(name) && value !== null)
+    .filter(([name, value]) => !HIDDEN_FIELDS.includes(name) && value !== null)
     .filter(([name, value]) => name !== 'requestId' || value !== requestId)
-    .map(([name, value]) => `${name}=${toText(value)}`);
+    .map(([name, value]) => `${name}=${formatValue(value)}`);
   const sinceMs = String(atMs - startMs).padStart(6);
   return `  ${sinceMs} ms  ${nodeName}  ${eventName}  ${shown.join(' ')}`;
 }
 
-function toText(value: unknown): string {
+function formatValue(value: unknown): string {
   return typeof value === 'string' ? value : JSON.stringify(value);
 }
--- a/packages/explain-request/src/parse_log.ts
+++ b/packages/explain-request/src/parse_log.ts
@@ -1,24 +1,24 @@
-/** Reads log lines, whole ones only. */
+/** Parses log files of nodes, skipping incomplete lines. */
 
 /** One line of a node's log. */
 export interface LogLine {
-  /** When it was written, by the clock of its host. */
+  /** Time of writing by the clock of the node's host. */
   atMs: number;
   nodeName: string;
   eventName: string;
   fields: Readonly<Record<string, unknown>>;
 }
 
-/** The lines of a file, and how many could not be read. */
+/** The parsed lines of a file and the number of lines that did not parse. */
 export interface ParsedLog {
   lines: LogLine[];
   skipped: number;
 }
 
 /**
- * Parses a log. What stands before the first brace of a line is passed over,
- * since collectors put their own time or host there. A line that was cut in
- * half, by a kill or by a full disk, is counted and left out.
+ * Parses a log. The text before the first brace of a line is ignored, since log
+ * collectors add a prefix. A truncated line, as a killed process or a full disk
+ * leaves it, is counted as skipped.
  */
 export function parseLog(text: string): ParsedLog {
   const rows = text.split('\n').filter(row => row.includes('{'));
@@ -43,7 +43,7 @@
       ? (value as Record<string, unknown>)
       : null;
   } catch {
-    // Half a line; the caller counts it.
+    // A truncated line; `parseLog` counts it.
     return null;
   }
 }
