--- a/packages/errors/src/errors.test.ts
+++ b/packages/errors/src/errors.test.ts
@@ -20,7 +20,7 @@
   });
 });
 
-errors("the kind's remedy is told unless the error names its own", () => {
+errors("the kind's remedy is used unless the error has its own", () => {
   const general = new TypedError('conflict', 'Version 3 is gone.');
   const own = new TypedError('conflict', 'Gone.', {remedy: 'Use version 4.'});
   assert.is(general.remedy, describeKind('conflict').remedy);
@@ -39,13 +39,13 @@
   assert.is(new TypedError('overloaded', '90%s full').message, '90%s full');
 });
 
-errors('withRun keeps everything else', () => {
+errors('withRun keeps all other fields', () => {
   const details = {retryAfterMs: 50, info: {pool: 'sage-llm'}};
   const error = new TypedError('overloaded', 'Full.', details);
-  const told = error.withRun('not-run');
-  assert.is(told.run, 'not-run');
+  const withOutcome = error.withRun('not-run');
+  assert.is(withOutcome.run, 'not-run');
   assert.is(error.run, undefined);
-  assert.equal(formatErrorBody(told), {
+  assert.equal(formatErrorBody(withOutcome), {
     error: {
       kind: 'overloaded',
       message: 'Full.',
@@ -57,13 +57,16 @@
   });
 });
 
-errors('toTypedError leaves typed errors and makes others internal', () => {
-  const error = new TypedError('trimmed', 'Too old.');
-  assert.is(toTypedError(error), error);
-  assert.is(toTypedError('boom').kind, 'internal');
-});
+errors(
+  'toTypedError keeps typed errors and converts others to internal',
+  () => {
+    const error = new TypedError('trimmed', 'Too old.');
+    assert.is(toTypedError(error), error);
+    assert.is(toTypedError('boom').kind, 'internal');
+  },
+);
 
-errors('toTypedError tells the message once', () => {
+errors('toTypedError does not repeat the message', () => {
   const message = 'Something unexpected failed: boom';
   assert.is(toTypedError(new Error('boom')).message, message);
   assert.is(toTypedError('boom').message, message);
--- a/packages/errors/src/kinds.ts
+++ b/packages/errors/src/kinds.ts
@@ -1,18 +1,18 @@
-/** The catalogue of error kinds: what each means to a caller. */
+/** The catalogue of error kinds, with the HTTP status and remedy of each. */
 
 /**
- * What is known of the work a refused request asked for: `not-run` means it
- * was never handed to a backend server, `ran` that it was carried out, and
- * `unknown` that nobody can tell.
+ * Whether the work of a failed request was executed: `not-run` when no backend
+ * server received the request, `ran` when the work was executed, and `unknown`
+ * when it cannot be determined.
  */
 export type RunOutcome = 'not-run' | 'unknown' | 'ran';
 
-/** Facts that hold for every error of one kind. */
+/** Properties that all errors of one kind share. */
 export interface KindFacts {
   httpStatus: number;
-  /** Whether the same request may succeed later without being changed. */
+  /** Whether the unchanged request may succeed later. */
   retryable: boolean;
-  /** The remedy told when the place that raised the error names none. */
+  /** Used when an error carries no remedy of its own. */
   remedy: string;
 }
 
@@ -82,13 +82,12 @@
   internal: fact(500, true, 'Report it with the log lines around it.'),
 } as const satisfies Record<string, KindFacts>;
 
-/** One kind of error; the value appears in answers as `kind`. */
+/** A kind of error; the field `kind` of error responses. */
 export type ErrorKind = keyof typeof KINDS;
 
-/** All kinds, in the order of the catalogue. */
+/** All kinds, in catalogue order. */
 export const ERROR_KINDS = Object.keys(KINDS) as readonly ErrorKind[];
 
-/** Looks a kind up in the catalogue. */
 export function describeKind(kind: ErrorKind): KindFacts {
   return KINDS[kind];
 }
--- a/packages/errors/src/kinds_markdown.ts
+++ b/packages/errors/src/kinds_markdown.ts
@@ -1,4 +1,4 @@
-/** Renders the catalogue of error kinds for operators. */
+/** Renders the catalogue of error kinds as a page for operators. */
 import {ERROR_KINDS, type ErrorKind, describeKind} from './kinds.js';
 
 const INTRODUCTION = `# What does a refusal mean, and what do I do about it?
@@ -27,8 +27,8 @@
 
 function formatKind(kind: ErrorKind): string {
   const {httpStatus, retryable, remedy} = describeKind(kind);
-  const again = retryable
+  const retryHint = retryable
     ? 'the same request may succeed later'
     : 'the same request fails again';
-  return `## ${kind}\n\nHTTP status ${httpStatus}; ${again}. ${remedy}`;
+  return `## ${kind}\n\nHTTP status ${httpStatus}; ${retryHint}. ${remedy}`;
 }
--- a/packages/errors/src/typed_error.ts
+++ b/packages/errors/src/typed_error.ts
@@ -1,21 +1,20 @@
 import VError from 'verror';
 import {type ErrorKind, type RunOutcome, describeKind} from './kinds.js';
 
-/** What the place that raises an error may say beyond its kind. */
+/** Optional details of an error beyond its kind and summary. */
 export interface ErrorDetails {
-  /** What to do about it; the kind's own remedy when left out. */
+  /** Defaults to the remedy of the kind. */
   remedy?: string;
-  /** What is known of the work; left out where no work was asked for. */
+  /** Whether the work was executed; omitted when the request asked for none. */
   run?: RunOutcome;
-  /** When the same request is worth sending again. */
+  /** Delay after which the same request may succeed. */
   retryAfterMs?: number;
-  /** The error that led to this one. */
   cause?: Error;
-  /** Plain values that help to find the cause; never secrets. */
+  /** Plain values for diagnosis; must not contain secrets. */
   info?: Readonly<Record<string, unknown>>;
 }
 
-/** The JSON form of an error in answers to callers and operators. */
+/** The JSON body of error responses to callers and operators. */
 export interface ErrorBody {
   error: {
     kind: ErrorKind;
@@ -27,7 +26,7 @@
   };
 }
 
-/** The one error class of the system. */
+/** The error class that all components raise. */
 export class TypedError extends VError {
   readonly remedy: string;
   readonly run: RunOutcome | undefined;
@@ -48,20 +47,19 @@
     this.retryAfterMs = details.retryAfterMs;
   }
 
-  /** The same error with what is known of the work added. */
+  /** Returns a copy of the error with its run outcome set. */
   withRun(run: RunOutcome): TypedError {
     return new TypedError(this.kind, this.summary, {...this.details, run});
   }
 }
 
-/** Turns anything thrown into a typed error; unknown things are `internal`. */
+/** Converts a thrown value; anything but a `TypedError` becomes `internal`. */
 export function toTypedError(thrown: unknown): TypedError {
   if (thrown instanceof TypedError) return thrown;
   const cause = thrown instanceof Error ? thrown : new Error(String(thrown));
   return new TypedError('internal', 'Something unexpected failed', {cause});
 }
 
-/** The JSON body in which an error is told. */
 export function formatErrorBody(error: TypedError): ErrorBody {
   return {
     error: {
