--- a/packages/fakes/src/engine_fixtures.ts
+++ b/packages/fakes/src/engine_fixtures.ts
@@ -1,4 +1,4 @@
-/** Engines and their services as tests need them. */
+/** Test fixtures for engines and their services. */
 import {
   type BackendServerEntry,
   type EngineSpec,
@@ -7,7 +7,7 @@
 
 export const ENGINE_SERVICE = 'writers';
 
-/** One model `m0`, of which an engine holds three. */
+/** Lists one model `m0`, of which three copies fit in the memory. */
 const ENGINE: EngineSpec = {
   ...{slots: 32, cacheCapacityTokens: 100_000, memoryMb: 230_000},
   ...{adapterSlots: 8, hostMemoryMb: 0, diskMb: 0, storeLoadsPerSecond: 1},
@@ -27,7 +27,7 @@
   };
 }
 
-/** An engine that holds the model `m0`. */
+/** Creates a ready engine with the model `m0` loaded. */
 export function makeEngineEntry(id: string): BackendServerEntry {
   return {
     ...{id, startedAtMs: null, service: ENGINE_SERVICE},
--- a/packages/fakes/src/memory_log_service.ts
+++ b/packages/fakes/src/memory_log_service.ts
@@ -1,4 +1,4 @@
-/** A log service in memory, with the faults that tests call for. */
+/** An in-memory log service with fault injection for tests. */
 import {TypedError} from '@mimosatack/errors';
 import {
   type LogPage,
@@ -13,22 +13,22 @@
   records: LogRecord[];
 }
 
-/** A log service in memory; `isDown` makes every call fail. */
+/** While `isDown` is set, appends and reads fail. */
 export class MemoryLogService implements LogService {
   isDown = false;
   private readonly streams = new Map<string, MemoryStream>();
-  private waiting: (() => void)[] = [];
+  private pendingReads: (() => void)[] = [];
 
   append(stream: string, data: Uint8Array): Promise<LogOffset> {
-    if (this.isDown) return Promise.reject(makeDownError());
-    const {records} = this.open(stream);
+    if (this.isDown) return Promise.reject(makeUnavailableError());
+    const {records} = this.getOrCreateStream(stream);
     const offset = records.length;
     records.push({offset, data});
-    this.wake();
+    this.resumePendingReads();
     return Promise.resolve(offset);
   }
 
-  /** A read at the end waits for an append, whatever time it allows. */
+  /** At the end, waits for an append or an abort unless `waitMs` is 0. */
   async read(request: LogReadRequest): Promise<LogPage> {
     const page = this.readNow(request);
     if (page.records.length > 0 || request.waitMs === 0) return page;
@@ -36,25 +36,25 @@
     return this.readNow(request);
   }
 
-  /** Forgets the records before `firstOffset`. */
+  /** Makes records before `firstOffset` unreadable. */
   trim(stream: string, firstOffset: LogOffset): void {
-    this.open(stream).firstOffset = firstOffset;
+    this.getOrCreateStream(stream).firstOffset = firstOffset;
   }
 
-  /** How many records a stream ever had. */
+  /** Counts all records ever appended to a stream, including trimmed ones. */
   count(stream: string): number {
-    return this.open(stream).records.length;
+    return this.getOrCreateStream(stream).records.length;
   }
 
-  /** Breaks off or restores the service; readers that wait are told. */
+  /** Stops or restores the service and resumes pending reads. */
   setDown(isDown: boolean): void {
     this.isDown = isDown;
-    this.wake();
+    this.resumePendingReads();
   }
 
   private readNow({stream, from, limit}: LogReadRequest): LogPage {
-    if (this.isDown) throw makeDownError();
-    const {firstOffset, records} = this.open(stream);
+    if (this.isDown) throw makeUnavailableError();
+    const {firstOffset, records} = this.getOrCreateStream(stream);
     if (from < firstOffset) {
       throw new TypedError('trimmed', `${stream} starts later.`, {
         info: {firstOffset},
@@ -69,24 +69,24 @@
 
   private waitForAppend(signal: AbortSignal | undefined): Promise<void> {
     return new Promise(resolve => {
-      this.waiting.push(resolve);
+      this.pendingReads.push(resolve);
       signal?.addEventListener('abort', () => resolve(), {once: true});
     });
   }
 
-  private wake(): void {
-    this.waiting.splice(0).forEach(resolve => resolve());
+  private resumePendingReads(): void {
+    this.pendingReads.splice(0).forEach(resolve => resolve());
   }
 
-  private open(stream: string): MemoryStream {
-    const known = this.streams.get(stream);
-    if (known) return known;
+  private getOrCreateStream(stream: string): MemoryStream {
+    const existing = this.streams.get(stream);
+    if (existing) return existing;
     const created = {firstOffset: 0, records: []};
     this.streams.set(stream, created);
     return created;
   }
 }
 
-function makeDownError(): TypedError {
+function makeUnavailableError(): TypedError {
   return new TypedError('platform-unavailable', 'The log service is down.');
 }
--- a/packages/fakes/src/settle.ts
+++ b/packages/fakes/src/settle.ts
@@ -1,9 +1,9 @@
-/** Lets everything that is due without a timer run to its end. */
+/** Runs pending callbacks for several event loop turns; timers may not fire. */
 export async function settle(): Promise<void> {
-  for (let turn = 0; turn < TURNS; turn += 1) {
+  for (let turn = 0; turn < EVENT_LOOP_TURNS; turn += 1) {
     await new Promise(resolve => setImmediate(resolve));
   }
 }
 
-/** More turns than any chain of promises in a test is long. */
-const TURNS = 10;
+/** Covers the longest chain of promises in the tests. */
+const EVENT_LOOP_TURNS = 10;
