--- a/packages/random/src/random.ts
+++ b/packages/random/src/random.ts
@@ -1,18 +1,17 @@
-/** Random numbers that are passed in, so that a seed fixes every choice. */
+/** Injectable random number generators, so that runs can be reproduced. */
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
-/** A source of random numbers. */
 export interface RandomSource {
-  /** An integer in `[min, max]`, both included. */
+  /** Returns an integer in `[min, max]`, both inclusive. */
   nextInt(min: number, max: number): number;
-  /** A number in `[0, 1)`. */
+  /** Returns a number in `[0, 1)`. */
   nextFraction(): number;
 }
 
 const FRACTION_STEPS = 2 ** 31;
 
-/** A source whose whole sequence follows from its seed. */
+/** A deterministic generator: the same seed yields the same sequence. */
 export class SeededRandom implements RandomSource {
   private readonly generator;
 
@@ -29,7 +28,7 @@
   }
 }
 
-/** Picks one element, or undefined from an empty list. */
+/** Returns a random element, or undefined for an empty list. */
 export function pickOne<T>(
   random: RandomSource,
   items: readonly T[],
@@ -39,7 +38,7 @@
     : items[random.nextInt(0, items.length - 1)];
 }
 
-/** Spreads `baseMs` evenly over `[base, base * (1 + spread)]`. */
+/** Returns a uniformly random delay in `[baseMs, baseMs * (1 + spread))`. */
 export function addJitter(
   random: RandomSource,
   baseMs: number,
