--- a/packages/tasks/src/periodic.ts
+++ b/packages/tasks/src/periodic.ts
@@ -1,13 +1,13 @@
 import {type Clock, type Timer} from '@mimosatack/clock';
 
-/** Something that is done again and again until it is stopped. */
+/** Handle of an action that runs periodically until stopped. */
 export interface Periodic {
   stop(): void;
 }
 
 /**
- * Calls `action` every `intervalMs`, counted from the end of the last call,
- * so that a slow call never overlaps with the next.
+ * Calls `action` repeatedly, `intervalMs` after the previous call ended, so
+ * that calls do not overlap. Errors of `action` are ignored.
  */
 export function startPeriodic(
   clock: Clock,
--- a/packages/tasks/src/task.ts
+++ b/packages/tasks/src/task.ts
@@ -1,12 +1,9 @@
-/** Tasks own their sockets and their state and talk by messages. */
+/** Tasks in the manner of actors: each owns its state and receives messages. */
 
-/** Told of what a task could not handle; a task never ends by a message. */
+/** Receives errors of message handlers; the task continues after an error. */
 export type TaskErrorHandler = (error: unknown, taskName: string) => void;
 
-/**
- * Handles its messages one after the other, in the order they were posted.
- * An error in one message is reported and the next message is handled.
- */
+/** Handles messages one at a time, in the order in which they were posted. */
 export abstract class Task<M> {
   private readonly queue: M[] = [];
   private draining: Promise<void> | null = null;
@@ -17,19 +14,19 @@
     private readonly onError: TaskErrorHandler,
   ) {}
 
-  /** Whether a message is queued or in hand. */
+  /** Whether a message is queued or being handled. */
   get isBusy(): boolean {
     return this.draining !== null;
   }
 
-  /** Puts a message at the end of the queue; dropped once stopped. */
+  /** Enqueues a message; a stopped task drops it. */
   post(message: M): void {
     if (this.isStopped) return;
     this.queue.push(message);
     this.draining ??= this.drain();
   }
 
-  /** Drops what is queued, then waits for the message in hand. */
+  /** Drops queued messages and waits for the message being handled. */
   async stop(): Promise<void> {
     this.isStopped = true;
     this.queue.length = 0;
@@ -42,13 +39,13 @@
     await Promise.resolve();
     let message = this.queue.shift();
     while (message !== undefined) {
-      await this.handleOne(message);
+      await this.handleAndReport(message);
       message = this.queue.shift();
     }
     this.draining = null;
   }
 
-  private async handleOne(message: M): Promise<void> {
+  private async handleAndReport(message: M): Promise<void> {
     try {
       await this.handle(message);
     } catch (thrown) {
