--- a/packages/authenticate/src/authenticate.ts
+++ b/packages/authenticate/src/authenticate.ts
@@ -66,6 +66,6 @@
 
 function findToken(tokenHash: string, state: AgreedState) {
   const found = getTokenIndex(state.configuration).find(tokenHash);
-  if (!found) throw new TypedError('unauthorized', 'The token is unknown.');
+  if (!found) throw new TypedError('unauthorized', 'The token is not known.');
   return found;
 }
--- a/packages/caller-edge/src/caller_edge.ts
+++ b/packages/caller-edge/src/caller_edge.ts
@@ -164,7 +164,7 @@
 }
 
 function makeShutdownError(): TypedError {
-  return new TypedError('shutting-down', 'The node is shutting down.', {
+  return new TypedError('shutting-down', 'This node is stopping.', {
     run: 'not-run',
     retryAfterMs: STOPPING_RETRY_MS,
   });
@@ -178,7 +178,7 @@
 function makeHeadersTooLargeError(maxBytes: number): TypedError {
   return new TypedError(
     'headers-too-large',
-    `The headers exceed ${maxBytes} bytes.`,
+    `The headers have more than ${maxBytes} bytes.`,
     {run: 'not-run'},
   );
 }
--- a/packages/caller-edge/src/read_body.ts
+++ b/packages/caller-edge/src/read_body.ts
@@ -60,7 +60,7 @@
 function makeBodyTooLargeError(maxBytes: number): TypedError {
   return new TypedError(
     'body-too-large',
-    `The body exceeds ${maxBytes} bytes.`,
+    `The body has more than ${maxBytes} bytes.`,
     {run: 'not-run'},
   );
 }
--- a/packages/checkpoints/src/checkpoint_parts.ts
+++ b/packages/checkpoints/src/checkpoint_parts.ts
@@ -77,21 +77,21 @@
     (_unused, index) => parts.find(part => part.partIndex === index),
   );
   if (!first || orderedParts.some(part => part === undefined)) {
-    throw new TypedError('record-invalid', 'A checkpoint part is missing.');
+    throw new TypedError(
+      'record-invalid',
+      'A part of a checkpoint is missing.',
+    );
   }
   const compressed = Buffer.concat(
     (orderedParts as CheckpointPart[]).map(part => part.data),
   );
   const stateBytes = await decompress(compressed).catch((cause: Error) => {
-    throw new TypedError('record-invalid', 'A checkpoint is corrupted.', {
+    throw new TypedError('record-invalid', 'A checkpoint is damaged.', {
       cause,
     });
   });
   if (hash(stateBytes) !== first.digest) {
-    throw new TypedError(
-      'record-invalid',
-      'The checkpoint digest does not match.',
-    );
+    throw new TypedError('record-invalid', 'A checkpoint has a wrong digest.');
   }
   return AgreedState.fromBytes(stateBytes);
 }
--- a/packages/cli/src/admin_client.ts
+++ b/packages/cli/src/admin_client.ts
@@ -27,7 +27,7 @@
 const CONNECT_TIMEOUT_MS = 3_000;
 const PAGE_LIMIT = 500;
 const CERTIFICATE_REMEDY =
-  'Give the CA certificate with --ca-file, or correct the scheme of the URL.';
+  'Give the certificate of its authority with --ca-file, or correct the scheme.';
 
 /** Error codes that occur before any byte of the request is sent. */
 const CONNECT_ERROR_CODES = [
@@ -77,13 +77,9 @@
     const response = await this.sendToFirstReachable(call);
     const parsed = schema.safeParse(response);
     if (parsed.success) return parsed.data;
-    throw new TypedError(
-      'internal',
-      'The response of the node has an unexpected format.',
-      {
-        remedy: 'Use a tool of the same release as the node.',
-      },
-    );
+    throw new TypedError('internal', 'The node gave an unreadable answer.', {
+      remedy: 'Use a tool of the same release as the node.',
+    });
   }
 
   /** Reads all pages of a paginated list. */
@@ -171,20 +167,16 @@
   const isTlsError = TLS_ERROR_CODE.test(code);
   const mayHaveArrived = !isTlsError && !CONNECT_ERROR_CODES.includes(code);
   if (method === 'GET' || !mayHaveArrived) {
-    return new TypedError('node-unreachable', 'no response', {
+    return new TypedError('node-unreachable', 'no answer', {
       cause,
       ...(isTlsError ? {remedy: CERTIFICATE_REMEDY} : {}),
     });
   }
-  return new TypedError(
-    'outcome-unknown',
-    'The connection was lost before the response',
-    {
-      cause,
-      run: 'unknown',
-      remedy: 'The change may be in force. Read it before you try again.',
-    },
-  );
+  return new TypedError('outcome-unknown', 'The answer was lost', {
+    cause,
+    run: 'unknown',
+    remedy: 'The change may be in force. Read it before you try again.',
+  });
 }
 
 function shouldTryNextNode({kind}: TypedError): boolean {
@@ -196,8 +188,8 @@
   if (!parsed.success) {
     return new TypedError(
       'internal',
-      `The response with status ${statusCode} is not an error of the admin API.`,
-      {remedy: 'Check that --admin-url is the admin URL of a node.'},
+      `The answer has status ${statusCode} and is not from a node.`,
+      {remedy: "Check that --admin-url is an operators' interface."},
     );
   }
   const {kind, message, remedy, retryAfterMs, info} = parsed.data.error;
--- a/packages/cli/src/base_command.ts
+++ b/packages/cli/src/base_command.ts
@@ -59,15 +59,15 @@
 export abstract class AdminCommand extends BaseCommand {
   adminUrls = Option.Array('--admin-url', {
     description:
-      "Base URL of a node's admin API; may be repeated, and the next one is tried when one is unreachable",
+      "Base URL of a node's operators' interface; may be given several times, and the next is tried when one is down",
   });
   token = Option.String('--token', {
     env: 'MIMOSATACK_TOKEN',
-    description: 'Bearer token; prefer the variable MIMOSATACK_TOKEN',
+    description: 'Bearer token; better given as MIMOSATACK_TOKEN',
   });
   caFile = Option.String('--ca-file', {
     env: 'MIMOSATACK_CA_FILE',
-    description: 'PEM file with CA certificates to trust',
+    description: 'PEM file with certificates to trust',
   });
 
   override async execute(): Promise<number> {
@@ -105,7 +105,7 @@
     return await context.readFile(path);
   } catch (thrown) {
     const reason = thrown instanceof Error ? thrown.message : String(thrown);
-    throw new UsageError(`Cannot read ${path}: ${reason}`);
+    throw new UsageError(`${path} can't be read: ${reason}`);
   }
 }
 
@@ -116,9 +116,7 @@
 ): number | undefined {
   if (text === undefined) return undefined;
   if (/^\d{1,15}$/.test(text)) return Number(text);
-  throw new UsageError(
-    `${flag} must be a non-negative integer, not "${text}".`,
-  );
+  throw new UsageError(`${flag} takes a whole number, not "${text}".`);
 }
 
 function parseUrls(texts: readonly string[]): string[] {
@@ -130,7 +128,7 @@
   const invalid = urls.find(url => !/^https?:\/\/[^/]+/.test(url));
   if (invalid === undefined) return urls;
   throw new UsageError(
-    `--admin-url must be a URL such as http://10.0.0.5:7081, not "${invalid}".`,
+    `--admin-url takes a URL such as http://10.0.0.5:7081; not "${invalid}".`,
   );
 }
 
--- a/packages/cli/src/changing_command.ts
+++ b/packages/cli/src/changing_command.ts
@@ -18,7 +18,7 @@
 /** A command that polls for a condition and reports progress on stderr. */
 export abstract class WaitingCommand extends AdminCommand {
   timeoutSeconds = Option.String('--timeout-seconds', {
-    description: `How long to wait; ${DEFAULT_TIMEOUT_SECONDS} by default`,
+    description: `How long to wait; ${DEFAULT_TIMEOUT_SECONDS} when left out`,
   });
 
   /** Polls until `poll` resolves with a value other than null, or times out. */
@@ -43,7 +43,7 @@
 /** A command that makes one change through the admin API. */
 export abstract class ChangingCommand extends WaitingCommand {
   reason = Option.String('--reason', {
-    description: 'Reason to record in the audit trail',
+    description: 'Why, for the audit trail',
   });
   shouldWait = Option.Boolean('--wait', false, {
     description: 'Wait until the change is in force on all live nodes',
@@ -88,7 +88,7 @@
 function makeTimeout(what: string, timeoutSeconds: number): TypedError {
   return new TypedError(
     'deadline-exceeded',
-    `Timed out after ${timeoutSeconds} s waiting for ${what}.`,
-    {remedy: 'Increase --timeout-seconds, or run `mimosatack status`.'},
+    `Waited ${timeoutSeconds} s in vain for ${what}.`,
+    {remedy: 'Wait longer with --timeout-seconds, or look at `status`.'},
   );
 }
--- a/packages/cli/src/commands/audit/index.ts
+++ b/packages/cli/src/commands/audit/index.ts
@@ -29,23 +29,23 @@
     description: 'team, model, service, template, event, backend-server',
   });
   subjectId = Option.String('--id', {
-    description: 'Only changes of the object with this id',
+    description: 'Only of this id',
   });
   operator = Option.String('--operator', {
-    description: 'Only changes by this operator',
+    description: 'Only by this operator',
   });
   from = Option.String('--from', {
-    description: 'Only changes at or after this time',
+    description: 'From this time on',
   });
-  to = Option.String('--to', {description: 'Only changes before this time'});
+  to = Option.String('--to', {description: 'Before this time'});
   limit = Option.String('--limit', {
-    description: `Maximum number of entries; ${DEFAULT_LIMIT} by default`,
+    description: `How many at most; ${DEFAULT_LIMIT} when left out`,
   });
   cursor = Option.String('--cursor', {
-    description: 'nextCursor of the previous page',
+    description: 'nextCursor of the page before',
   });
   shouldDiff = Option.Boolean('--diff', false, {
-    description: 'Show the changed fields of each change',
+    description: 'Show what each change changed',
   });
 
   protected async perform(): Promise<Report> {
--- a/packages/cli/src/commands/document/delete_command.ts
+++ b/packages/cli/src/commands/document/delete_command.ts
@@ -30,7 +30,7 @@
 
     documentId = Option.String({name: 'id'});
     expectedVersion = Option.String('--expected-version', {
-      description: 'Version that the change is based on',
+      description: 'The version that the change was made against',
     });
 
     protected async perform(): Promise<Report> {
--- a/packages/cli/src/commands/document/list_command.ts
+++ b/packages/cli/src/commands/document/list_command.ts
@@ -30,7 +30,7 @@
     });
 
     team = Option.String('--team', {
-      description: 'Only documents of this team',
+      description: "Only this team's",
     });
 
     protected async perform(): Promise<Report> {
--- a/packages/cli/src/commands/document/put_command.ts
+++ b/packages/cli/src/commands/document/put_command.ts
@@ -16,14 +16,14 @@
     static override usage = Command.Usage({
       category: 'Documents',
       description: `Publish ${withArticle(kind)} from a JSON file`,
-      details: `Without \`--expected-version\` the change is based on the version in force when the command runs. Give the version that you read, so that a concurrent change is not overwritten.`,
+      details: `Without \`--expected-version\` the change is made against the version that is in force when the command runs. Give the version you read, so that nobody's change in between is overwritten.`,
       examples: [['Publish and wait', `$0 ${kind} put name file.json --wait`]],
     });
 
     documentId = Option.String({name: 'id'});
     file = Option.String({name: 'file'});
     expectedVersion = Option.String('--expected-version', {
-      description: 'Version that the change is based on; 0 to create',
+      description: 'The version that the change was made against; 0 to create',
     });
 
     protected async perform(): Promise<Report> {
--- a/packages/cli/src/commands/document/read_content.ts
+++ b/packages/cli/src/commands/document/read_content.ts
@@ -11,8 +11,6 @@
   try {
     return JSON.parse(text) as unknown;
   } catch (thrown) {
-    throw new UsageError(
-      `${path} is not valid JSON: ${(thrown as Error).message}`,
-    );
+    throw new UsageError(`${path} is not JSON: ${(thrown as Error).message}`);
   }
 }
--- a/packages/cli/src/commands/document/show_command.ts
+++ b/packages/cli/src/commands/document/show_command.ts
@@ -12,7 +12,7 @@
     static override paths = [[kind, 'show']];
     static override usage = Command.Usage({
       category: 'Documents',
-      description: `Show the version of ${withArticle(kind)} that is in force`,
+      description: `Show ${withArticle(kind)} as it is in force`,
     });
 
     documentId = Option.String({name: 'id'});
--- a/packages/cli/src/commands/document/validate_command.ts
+++ b/packages/cli/src/commands/document/validate_command.ts
@@ -18,7 +18,7 @@
     static override paths = [[kind, 'validate']];
     static override usage = Command.Usage({
       category: 'Documents',
-      description: `Show the effects of publishing ${withArticle(kind)} without publishing it`,
+      description: `Show what publishing ${withArticle(kind)} would do, without doing it`,
     });
 
     documentId = Option.String({name: 'id'});
@@ -42,11 +42,7 @@
 
 function describe(result: DryRunResponse): string {
   if (!result.isAccepted) {
-    return [
-      'The document would be refused:',
-      ...indent(result.faults),
-      '',
-    ].join('\n');
+    return ['It would be refused:', ...indent(result.faults), ''].join('\n');
   }
   const events = result.affectedEvents.flatMap(({eventId, before, after}) => [
     `Event ${eventId} would change:`,
@@ -57,7 +53,7 @@
       ? []
       : ['The event would be:', JSON.stringify(result.resolvedEvent, null, 2)];
   return [
-    `The document would be accepted on top of version ${result.expectedVersion}.`,
+    `It would be accepted over version ${result.expectedVersion}.`,
     ...resolved,
     ...events,
     '',
--- a/packages/cli/src/commands/event/change_command.ts
+++ b/packages/cli/src/commands/event/change_command.ts
@@ -20,14 +20,13 @@
 
   eventId = Option.String({name: 'id'});
   params = Option.Array('--param', [], {
-    description:
-      'Parameter as name=value; separate the items of a list with commas',
+    description: 'A parameter as name=value; a list is separated by commas',
   });
   unset = Option.Array('--unset', [], {
-    description: 'Parameter to reset to its default',
+    description: 'A parameter that goes back to its default',
   });
   templateVersion = Option.String('--template-version', {
-    description: 'Pin the event to this version of the template',
+    description: 'Keep the event on this version of the template',
   });
 
   protected async perform(): Promise<Report> {
--- a/packages/cli/src/commands/event/create_command.ts
+++ b/packages/cli/src/commands/event/create_command.ts
@@ -23,14 +23,13 @@
   eventId = Option.String({name: 'id'});
   template = Option.String('--template', {
     required: true,
-    description: 'Template to create the event from',
+    description: 'The template to fill in',
   });
   templateVersion = Option.String('--template-version', {
-    description: 'Pin the event to this version of the template',
+    description: 'Keep the event on this version of the template',
   });
   params = Option.Array('--param', [], {
-    description:
-      'Parameter as name=value; separate the items of a list with commas',
+    description: 'A parameter as name=value; a list is separated by commas',
   });
   shouldWaitWarm = Option.Boolean('--wait-warm', false, {
     description: 'Wait until all replicas of the event are warm',
--- a/packages/cli/src/commands/event/status_command.ts
+++ b/packages/cli/src/commands/event/status_command.ts
@@ -9,7 +9,7 @@
   static override paths = [['event', 'status']];
   static override usage = Command.Usage({
     category: 'Events',
-    description: 'Show the warm-up progress of an event',
+    description: 'Show how far the replicas of an event are',
   });
 
   eventId = Option.String({name: 'id'});
--- a/packages/cli/src/commands/event/watch_event.ts
+++ b/packages/cli/src/commands/event/watch_event.ts
@@ -36,7 +36,7 @@
     const outcome = findWatchOutcome(status);
     if (outcome !== 'over') return outcome === 'warm' ? status : null;
     throw new TypedError('not-warm', `Event ${this.eventId} is over.`, {
-      remedy: 'Change the start of the event, or create another event.',
+      remedy: 'Change its start, or create another event.',
     });
   }
 }
--- a/packages/cli/src/commands/explain/index.ts
+++ b/packages/cli/src/commands/explain/index.ts
@@ -12,9 +12,9 @@
   static override paths = [['explain']];
   static override usage = Command.Usage({
     category: 'Operation',
-    description: 'Explain the result of a request from the logs of the nodes',
+    description: 'Say what became of a request, by the logs of the nodes',
     details:
-      'Takes the id of a request and the log files of all nodes. Exits with 1 when no line names the request.',
+      'Takes the id of a request and the log files of all nodes. Ends with 1 when no line names the request.',
     examples: [['Explain a refusal', '$0 explain 9c41d07be2a35f68 logs/*.log']],
   });
 
@@ -33,7 +33,7 @@
     if (!explanation) {
       return {
         json: {requestId: this.requestId, isFound: false, skipped},
-        text: `No line names ${this.requestId}. Give the logs of all nodes, including nodes that were replaced.\n${note}`,
+        text: `No line names ${this.requestId}. Give the logs of all nodes, also of those that were replaced.\n${note}`,
         exitCode: EXIT_CODES.refused,
       };
     }
--- a/packages/cli/src/commands/help_command.ts
+++ b/packages/cli/src/commands/help_command.ts
@@ -5,18 +5,18 @@
 
 const CATEGORIES = ['Documents', 'Events', 'Operation'];
 
-const INTRODUCTION = `mimosatack: operate a mimosatack system.
+const INTRODUCTION = `mimosatack: drive a mimosatack system.
 
-Set the admin URLs of the nodes and your token:
+Say where a node's operators' interface is and who you are:
   MIMOSATACK_ADMIN_URL=http://10.0.0.5:7081,http://10.0.0.6:7081
   MIMOSATACK_TOKEN=<your token>
 
-Run mimosatack <command> --help for the options of a command.
+mimosatack <command> --help tells the options of a command.
 `;
 
 const EXIT_CODES_NOTE = `
-Exit codes: 0 success, 1 refused or failed, 2 invalid usage, 3 timed out,
-4 no node reachable, 5 version conflict.
+Exit codes: 0 done, 1 refused or failed, 2 wrong usage, 3 waited in vain,
+4 no node reachable, 5 another change was first.
 `;
 
 export class HelpCommand extends Command<ToolContext> {
--- a/packages/cli/src/commands/host/drain_commands.ts
+++ b/packages/cli/src/commands/host/drain_commands.ts
@@ -11,8 +11,8 @@
     static override usage = Command.Usage({
       category: 'Operation',
       description: isDraining
-        ? 'Stop sending new work to a backend server'
-        : 'Resume sending work to a drained backend server',
+        ? 'Keep new work away from a backend server'
+        : 'Give a drained backend server work again',
     });
 
     backendServerId = Option.String({name: 'backend-server'});
--- a/packages/cli/src/commands/host/list_commands.ts
+++ b/packages/cli/src/commands/host/list_commands.ts
@@ -37,7 +37,7 @@
   ];
   static override usage = Command.Usage({
     category: 'Operation',
-    description: 'List the nodes that the contacted node knows',
+    description: 'List the nodes as one of them sees them',
   });
 
   protected async perform(): Promise<Report> {
@@ -64,7 +64,7 @@
   ];
   static override usage = Command.Usage({
     category: 'Operation',
-    description: 'List the backend servers and the node that controls each',
+    description: 'List the backend servers and who sends them orders',
   });
 
   protected async perform(): Promise<Report> {
--- a/packages/cli/src/commands/nodes/index.ts
+++ b/packages/cli/src/commands/nodes/index.ts
@@ -22,9 +22,9 @@
   static override paths = [['nodes']];
   static override usage = Command.Usage({
     category: 'Operation',
-    description: 'Show which node schedules and the configuration of each node',
+    description: 'Show who schedules and how far each node has got',
     details:
-      'Takes the metrics URLs of the nodes. Exits with 1 when a node does not respond, when configurations differ, or unless exactly one node schedules.',
+      'Takes the metrics addresses of the nodes. Ends with 1 when one does not answer, when configurations differ, or when not exactly one schedules.',
     examples: [
       ['Two nodes', '$0 nodes http://10.1.0.38:9464 http://10.2.0.40:9464'],
     ],
@@ -69,7 +69,7 @@
   const url = URL.canParse(address) ? new URL(address) : null;
   if (!url || !/^https?:$/.test(url.protocol)) {
     throw new UsageError(
-      `"${address}" is not a metrics URL; give one like http://10.1.0.38:9464.`,
+      `"${address}" is no address; give one like http://10.1.0.38:9464.`,
     );
   }
   if (url.pathname === '/') url.pathname = '/metrics';
--- a/packages/cli/src/commands/nodes/read_node_metrics.ts
+++ b/packages/cli/src/commands/nodes/read_node_metrics.ts
@@ -83,16 +83,13 @@
   );
   const schedulers = responding.filter(({isScheduling}) => isScheduling).length;
   const checks: Array<[boolean, string]> = [
-    [
-      unreachable > 0,
-      `${unreachable} of ${nodes.length} nodes do not respond.`,
-    ],
+    [unreachable > 0, `${unreachable} of ${nodes.length} nodes do not answer.`],
     [versions.size > 1, 'Nodes have different configurations.'],
+    [responding.length > 0 && schedulers === 0, 'No node of these schedules.'],
     [
-      responding.length > 0 && schedulers === 0,
-      'None of these nodes schedules.',
+      schedulers > 1,
+      `${schedulers} nodes schedule; all but one are out of touch.`,
     ],
-    [schedulers > 1, `${schedulers} nodes schedule; only one node may.`],
   ];
   return checks.filter(([isFault]) => isFault).map(([, fault]) => fault);
 }
--- a/packages/cli/src/commands/replica/index.ts
+++ b/packages/cli/src/commands/replica/index.ts
@@ -23,17 +23,17 @@
   static override paths = [['replica', 'list']];
   static override usage = Command.Usage({
     category: 'Operation',
-    description: 'List the replicas with their placement and status',
+    description: 'List the decided replicas',
   });
 
   event = Option.String('--event', {
-    description: 'Only replicas for this event',
+    description: 'Only for this event',
   });
   model = Option.String('--model', {
-    description: 'Only replicas of this model',
+    description: 'Only of this model',
   });
   backendServer = Option.String('--backend-server', {
-    description: 'Only replicas on this backend server',
+    description: 'Only on this backend server',
   });
 
   protected async perform(): Promise<Report> {
--- a/packages/cli/src/commands/settings/index.ts
+++ b/packages/cli/src/commands/settings/index.ts
@@ -11,7 +11,7 @@
     category: 'Operation',
     description: 'Check the settings of mimosatackd without starting it',
     details:
-      'Takes the flags of `mimosatackd` and its environment variables, and prints every fault, or the effective settings without secrets.',
+      'Takes the flags of `mimosatackd` and its environment variables, and prints every fault, or the settings in force without secrets.',
     examples: [
       ['Check flags', '$0 settings check --node-name entry-1 --region pomorze'],
     ],
--- a/packages/cli/src/commands/status/index.ts
+++ b/packages/cli/src/commands/status/index.ts
@@ -24,7 +24,7 @@
   static override paths = [['status']];
   static override usage = Command.Usage({
     category: 'Operation',
-    description: 'Show the log position and state of a node',
+    description: 'Show how far a node has got',
   });
 
   protected async perform(): Promise<Report> {
@@ -56,14 +56,14 @@
     category: 'Operation',
     description: 'Show on which nodes a change is in force',
     details:
-      'The response to a change contains its sequence. Exits with 1 while the change is not in force on a live node.',
+      'A change tells its sequence when it is accepted. Ends with 1 while a live node lacks it.',
   });
 
   sequence = Option.String({name: 'sequence'});
 
   protected async perform(): Promise<Report> {
     const sequence = parseCount(this.sequence, 'sequence');
-    if (!sequence) throw new UsageError('The sequence must be 1 or greater.');
+    if (!sequence) throw new UsageError('The sequence begins at 1.');
     const client = await this.connect();
     const view = await client.send(
       {method: 'GET', path: '/admin/v1/in-force', query: {sequence}},
--- a/packages/cli/src/commands/team/token_commands.ts
+++ b/packages/cli/src/commands/team/token_commands.ts
@@ -12,8 +12,8 @@
   static override paths = [['team', 'token', 'add']];
   static override usage = Command.Usage({
     category: 'Documents',
-    description: 'Generate a token for a team and print it once',
-    details: `Only the hash of the token is stored, so the token cannot be shown again. Roles: ${TOKEN_ROLES.join(', ')}; docs/operators/roles.md lists their permissions.`,
+    description: 'Make a token for a team and print it once',
+    details: `Only the hash of the token is stored; nobody can show it again. Roles: ${TOKEN_ROLES.join(', ')}; docs/operators/roles.md says what each may do.`,
   });
 
   team = Option.String({name: 'team'});
@@ -26,7 +26,7 @@
   protected async perform(): Promise<Report> {
     const role = TOKEN_ROLES.find(known => known === this.role);
     if (!role) {
-      throw new UsageError(`--role must be one of ${TOKEN_ROLES.join(', ')}.`);
+      throw new UsageError(`--role takes ${TOKEN_ROLES.join(', ')}.`);
     }
     const client = await this.connect();
     const team = await readDocument(client, 'team', this.team);
--- a/packages/cli/src/plans/event_plans.ts
+++ b/packages/cli/src/plans/event_plans.ts
@@ -48,7 +48,7 @@
       const [, name, text] = ASSIGNMENT.exec(assignment) ?? [];
       if (name === undefined || text === undefined) {
         throw new UsageError(
-          `--param must have the form name=value, such as --param replicas=2, not ${assignment}.`,
+          `--param takes name=value, such as --param replicas=2; not ${assignment}.`,
         );
       }
       return [name, parseValue(text, parameters[name]?.type, name)];
@@ -105,10 +105,10 @@
 function parseNumber(text: string, name: string): number {
   const value = Number(text);
   if (text.trim() !== '' && Number.isFinite(value)) return value;
-  throw new UsageError(`--param ${name} must be a number, not "${text}".`);
+  throw new UsageError(`--param ${name} takes a number, not "${text}".`);
 }
 
 function parseBoolean(text: string, name: string): boolean {
   if (text === 'true' || text === 'false') return text === 'true';
-  throw new UsageError(`--param ${name} must be true or false, not "${text}".`);
+  throw new UsageError(`--param ${name} takes true or false, not "${text}".`);
 }
--- a/packages/cli/src/plans/team_plans.ts
+++ b/packages/cli/src/plans/team_plans.ts
@@ -28,7 +28,7 @@
   const content = teamSchema.parse(team.content);
   if (content.tokens.some(known => known.name === token.name)) {
     throw new UsageError(
-      `Team ${team.id} already has a token ${token.name}; remove it first, or choose another name.`,
+      `Team ${team.id} has a token ${token.name} already; remove it first, or choose another name.`,
     );
   }
   return planTokens(team, [...content.tokens, token], reason);
--- a/packages/cli/src/run_tool.ts
+++ b/packages/cli/src/run_tool.ts
@@ -99,6 +99,6 @@
   const nearest = closest(words.join(' '), names);
   return (
     `usage: There is no command "${words.join(' ')}". ` +
-    `Did you mean "mimosatack ${nearest}"? Run mimosatack --help to list all commands.\n`
+    `Did you mean "mimosatack ${nearest}"? mimosatack --help lists them all.\n`
   );
 }
--- a/packages/explain-request/src/find_verdict.ts
+++ b/packages/explain-request/src/find_verdict.ts
@@ -60,11 +60,11 @@
   const status = findLastAttempt(own)?.fields['status'];
   return {
     result: 'answered',
-    cause: `The backend server's response (status ${formatValue(status)}) was sent to the caller after ${formatValue(tookMs)} ms and ${formatValue(attempts)} attempts.`,
+    cause: `The server's own answer (status ${formatValue(status)}) went to the caller after ${formatValue(tookMs)} ms and ${formatValue(attempts)} attempts.`,
     advice:
       Number(status) >= 500
-        ? 'The backend server failed the request: check the log of that server.'
-        : 'If the response was late, compare the times of the lines below.',
+        ? 'The server failed it by itself: look at its own log.'
+        : 'If it was late, compare the times of the lines below.',
   };
 }
 
@@ -76,8 +76,7 @@
     return {
       result: 'caller-gone',
       cause: `The caller left after ${tookMs} ms, while the request waited for a server.`,
-      advice:
-        'Check the orders for its model below: was the model being loaded?',
+      advice: 'See the orders for its model below: was it being loaded?',
     };
   }
   const server = formatValue(sent.fields['backendServerId']);
@@ -87,7 +86,7 @@
     cause: hasBegun
       ? `The caller left after ${tookMs} ms, in the middle of the answer of ${server}; ${computeWaitMs(own, finished)} ms of that it waited to be sent.`
       : `The caller left after ${tookMs} ms; ${server} had not begun to answer.`,
-    advice: `Check the log and the load of ${server} at that time.`,
+    advice: `Look at the log and the load of ${server} at that time.`,
   };
 }
 
@@ -118,7 +117,7 @@
   }
   return {
     result: 'refused',
-    cause: `${finished.nodeName} refused it before sending it to a server: ${formatValue(finished.fields['reason'])}`,
+    cause: `${finished.nodeName} refused it before any server was asked: ${formatValue(finished.fields['reason'])}`,
     advice: `docs/operators/refusals.md says what "${formatValue(finished.fields['kind'])}" means.`,
   };
 }
@@ -134,13 +133,13 @@
   const {nodeName, fields} = line;
   if (line.eventName === 'key-refused') {
     return {
-      cause: `${nodeName} refused the key by configuration ${formatValue(fields['configurationVersion'])}, confirmed as the newest ${formatValue(fields['configurationAgeMs'])} ms before: ${formatValue(fields['reason'])}`,
-      advice: 'docs/operators/teams.md describes a remedy for each reason.',
+      cause: `${nodeName} refused its key by configuration ${formatValue(fields['configurationVersion'])}, known to be the newest ${formatValue(fields['configurationAgeMs'])} ms before: ${formatValue(fields['reason'])}`,
+      advice: 'docs/operators/teams.md says what to do about each reason.',
     };
   }
   return {
-    cause: `The team ${formatValue(fields['team'])} had ${formatValue(fields['left'])} left of its quota, and the request counts ${formatValue(fields['amount'])}; ${nodeName} decided this as ${formatValue(fields['decidedBy'])}.`,
-    advice: `The caller was told to retry after ${formatValue(fields['retryAfterMs'])} ms; raise the quota if the team needs more capacity.`,
+    cause: `The team ${formatValue(fields['team'])} had ${formatValue(fields['left'])} left of its quota, and the request counts ${formatValue(fields['amount'])}; ${nodeName} decided that as ${formatValue(fields['decidedBy'])}.`,
+    advice: `The caller was told to come back after ${formatValue(fields['retryAfterMs'])} ms; raise the quota if the team is to be served more.`,
   };
 }
 
@@ -154,9 +153,9 @@
   );
   const crashedServers = formatValue(contained?.fields['serverLives']);
   return {
-    cause: `Backend servers crashed while serving the same request, whose fingerprint is ${formatValue(finished.fields['fingerprint'])}: ${crashedServers}.`,
+    cause: `Servers had ended under the same request, whose fingerprint is ${formatValue(finished.fields['fingerprint'])}: ${crashedServers}.`,
     advice:
-      'The attempt-ended lines below list the ids of those requests. Notify the caller, or fix the servers.',
+      'The lines attempt-ended below name the ids under which they did. Tell its caller, or mend the servers.',
   };
 }
 
@@ -169,8 +168,8 @@
   const attempt = findLastAttempt(own);
   if (!attempt) {
     return {
-      cause: `The request failed with: ${formatValue(finished.fields['reason'])}`,
-      advice: 'Check the lines of its node below.',
+      cause: `It ended with: ${formatValue(finished.fields['reason'])}`,
+      advice: 'Look at the lines of its node below.',
     };
   }
   const {backendServerId, error, outcome} = attempt.fields;
@@ -186,13 +185,13 @@
       Math.abs(atMs - attempt.atMs) <= SERVER_CHANGE_WINDOW_MS,
   );
   const changed = change
-    ? ` The server list reported that ${server} was ${formatValue(change.fields['state'])} within ${SERVER_CHANGE_WINDOW_MS / 1_000} s of the failure.`
+    ? ` The list told that ${server} was ${formatValue(change.fields['state'])} within ${SERVER_CHANGE_WINDOW_MS / 1_000} s of that.`
     : '';
   return {
-    cause: `The attempt at ${server} ended with outcome "${formatValue(outcome)}": ${formatValue(error)}${changed}`,
+    cause: `The attempt at ${server} ended as "${formatValue(outcome)}": ${formatValue(error)}${changed}`,
     advice: change
-      ? `${server} shut down or was lost: the node is not the cause.`
-      : `Check the log of ${server}, and other requests to this server at that time.`,
+      ? `${server} left or was lost: nothing is wrong with the node.`
+      : `Look at the log of ${server}, and at other requests to it at that time.`,
   };
 }
 
@@ -216,8 +215,8 @@
     cause: `Its time was over after ${formatValue(finished.fields['tookMs'])} ms: it waited ${waitedMs} ms to be sent, and ${server} ${state}.`,
     advice:
       waitedMs >= MIN_WAIT_SHARE * tookMs
-        ? 'Check below what the request waited for: an order for its model, or the scheduling node.'
-        : `Check the log and the load of ${server} at that time.`,
+        ? 'See below what it waited for: an order for its model, or a node that schedules.'
+        : `Look at the log and the load of ${server} at that time.`,
   };
 }
 
@@ -243,15 +242,14 @@
   return restart
     ? {
         result: 'unfinished',
-        cause: `${restart.nodeName} ended without a clean shutdown and restarted while it served the request.`,
-        advice: 'Check what killed the process, and whether its host failed.',
+        cause: `${restart.nodeName} ended without its last words and was started again, while the request was being served.`,
+        advice: 'Ask who ended the process, or whether its host was lost.',
       }
     : {
         result: 'unfinished',
         cause:
-          'No line reports the end of the request: its node still serves it, was killed, or its log is incomplete.',
-        advice:
-          'Give the logs of all nodes, and check for lines-dropped events.',
+          'No line tells its end: its node still serves it, was killed, or its log is not complete.',
+        advice: 'Give the logs of all nodes, and look for lines-dropped.',
       };
 }
 
--- a/packages/explain-request/src/format_explanation.ts
+++ b/packages/explain-request/src/format_explanation.ts
@@ -21,11 +21,11 @@
     `Cause: ${verdict.cause}`,
     `Next: ${verdict.advice}`,
     '',
-    'Lines of the request:',
+    'Its own lines:',
     ...own.map(format),
     '',
-    'Related lines:',
-    ...(related.length === 0 ? ['  none'] : related.map(format)),
+    'Meanwhile:',
+    ...(related.length === 0 ? ['  nothing is told'] : related.map(format)),
     '',
   ].join('\n');
 }
--- a/packages/follow-log/src/submission.ts
+++ b/packages/follow-log/src/submission.ts
@@ -34,14 +34,14 @@
         {
           run: 'unknown',
           remedy:
-            'The record may still take effect. Read the current version ' +
-            'before retrying.',
+            'It may still take effect. Read the current version before ' +
+            'trying again.',
           info: {recordId},
         },
       )
     : new TypedError(
         'log-unavailable',
-        'The log service is unavailable; nothing was written.',
+        'The log service does not answer; nothing was written.',
         {run: 'not-run', retryAfterMs: 5000},
       );
 }
--- a/packages/serve-operators/src/audit_routes.ts
+++ b/packages/serve-operators/src/audit_routes.ts
@@ -27,8 +27,8 @@
   .strict();
 
 const INCOMPLETE_NOTE =
-  'The log service is unavailable: only changes in the memory of this node ' +
-  'were searched.';
+  'The log service does not answer: only changes that this node has in ' +
+  'memory were searched.';
 
 export function addAuditRoutes(
   server: FastifyInstance,
--- a/packages/serve-operators/src/event_routes.ts
+++ b/packages/serve-operators/src/event_routes.ts
@@ -105,8 +105,8 @@
 }
 
 function makeIdConflictError(id: string): TypedError {
-  return new TypedError('conflict', `The event id ${id} is already in use.`, {
-    remedy: 'Choose another id, or update the existing event.',
+  return new TypedError('conflict', `The id ${id} is not free.`, {
+    remedy: 'Choose another id, or change your event under this id.',
     info: {reason: 'version-conflict'},
   });
 }
--- a/packages/serve-operators/src/health_routes.ts
+++ b/packages/serve-operators/src/health_routes.ts
@@ -25,12 +25,12 @@
 function findUnreadyReason(context: OperatorContext): TypedError | null {
   const retry = {retryAfterMs: RETRY_AFTER_MS};
   if (context.isStopping()) {
-    return new TypedError('shutting-down', 'The node is shutting down.', retry);
+    return new TypedError('shutting-down', 'The node shuts down.', retry);
   }
   if (!context.state().isSupported) {
     return new TypedError(
       'log-unavailable',
-      'The active rules version is newer than this release supports.',
+      'The rules in force are newer than this release.',
       {...retry, remedy: 'Upgrade this node.'},
     );
   }
@@ -38,7 +38,7 @@
   if (hasState && (isLogReachable || isCaughtUpWithPeer(context))) return null;
   return new TypedError(
     'log-unavailable',
-    'The node is not following the log service or another node yet.',
+    'The node follows neither the log service nor another node yet.',
     retry,
   );
 }
--- a/packages/serve-operators/src/operator_server.ts
+++ b/packages/serve-operators/src/operator_server.ts
@@ -42,13 +42,9 @@
     sendError(thrown, incoming, reply, context),
   );
   server.setNotFoundHandler((incoming, reply) => {
-    const error = new TypedError(
-      'not-found',
-      `There is no route ${incoming.url}.`,
-      {
-        remedy: 'See docs/operators/cli.md for the routes.',
-      },
-    );
+    const error = new TypedError('not-found', `There is no ${incoming.url}.`, {
+      remedy: 'docs/operators/cli.md names the routes.',
+    });
     sendError(error, incoming, reply, context);
   });
   addRoutes(server, context);
@@ -99,8 +95,8 @@
 /** Internal details stay in the log; the request id links to the log entry. */
 function hideInternalError(error: TypedError): TypedError {
   return error.kind === 'internal'
-    ? new TypedError('internal', 'An unexpected internal error occurred.', {
-        remedy: `Search this node's log for the request id.`,
+    ? new TypedError('internal', 'Something unexpected failed.', {
+        remedy: `Look for the request id in this node's log.`,
       })
     : error;
 }
--- a/packages/serve-operators/src/paging.ts
+++ b/packages/serve-operators/src/paging.ts
@@ -42,7 +42,7 @@
 export function decodeCursor(cursor: string): string {
   const key = Buffer.from(cursor, 'base64url').toString('utf8');
   if (encodeCursor(key) === cursor) return key;
-  throw new TypedError('bad-request', 'cursor: the cursor is malformed.', {
-    remedy: 'Pass the nextCursor of the previous page.',
+  throw new TypedError('bad-request', 'cursor: this is no cursor.', {
+    remedy: 'Give nextCursor as the last page told it.',
   });
 }
--- a/packages/serve-operators/src/publish_routes.ts
+++ b/packages/serve-operators/src/publish_routes.ts
@@ -219,7 +219,7 @@
   if (content['team'] === operator.team) return;
   throw new TypedError(
     'forbidden',
-    `An operator of team ${operator.team} may not publish a ${kind} of another team.`,
+    `An operator of team ${operator.team} publishes no ${kind} of another team.`,
     {remedy: `Set team to ${operator.team}, or use an admin token.`},
   );
 }
--- a/packages/serve-operators/src/status_routes.ts
+++ b/packages/serve-operators/src/status_routes.ts
@@ -109,8 +109,8 @@
   if (!isFolded) {
     throw new TypedError(
       'not-found',
-      `This node has folded only ${context.state().sequence} records.`,
-      {remedy: 'Wait with waitMs, or query another node.'},
+      `This node has folded ${context.state().sequence} records only.`,
+      {remedy: 'Wait with waitMs, or ask another node.'},
     );
   }
   return offsets.find(sequence) ?? context.state().nextOffset - 1;
