--- a/packages/admit-requests/src/admission_gate.test.ts
+++ b/packages/admit-requests/src/admission_gate.test.ts
@@ -38,16 +38,12 @@
   };
   const submit = async (id: string, terms: Partial<AdmissionRequest> = {}) => {
     const request = makeRequest(id, clock.monotonicMs(), terms);
-    const done = gate.run(
-      request,
-      target,
-      async ({recordServed: noteServed}) => {
-        fixture.started.push(id);
-        await new Promise<void>(resolve => finishers.set(id, resolve));
-        noteServed();
-        fixture.capacity += 1;
-      },
-    );
+    const done = gate.run(request, target, async ({recordServed}) => {
+      fixture.started.push(id);
+      await new Promise<void>(resolve => finishers.set(id, resolve));
+      recordServed();
+      fixture.capacity += 1;
+    });
     void done.then(
       () => (fixture.outcomes[id] = 'answered'),
       (thrown: TypedError) => {
--- a/packages/answer-streams/src/answer_reader.ts
+++ b/packages/answer-streams/src/answer_reader.ts
@@ -179,12 +179,12 @@
     const isIdle = sequencer.nextId === nextIdBefore;
     this.resumes += 1;
     this.idleResumes = isIdle ? this.idleResumes + 1 : 0;
-    const {
-      maxResumesWithoutProgress: maxIdleResumes,
-      maxResumes,
-      resumeDelayMs,
-    } = options.limits;
-    if (this.idleResumes > maxIdleResumes || this.resumes > maxResumes) {
+    const {maxResumesWithoutProgress, maxResumes, resumeDelayMs} =
+      options.limits;
+    if (
+      this.idleResumes > maxResumesWithoutProgress ||
+      this.resumes > maxResumes
+    ) {
       throw this.makeFailure(error);
     }
     options.onResume?.(cause, sequencer.nextId, error);
--- a/packages/bench-warming/src/virtual_runner.ts
+++ b/packages/bench-warming/src/virtual_runner.ts
@@ -82,18 +82,17 @@
       if (this.nodeIndex !== holder || !this.parts.canReach(nodeIndex)) return;
       const slots = log.state.placement.listOnBackendServer(backendServerId);
       const nowMs = clock.wallMs();
-      const {shouldTakeOver: isNeglected, incomplete: unfinished} =
-        checkForTakeover({
-          slots,
-          engine: engine.readState(),
-          rank: FIRST_SUCCESSOR,
-          nowMs,
-          incompleteBefore: unfinishedBefore,
-        });
-      if (isNeglected) return this.stepIn(nodeIndex);
+      const {shouldTakeOver, incomplete} = checkForTakeover({
+        slots,
+        engine: engine.readState(),
+        rank: FIRST_SUCCESSOR,
+        nowMs,
+        incompleteBefore: unfinishedBefore,
+      });
+      if (shouldTakeOver) return this.stepIn(nodeIndex);
       const nextMs = findNextCheckMs(slots, FIRST_SUCCESSOR, nowMs);
       if (nextMs !== null) {
-        clock.setTimer(nextMs - nowMs, () => look(unfinished));
+        clock.setTimer(nextMs - nowMs, () => look(incomplete));
       }
     };
     look(new Set());
--- a/packages/contain-requests/src/request_containment.ts
+++ b/packages/contain-requests/src/request_containment.ts
@@ -123,13 +123,13 @@
     after: ReadonlyMap<RequestFingerprint, number>,
   ): void {
     const {logger} = this.options;
-    const {cutsByRequest: byRequest} = this.evidence;
+    const {cutsByRequest} = this.evidence;
     [...after]
       .filter(([fingerprint, atMs]) => before.get(fingerprint) !== atMs)
       .forEach(([fingerprint, atMs]) =>
         logger.log('request-contained', {
           fingerprint,
-          serverLives: [...(byRequest.get(fingerprint)?.keys() ?? [])],
+          serverLives: [...(cutsByRequest.get(fingerprint)?.keys() ?? [])],
           tryInMs: Math.round(atMs - this.nowMs()),
         }),
       );
@@ -138,7 +138,7 @@
       .forEach(fingerprint =>
         logger.log('request-released', {
           fingerprint,
-          cuts: byRequest.get(fingerprint)?.size ?? 0,
+          cuts: cutsByRequest.get(fingerprint)?.size ?? 0,
         }),
       );
   }
--- a/packages/drain-node/src/shutdown_task.ts
+++ b/packages/drain-node/src/shutdown_task.ts
@@ -98,13 +98,13 @@
   }
 
   private async runStep(step: ShutdownStep): Promise<void> {
-    const {actions, gate, addressExpiryMs: tellCallersMs} = this.options;
+    const {actions, gate, addressExpiryMs} = this.options;
     switch (step.type) {
       case 'abort-start':
         return actions.abortStart();
       case 'announce':
         actions.announce();
-        return this.scheduleInput(tellCallersMs, {type: 'callers-told'});
+        return this.scheduleInput(addressExpiryMs, {type: 'callers-told'});
       case 'refuse-new-work':
         await gate.inFlight.whenIdle();
         return this.take({type: 'nothing-in-flight'});
--- a/packages/hold-duty/src/decide_claim.ts
+++ b/packages/hold-duty/src/decide_claim.ts
@@ -29,12 +29,12 @@
 
 /** Returns whether this node is to claim the duty now. */
 export function decideClaim(view: DutyView): boolean {
-  const {holder, contactForMs, rank, isReachedByOthers: isHeardByOthers} = view;
+  const {holder, contactForMs, rank, isReachedByOthers} = view;
   const waitMs = rank * CLAIM_STAGGER_MS;
   if (!holder) return contactForMs >= waitMs;
   if (holder.isSelf || holder.contact === 'alive') return false;
   if (holder.contact === 'gone' || holder.contact === 'ended') {
     return contactForMs >= waitMs;
   }
-  return !isHeardByOthers && contactForMs >= SILENCE_TIMEOUT_MS + waitMs;
+  return !isReachedByOthers && contactForMs >= SILENCE_TIMEOUT_MS + waitMs;
 }
--- a/packages/hold-duty/src/duty_task.ts
+++ b/packages/hold-duty/src/duty_task.ts
@@ -267,12 +267,7 @@
   }
 
   private tick(): void {
-    const {
-      clock,
-      findRank,
-      isReachedByOthers: isHeardByOthers,
-      isEligible,
-    } = this.options;
+    const {clock, findRank, isReachedByOthers, isEligible} = this.options;
     const nowMs = clock.monotonicMs();
     this.updateContact(nowMs);
     const isReadable = this.follower.isReachable;
@@ -286,7 +281,7 @@
       },
       contactForMs: nowMs - this.contactSinceMs,
       rank: findRank(),
-      isReachedByOthers: isHeardByOthers(),
+      isReachedByOthers: isReachedByOthers(),
     });
     if (isDue || this.isRenewalDue(nowMs)) void this.claim();
   }
@@ -296,15 +291,11 @@
    * Neither applies with fencing, or when the holder's process has exited.
    */
   private isClaimBlocked(nowMs: number): boolean {
-    const {
-      isFenced,
-      claimHoldOffUntilMs: quietUntilMs,
-      ownGrantEndsAtMs: promisedUntilMs,
-    } = this.options;
+    const {isFenced, claimHoldOffUntilMs, ownGrantEndsAtMs} = this.options;
     if (isFenced || this.isHeld || !this.current) return false;
     if (this.contact === 'ended') return false;
-    if (nowMs < quietUntilMs()) return true;
-    return this.contact !== 'gone' && nowMs < promisedUntilMs();
+    if (nowMs < claimHoldOffUntilMs()) return true;
+    return this.contact !== 'gone' && nowMs < ownGrantEndsAtMs();
   }
 
   private isRenewalDue(nowMs: number): boolean {
@@ -363,20 +354,15 @@
    * include this node's grant when `isCountedBy` says so.
    */
   private findLatestOrderMs({incarnation}: DutyHolder): number {
-    const {
-      clock,
-      leaseMs,
-      ownGrantEndsAtMs: promisedUntilMs,
-      isGrantorOf: isCountedBy,
-    } = this.options;
+    const {clock, leaseMs, ownGrantEndsAtMs, isGrantorOf} = this.options;
     const nowMs = clock.monotonicMs();
     const renewedLeaseMs = RENEWED_LEASE_FRACTION * leaseMs;
     const upperBoundMs = nowMs + renewedLeaseMs;
     if (this.contact === 'ended') return nowMs;
-    if (!isCountedBy(incarnation)) return upperBoundMs;
+    if (!isGrantorOf(incarnation)) return upperBoundMs;
     const knownBoundMs = Math.max(
       this.recordSeenAtMs + renewedLeaseMs,
-      promisedUntilMs(),
+      ownGrantEndsAtMs(),
     );
     return Math.min(upperBoundMs, knownBoundMs);
   }
--- a/packages/node/src/engine_watch.ts
+++ b/packages/node/src/engine_watch.ts
@@ -71,16 +71,15 @@
     const nowMs = this.options.clock.wallMs();
     const slots = this.listKnownLongEnough(this.options.listSlots(), nowMs);
     if (engine) {
-      const {shouldTakeOver: isNeglected, incomplete: unfinished} =
-        checkForTakeover({
-          slots,
-          engine,
-          rank: this.options.rank,
-          nowMs,
-          incompleteBefore: this.unfinished,
-        });
-      this.unfinished = unfinished;
-      if (isNeglected) {
+      const {shouldTakeOver, incomplete} = checkForTakeover({
+        slots,
+        engine,
+        rank: this.options.rank,
+        nowMs,
+        incompleteBefore: this.unfinished,
+      });
+      this.unfinished = incomplete;
+      if (shouldTakeOver) {
         this.stop();
         return this.options.onNeglected();
       }
--- a/packages/plan-warming/src/plan_event.ts
+++ b/packages/plan-warming/src/plan_event.ts
@@ -156,7 +156,7 @@
   needs: readonly NeedState[],
   input: EventPlanInput,
 ): ReplicaPlacer {
-  const {event, loadTimes, maxConcurrentLoads: lanes} = input;
+  const {event, loadTimes, maxConcurrentLoads} = input;
   const storeMs = needs.reduce(
     (sumMs, {need}) =>
       sumMs +
@@ -173,7 +173,7 @@
     {
       startsAtMs: event.startsAtMs,
       endsAtMs: event.endsAtMs,
-      eventStoreMs: storeMs / lanes,
+      eventStoreMs: storeMs / maxConcurrentLoads,
     },
   );
 }
--- a/packages/plan-warming/src/planning_schedule.ts
+++ b/packages/plan-warming/src/planning_schedule.ts
@@ -17,7 +17,7 @@
 
 /** A short text that changes when a planning run may have a new result. */
 export function fingerprintEvent(inputs: EventInputs): string {
-  const {event, held, requestedModels: demanded, nowMs} = inputs;
+  const {event, held, requestedModels, nowMs} = inputs;
   const phase =
     nowMs >= event.endsAtMs
       ? 'over'
@@ -30,7 +30,7 @@
       `${slot.untilMs}${inputs.formatServerStatus(slot)}`,
   );
   const requested = event.needs
-    .filter(need => demanded.has(need.model))
+    .filter(need => requestedModels.has(need.model))
     .map(need => need.model);
   return [event.revision, phase, ...slots, ...requested].join(' ');
 }
--- a/packages/route-requests/src/measure_main.ts
+++ b/packages/route-requests/src/measure_main.ts
@@ -62,7 +62,7 @@
     });
     router.noteCacheEvents(candidates[0] ?? '', events);
     const prefix = {model, hashes};
-    return {candidates, excluded: new Set(), prefix, needsRoom: true};
+    return {candidates, excluded: new Set(), prefix, requiresCapacity: true};
   });
 }
 
--- a/packages/route-requests/src/router.test.ts
+++ b/packages/route-requests/src/router.test.ts
@@ -80,7 +80,7 @@
 test('sends no more than its share to a full server', () => {
   const {router, report} = createFixture();
   const excluded = new Set(['a0', 'a1']);
-  const request = {candidates: IDS, excluded, needsRoom: true};
+  const request = {candidates: IDS, excluded, requiresCapacity: true};
   Array.from({length: 6}, () => router.noteSent('b0'));
   report('b0', 12);
   assert.equal(router.route(request), {status: 'full'});
--- a/packages/route-requests/src/router.ts
+++ b/packages/route-requests/src/router.ts
@@ -107,19 +107,14 @@
    * cost is described in `ServerLoad`.
    */
   route(routeRequest: RouteRequest): RouteDecision {
-    const {
-      candidates,
-      excluded,
-      avoidedDomains,
-      prefix,
-      requiresCapacity: needsRoom,
-    } = routeRequest;
+    const {candidates, excluded, avoidedDomains, prefix, requiresCapacity} =
+      routeRequest;
     const request: TimedRequest = {
       candidates,
       excluded,
       avoidedDomains,
       prefix,
-      requiresCapacity: needsRoom,
+      requiresCapacity,
       nowMs: this.nowMs(),
     };
     const sample = this.sample(request);
@@ -292,9 +287,9 @@
 
   private hasCapacity(
     id: BackendServerId,
-    {requiresCapacity: needsRoom}: TimedRequest,
+    {requiresCapacity}: TimedRequest,
   ): boolean {
-    const load = needsRoom ? this.loads.get(id) : undefined;
+    const load = requiresCapacity ? this.loads.get(id) : undefined;
     return load?.hasCapacity ?? true;
   }
 
--- a/packages/schedule-service/src/scheduled_chooser.ts
+++ b/packages/schedule-service/src/scheduled_chooser.ts
@@ -80,8 +80,8 @@
   }
 
   async choose(ask: ServerAsk): Promise<ServerChoice> {
-    const {clock, askIdPrefix: askPrefix, sendToHolder} = this.options;
-    const askId = `${askPrefix}.${this.nextAskNumber++}`;
+    const {clock, askIdPrefix, sendToHolder} = this.options;
+    const askId = `${askIdPrefix}.${this.nextAskNumber++}`;
     const payload = ask.service.engine
       ? toAskPayload(askId, ask, clock.monotonicMs())
       : null;
--- a/packages/serve-callers/src/drain_hooks.ts
+++ b/packages/serve-callers/src/drain_hooks.ts
@@ -23,24 +23,24 @@
   server: FastifyInstance,
   context: CallerContext,
 ): void {
-  const {drainGate: gate} = context;
+  const {drainGate} = context;
   server.decorateRequest('workInFlight', null);
   server.addHook('onRequest', async (incoming, reply) => {
-    if (gate.state === 'leaving' || gate.state === 'refusing') {
+    if (drainGate.state === 'leaving' || drainGate.state === 'refusing') {
       setLeavingHeaders(reply);
     }
     if (ALWAYS_ANSWERED_PATHS.test(incoming.url)) return;
     refuseByState(context, findRunBeforeKeyLookup(incoming.headers));
     const route = incoming.routeOptions.url ?? 'unknown route';
-    const work = gate.inFlight.begin(`${incoming.method} ${route}`);
+    const work = drainGate.inFlight.begin(`${incoming.method} ${route}`);
     incoming.workInFlight = work;
     // Unlike fastify's `onResponse`, this also fires for disconnected callers
     // and hijacked replies.
     reply.raw.once('close', () => work.end());
   });
   server.get('/readyz', async (_incoming, reply) => {
-    const isReady = gate.state === 'serving';
-    return reply.code(isReady ? 200 : 503).send({status: gate.state});
+    const isReady = drainGate.state === 'serving';
+    return reply.code(isReady ? 200 : 503).send({status: drainGate.state});
   });
 }
 
--- a/packages/serve-callers/src/request_scope.ts
+++ b/packages/serve-callers/src/request_scope.ts
@@ -13,11 +13,11 @@
 }
 
 export function openRequestScope(
-  {clock, drainGate: gate}: CallerContext,
+  {clock, drainGate}: CallerContext,
   deadlineMs: number,
   reply: FastifyReply,
 ): RequestScope {
-  const scope = openStreamScope(clock, deadlineMs, [gate.abortSignal]);
+  const scope = openStreamScope(clock, deadlineMs, [drainGate.abortSignal]);
   const attended = mergeSignals([scope.signal]);
   const onClose = () => {
     if (!reply.raw.writableFinished) attended.abort(new CallerDisconnected());
--- a/packages/serve-callers/src/simulated_routers.ts
+++ b/packages/serve-callers/src/simulated_routers.ts
@@ -186,15 +186,11 @@
         arrivedAtMs: nowMs,
         deadlineAtMs: nowMs + deadlineMs,
       };
-      return gate.run(
-        request,
-        target,
-        async ({reservation: place, recordServed: noteServed}) => {
-          await start(Number(place));
-          noteServed();
-          router.noteDone(place);
-        },
-      );
+      return gate.run(request, target, async ({reservation, recordServed}) => {
+        await start(Number(reservation));
+        recordServed();
+        router.noteDone(reservation);
+      });
     },
   };
 }
--- a/packages/steward-orders/src/decide_orders.test.ts
+++ b/packages/steward-orders/src/decide_orders.test.ts
@@ -116,7 +116,7 @@
     cachedLoadMs: {memory: 700, disk: 900},
     slowdown: 10,
   });
-  const parts = {slots, engine, outlook, nowMs: 85_000};
+  const parts = {slots, engine, findLoadTimes: outlook, nowMs: 85_000};
   assert.equal(listOrders({...parts, mayReceivePreviousOrders: true}), []);
   assert.equal(listOrders(parts), ['load s1']);
 });
--- a/packages/steward-orders/src/decide_orders.ts
+++ b/packages/steward-orders/src/decide_orders.ts
@@ -133,12 +133,11 @@
 }
 
 function mayReceiveOldOrders(input: StewardInput): boolean {
-  const {
-    engine,
-    mayReceivePreviousOrders: hasDoubts,
-    unansweredSlotIds: unresolved,
-  } = input;
-  return engine.fencing === 'ignores' && (hasDoubts || unresolved.size > 0);
+  const {engine, mayReceivePreviousOrders, unansweredSlotIds} = input;
+  return (
+    engine.fencing === 'ignores' &&
+    (mayReceivePreviousOrders || unansweredSlotIds.size > 0)
+  );
 }
 
 function findDueMs(slot: Slot, input: StewardInput): number {
--- a/packages/steward-orders/src/load_due.ts
+++ b/packages/steward-orders/src/load_due.ts
@@ -28,15 +28,11 @@
   tier: CacheTier,
   outlook: ExpectedLoadTimes,
 ): number {
-  const {
-    startsAtMs,
-    storeLoadMs: remoteMs,
-    cachedLoadMs: nearMs,
-    slowdown,
-  } = outlook;
+  const {startsAtMs, storeLoadMs, cachedLoadMs, slowdown} = outlook;
   if (isPlannedFromNearCache(slot)) {
-    const loadMs = tier === 'remote' ? remoteMs * slowdown : nearMs[tier];
-    return slot.loadAtMs - Math.max(0, loadMs - nearMs.memory);
+    const loadMs =
+      tier === 'remote' ? storeLoadMs * slowdown : cachedLoadMs[tier];
+    return slot.loadAtMs - Math.max(0, loadMs - cachedLoadMs.memory);
   }
   if (tier !== 'remote') return slot.loadAtMs;
   const leadMs = Math.max(0, (startsAtMs ?? slot.loadAtMs) - slot.loadAtMs);
--- a/packages/steward-orders/src/succession.ts
+++ b/packages/steward-orders/src/succession.ts
@@ -51,7 +51,7 @@
 
 /** Checks whether the controlling node has failed to order a due load. */
 export function checkForTakeover(input: TakeoverCheckInput): TakeoverCheck {
-  const {engine, rank, nowMs, incompleteBefore: unfinishedBefore} = input;
+  const {engine, rank, nowMs, incompleteBefore} = input;
   if (engine.fencing === 'ignores') {
     return {shouldTakeOver: false, incomplete: new Set()};
   }
@@ -71,7 +71,7 @@
   );
   return {
     shouldTakeOver:
-      isMissing || unfinished.some(id => unfinishedBefore.has(id)),
+      isMissing || unfinished.some(id => incompleteBefore.has(id)),
     incomplete: new Set(unfinished),
   };
 }
