--- a/packages/settings/src/contradictions.ts
+++ b/packages/settings/src/contradictions.ts
@@ -1,16 +1,16 @@
-/** Rules that bind several settings together. */
+/** Validation rules that involve several settings. */
 import {isIPv4} from 'node:net';
 import {type SettingFault} from './fault.js';
 import {type DaemonSettings, type SettingName, toFlag} from './schema.js';
 
-/** Settings that have been read; those at fault are left out. */
-export type ReadSettings = Partial<DaemonSettings>;
+/** The settings with valid values. */
+export type PartialSettings = Partial<DaemonSettings>;
 
 interface Contradiction {
   settings: readonly SettingName[];
   message: string;
   remedy: string;
-  isFound(settings: ReadSettings): boolean;
+  isViolated(settings: PartialSettings): boolean;
 }
 
 const CONTRADICTIONS: readonly Contradiction[] = [
@@ -18,34 +18,34 @@
     settings: ['caller-tls-cert-path', 'caller-tls-key-path'],
     message: 'A certificate and its key only work together.',
     remedy: 'Give both --caller-tls-cert-path and --caller-tls-key-path.',
-    isFound: ({callerTlsCertPath: cert, callerTlsKeyPath: key}) =>
+    isViolated: ({callerTlsCertPath: cert, callerTlsKeyPath: key}) =>
       (cert === undefined) !== (key === undefined),
   },
   {
     settings: ['admin-tls-cert-path', 'admin-tls-key-path'],
     message: 'A certificate and its key only work together.',
     remedy: 'Give both --admin-tls-cert-path and --admin-tls-key-path.',
-    isFound: ({adminTlsCertPath: cert, adminTlsKeyPath: key}) =>
+    isViolated: ({adminTlsCertPath: cert, adminTlsKeyPath: key}) =>
       (cert === undefined) !== (key === undefined),
   },
   {
     settings: ['caller-port', 'admin-port', 'peer-port'],
     message: 'Two of the ports are the same.',
     remedy: 'Give three different ports, or 0 for any free port.',
-    isFound: ({callerPort, adminPort, peerPort}) =>
+    isViolated: ({callerPort, adminPort, peerPort}) =>
       hasDuplicates([callerPort, adminPort, peerPort].filter(Boolean)),
   },
   {
     settings: ['advertise-host'],
-    message: 'Nobody can connect to the unspecified address.',
+    message: 'The unspecified address cannot be advertised.',
     remedy: 'Set --advertise-host to the address of this host.',
-    isFound: ({advertiseHost: host}) => host === '0.0.0.0' || host === '::',
+    isViolated: ({advertiseHost: host}) => host === '0.0.0.0' || host === '::',
   },
   {
     settings: ['advertise-host', 'listen-host'],
-    message: 'Nobody can reach the advertised address: only loopback listens.',
+    message: 'The advertised address is unreachable: only loopback listens.',
     remedy: 'Set --listen-host to the advertised address, or to 0.0.0.0.',
-    isFound: ({advertiseHost, listenHost}) =>
+    isViolated: ({advertiseHost, listenHost}) =>
       advertiseHost !== undefined &&
       isLoopback(listenHost) &&
       !isLoopback(advertiseHost),
@@ -54,29 +54,29 @@
     settings: ['default-deadline-ms', 'max-deadline-ms'],
     message: 'The default deadline is longer than the longest allowed.',
     remedy: 'Raise --max-deadline-ms, or lower --default-deadline-ms.',
-    isFound: ({defaultDeadlineMs, maxDeadlineMs}) =>
+    isViolated: ({defaultDeadlineMs, maxDeadlineMs}) =>
       isGreater(defaultDeadlineMs, maxDeadlineMs),
   },
   {
     settings: ['shutdown-grace-ms', 'max-deadline-ms'],
-    message: 'A shutdown would cut off requests that still have time.',
+    message: 'A shutdown would abort requests before their deadlines.',
     remedy: 'Raise --shutdown-grace-ms to --max-deadline-ms at least.',
-    isFound: ({shutdownGraceMs, maxDeadlineMs}) =>
+    isViolated: ({shutdownGraceMs, maxDeadlineMs}) =>
       isGreater(maxDeadlineMs, shutdownGraceMs),
   },
   {
     settings: ['shutdown-grace-ms', 'entries-ttl-ms'],
     message: 'A shutdown would end while callers still cache the address.',
     remedy: 'Raise --shutdown-grace-ms to --entries-ttl-ms at least.',
-    isFound: ({shutdownGraceMs, entriesTtlMs}) =>
+    isViolated: ({shutdownGraceMs, entriesTtlMs}) =>
       isGreater(entriesTtlMs, shutdownGraceMs),
   },
   {
     settings: ['shutdown-grace-ms', 'max-deadline-ms', 'entries-ttl-ms'],
-    message: 'A shutdown would cut off the requests that arrive last.',
+    message: 'A shutdown would abort the last requests to arrive.',
     remedy:
       'Raise --shutdown-grace-ms to the sum of --max-deadline-ms and --entries-ttl-ms.',
-    isFound: ({shutdownGraceMs: grace, maxDeadlineMs, entriesTtlMs}) =>
+    isViolated: ({shutdownGraceMs: grace, maxDeadlineMs, entriesTtlMs}) =>
       grace !== undefined &&
       maxDeadlineMs !== undefined &&
       entriesTtlMs !== undefined &&
@@ -85,16 +85,16 @@
   },
   {
     settings: ['cold-start-weight', 'idle-weight'],
-    message: 'With both weights at 0 all decisions count the same.',
+    message: 'With both weights at 0, all decisions have the same cost.',
     remedy: 'Set --cold-start-weight or --idle-weight above 0.',
-    isFound: ({coldStartWeight, idleWeight}) =>
+    isViolated: ({coldStartWeight, idleWeight}) =>
       coldStartWeight === 0 && idleWeight === 0,
   },
 ];
 
-/** Finds all rules that the settings break. */
-export function findContradictions(settings: ReadSettings): SettingFault[] {
-  return CONTRADICTIONS.filter(rule => rule.isFound(settings)).map(
+/** Returns a fault for each rule that the settings violate. */
+export function findContradictions(settings: PartialSettings): SettingFault[] {
+  return CONTRADICTIONS.filter(rule => rule.isViolated(settings)).map(
     ({settings: names, message, remedy}) => ({
       problem: 'contradictory',
       settings: names.map(toFlag),
--- a/packages/settings/src/definition.ts
+++ b/packages/settings/src/definition.ts
@@ -1,48 +1,44 @@
-/** The shape of one setting in the schema, and the types its values have. */
+/** Types of the settings schema and of setting values. */
 
 interface CommonDefinition {
   description: string;
-  /** The node does not start without it. */
   required?: true;
-  /** Its value is never printed or logged. */
+  /** The value is never printed or logged. */
   secret?: true;
-  /** The value in force when none is given, as it would be written. */
+  /** The default value, as text. */
   default?: string;
-  /** The setting whose value is in force when none is given. */
+  /** The setting whose value is the default. */
   defaultFrom?: string;
 }
 
-/** A number with the range it must lie in; the name tells the unit. */
+/** A number within an inclusive range; the setting's name includes its unit. */
 export interface NumberDefinition extends CommonDefinition {
   type: 'integer' | 'fraction';
   min: number;
   max: number;
 }
 
-/** Any text that is long enough. */
 export interface TextDefinition extends CommonDefinition {
   type: 'text';
   minLength: number;
 }
 
-/** One of a few words. */
 export interface ChoiceDefinition extends CommonDefinition {
   type: 'choice';
   choices: readonly string[];
 }
 
-/** Several addresses in one value. */
+/** A list of socket addresses. */
 export interface AddressListDefinition extends CommonDefinition {
   type: 'address-list';
   separator: string;
 }
 
-/** A value whose form follows from its type alone. */
+/** A value of a type that needs no further options. */
 export interface PlainDefinition extends CommonDefinition {
   type: 'name' | 'url' | 'ip-address' | 'sha256-hex';
 }
 
-/** One row of the schema. */
 export type SettingDefinition =
   | NumberDefinition
   | TextDefinition
@@ -50,13 +46,12 @@
   | AddressListDefinition
   | PlainDefinition;
 
-/** An IP address with a port. */
 export interface SocketAddress {
   host: string;
   port: number;
 }
 
-/** The TypeScript type of the values of each type of setting. */
+/** Maps each setting type to the TypeScript type of its values. */
 export interface SettingValues {
   integer: number;
   fraction: number;
@@ -69,5 +64,4 @@
   'sha256-hex': string;
 }
 
-/** A value of any setting. */
 export type SettingValue = SettingValues[keyof SettingValues];
--- a/packages/settings/src/fault.ts
+++ b/packages/settings/src/fault.ts
@@ -1,6 +1,5 @@
-/** What can be wrong with the settings. */
+/** Validation faults of settings. */
 
-/** The kinds of fault. */
 export type FaultProblem =
   | 'unknown'
   | 'repeated'
@@ -9,10 +8,9 @@
   | 'out-of-range'
   | 'contradictory';
 
-/** One thing that is wrong, and what to do about it. */
 export interface SettingFault {
   problem: FaultProblem;
-  /** The flag or variable at fault; several for a contradiction. */
+  /** The affected flags or variables; several if contradictory. */
   settings: readonly string[];
   message: string;
   remedy: string;
--- a/packages/settings/src/groups/cluster_settings.ts
+++ b/packages/settings/src/groups/cluster_settings.ts
@@ -1,4 +1,4 @@
-/** Settings of the platform, of the other nodes, and of logs and metrics. */
+/** Settings of the platform, other nodes, logs, metrics and shutdown. */
 import {LOG_DESTINATIONS, LOG_LEVELS} from '@mimosatack/logger';
 import {type SettingDefinition} from '../definition.js';
 
--- a/packages/settings/src/groups/node_settings.ts
+++ b/packages/settings/src/groups/node_settings.ts
@@ -1,4 +1,4 @@
-/** Settings of the node itself: its names, addresses and certificates. */
+/** Settings of the node: name, location, addresses and certificates. */
 import {type SettingDefinition} from '../definition.js';
 
 export const NODE_SETTINGS = {
--- a/packages/settings/src/groups/serving_settings.ts
+++ b/packages/settings/src/groups/serving_settings.ts
@@ -1,4 +1,4 @@
-/** Settings of requests and of warming. */
+/** Settings of request handling and of warming. */
 import {type SettingDefinition} from '../definition.js';
 
 export const REQUEST_SETTINGS = {
@@ -77,7 +77,6 @@
   },
 } as const satisfies Record<string, SettingDefinition>;
 
-/** When the replicas for an event are loaded. */
 export const WARMING_POLICIES = [
   'load-on-first-request',
   'fixed-lead',
--- a/packages/settings/src/parse_settings.ts
+++ b/packages/settings/src/parse_settings.ts
@@ -1,6 +1,6 @@
-/** Reads and checks all settings of the daemon. */
+/** Parses and validates the settings of the daemon. */
 import {TypedError} from '@mimosatack/errors';
-import {type ReadSettings, findContradictions} from './contradictions.js';
+import {type PartialSettings, findContradictions} from './contradictions.js';
 import {type SettingValue} from './definition.js';
 import {type SettingFault} from './fault.js';
 import {
@@ -14,26 +14,26 @@
 } from './schema.js';
 import {
   type Environment,
-  type GivenText,
+  type SourceText,
   readEnvironment,
   readFlags,
 } from './sources.js';
 import {type Rejection, createReader} from './value_readers.js';
 
-type GivenTexts = ReadonlyMap<SettingName, GivenText>;
+type SettingTexts = ReadonlyMap<SettingName, SourceText>;
 
-interface Reading {
+interface ParsedSetting {
   name: SettingName;
   value?: SettingValue;
   fault?: SettingFault;
 }
 
 /**
- * Reads the settings; a flag wins over the environment variable.
+ * Parses the settings; a flag takes precedence over its variable.
  *
- * @param argv the arguments after the program's name.
- * @throws TypedError `bad-request` that tells all faults at once, in its
- *     message and as `SettingFault[]` in `details.info.faults`.
+ * @param argv the arguments after the program name.
+ * @throws TypedError `bad-request` with all faults, in the message and as
+ *     `SettingFault[]` in `details.info.faults`.
  */
 export function parseSettings(
   argv: readonly string[],
@@ -42,50 +42,55 @@
   const flags = readFlags(argv);
   const variables = readEnvironment(env);
   const given = new Map([...variables.given, ...flags.given]);
-  const readings = SETTING_NAMES.map(name => readSetting(name, given));
-  const settings = collectValues(readings);
+  const parsedSettings = SETTING_NAMES.map(name => readSetting(name, given));
+  const settings = collectValues(parsedSettings);
   const faults = [
     ...flags.faults,
     ...variables.faults,
-    ...readings.flatMap(({fault}) => fault ?? []),
+    ...parsedSettings.flatMap(({fault}) => fault ?? []),
     ...findContradictions(settings),
   ];
-  if (faults.length > 0) throw createError(faults);
+  if (faults.length > 0) throw createFaultsError(faults);
   return settings as DaemonSettings;
 }
 
-function readSetting(name: SettingName, given: GivenTexts): Reading {
+function readSetting(name: SettingName, given: SettingTexts): ParsedSetting {
   const definition = describeSetting(name);
-  const source = findText(name, given);
-  if (!source) return definition.required ? lacksSetting(name) : {name};
+  const source = resolveText(name, given);
+  if (!source) return definition.required ? reportMissingSetting(name) : {name};
   const result = createReader(definition).read(source.text);
   if ('value' in result) return {name, value: result.value};
-  // A value taken from another setting is told as that setting's fault only.
+  // An inherited value is reported only as a fault of its own setting.
   const isInherited = !given.has(name) && definition.defaultFrom !== undefined;
   return isInherited
     ? {name}
-    : {name, fault: describeRejection(name, source, result.rejection)};
+    : {name, fault: rejectionToFault(name, source, result.rejection)};
 }
 
-function findText(name: SettingName, given: GivenTexts): GivenText | undefined {
+function resolveText(
+  name: SettingName,
+  given: SettingTexts,
+): SourceText | undefined {
   const definition = describeSetting(name);
   const own = given.get(name);
   if (own) return own;
   if (definition.defaultFrom !== undefined) {
-    return findText(definition.defaultFrom as SettingName, given);
+    return resolveText(definition.defaultFrom as SettingName, given);
   }
   return definition.default === undefined
     ? undefined
     : {label: `the default of ${toFlag(name)}`, text: definition.default};
 }
 
-function collectValues(readings: readonly Reading[]): ReadSettings {
+function collectValues(
+  parsedSettings: readonly ParsedSetting[],
+): PartialSettings {
   return Object.fromEntries(
-    readings.map(({name, value}) => [toKey(name), value]),
+    parsedSettings.map(({name, value}) => [toKey(name), value]),
   );
 }
 
-function lacksSetting(name: SettingName): Reading {
+function reportMissingSetting(name: SettingName): ParsedSetting {
   const {description} = describeSetting(name);
   const fault: SettingFault = {
     problem: 'missing',
@@ -96,19 +101,19 @@
   return {name, fault};
 }
 
-function describeRejection(
+function rejectionToFault(
   name: SettingName,
-  {label, text}: GivenText,
-  {problem, complaint, remedy}: Rejection,
+  {label, text}: SourceText,
+  {problem, reason, remedy}: Rejection,
 ): SettingFault {
   const {secret, type} = describeSetting(name);
-  // A URL may hold a password, and a secret is one.
+  // Secrets and URLs, which may contain a password, are not shown.
   const shown = secret || type === 'url' ? 'its value' : `"${text}"`;
-  const message = `${label}: ${shown} ${complaint}.`;
+  const message = `${label}: ${shown} ${reason}.`;
   return {problem, settings: [label], message, remedy};
 }
 
-function createError(faults: readonly SettingFault[]): TypedError {
+function createFaultsError(faults: readonly SettingFault[]): TypedError {
   const count =
     faults.length === 1 ? 'is 1 fault' : `are ${faults.length} faults`;
   const lines = faults.map(({message, remedy}) => `  ${message} ${remedy}`);
--- a/packages/settings/src/schema.ts
+++ b/packages/settings/src/schema.ts
@@ -1,4 +1,4 @@
-/** The schema of all settings, and the typed settings that follow from it. */
+/** The schema of all settings and the types derived from it. */
 import {type SettingDefinition, type SettingValues} from './definition.js';
 import {
   OPERATION_SETTINGS,
@@ -8,7 +8,6 @@
 import {NODE_SETTINGS} from './groups/node_settings.js';
 import {REQUEST_SETTINGS, WARMING_SETTINGS} from './groups/serving_settings.js';
 
-/** Every setting, by name. */
 export const SETTING_SCHEMA = {
   ...NODE_SETTINGS,
   ...PLATFORM_SETTINGS,
@@ -20,15 +19,14 @@
 
 type Schema = typeof SETTING_SCHEMA;
 
-/** The name of a setting, as in its flag without the hyphens in front. */
+/** The name of a setting: its flag without the leading hyphens. */
 export type SettingName = keyof Schema;
 
-/** All names, in the order of the schema. */
 export const SETTING_NAMES = Object.keys(
   SETTING_SCHEMA,
 ) as readonly SettingName[];
 
-/** The settings as they are described together. */
+/** Setting names by section of the help text and documentation. */
 export const SETTING_GROUPS = [
   {title: 'The node', names: namesOf(NODE_SETTINGS)},
   {title: 'The platform', names: namesOf(PLATFORM_SETTINGS)},
@@ -48,17 +46,16 @@
   ? Choice
   : SettingValues[D['type']];
 
-type ValueInForce<D extends SettingDefinition> = D extends
+type EffectiveValue<D extends SettingDefinition> = D extends
   {required: true} | {default: string} | {defaultFrom: string}
   ? ValueOf<D>
   : ValueOf<D> | undefined;
 
-/** The settings of a daemon: `log-url` becomes `logUrl`. */
+/** The settings of a daemon, in camel case: `log-url` becomes `logUrl`. */
 export type DaemonSettings = {
-  readonly [N in SettingName as CamelCase<N>]: ValueInForce<Schema[N]>;
+  readonly [N in SettingName as CamelCase<N>]: EffectiveValue<Schema[N]>;
 };
 
-/** The name of a setting as a field of `DaemonSettings`. */
 export type SettingKey = keyof DaemonSettings;
 
 /** When the replicas for an event are loaded. */
@@ -66,30 +63,27 @@
 
 const ENVIRONMENT_PREFIX = 'MIMOSATACK_';
 
-/** Looks a setting up in the schema. */
 export function describeSetting(name: SettingName): SettingDefinition {
   return SETTING_SCHEMA[name];
 }
 
-/** The field of `DaemonSettings` that holds the setting. */
+/** Converts a setting name to its `DaemonSettings` key. */
 export function toKey(name: SettingName): SettingKey {
   return name.replace(/-(.)/g, (_match, letter: string) =>
     letter.toUpperCase(),
   ) as SettingKey;
 }
 
-/** The flag that gives the setting. */
 export function toFlag(name: SettingName): string {
   return `--${name}`;
 }
 
-/** The environment variable that gives the setting. */
+/** Converts a setting name to its environment variable. */
 export function toVariable(name: SettingName): string {
   return ENVIRONMENT_PREFIX + name.replaceAll('-', '_').toUpperCase();
 }
 
-/** Whether an environment variable is meant for the daemon. */
-export function isOwnVariable(variable: string): boolean {
+export function hasDaemonPrefix(variable: string): boolean {
   return variable.startsWith(ENVIRONMENT_PREFIX);
 }
 
--- a/packages/settings/src/settings.test.ts
+++ b/packages/settings/src/settings.test.ts
@@ -42,7 +42,7 @@
   return catchError(argv, changes).details.info?.faults as SettingFault[];
 }
 
-/** Each fault as its problem with the flags or variables at fault. */
+/** Formats each fault as its problem and affected flags or variables. */
 function summarize(argv: string[], changes?: Environment): string[] {
   return findFaults(argv, changes).map(({problem, settings}) =>
     [problem, ...settings].join(' '),
@@ -62,7 +62,7 @@
   assert.is(Object.keys(settings).length, SETTING_NAMES.length);
 });
 
-parsing('a flag wins over its variable, in both forms', () => {
+parsing('a flag takes precedence over its variable, in both forms', () => {
   const env = createEnvironment({MIMOSATACK_QUEUE_LIMIT: '7'});
   const read = (argv: string[]) => parseSettings(argv, env).queueLimit;
   assert.is(read([]), 7);
@@ -83,7 +83,7 @@
   ]);
 });
 
-parsing('all faults are told at once, each with its remedy', () => {
+parsing('all faults are reported at once, each with its remedy', () => {
   const error = catchError(['--log-ulr=x', '--queue-limit', 'many'], {
     MIMOSATACK_LOG_URL: undefined,
     MIMOSATACK_IDLE_WEIGHT: '1.5',
@@ -106,7 +106,7 @@
   });
 });
 
-parsing('flags without value, given twice, and stray arguments', () => {
+parsing('flags without value, repeated flags and positional arguments', () => {
   assert.equal(summarize(['--log-url', '--region', 'x', 'stray']), [
     'unknown',
     'missing --log-url',
@@ -115,12 +115,15 @@
   assert.equal(summarize(['--regoin', 'x']), ['unknown --regoin']);
 });
 
-parsing('a mistyped variable is told, one of another program is not', () => {
-  const changes = {MIMOSATACK_LOG_LEVLE: 'debug', MIMOSATACK_TOKEN: 't'};
-  assert.equal(summarize([], changes), ['unknown MIMOSATACK_LOG_LEVLE']);
-});
+parsing(
+  'a mistyped variable is reported, one of another program is not',
+  () => {
+    const changes = {MIMOSATACK_LOG_LEVLE: 'debug', MIMOSATACK_TOKEN: 't'};
+    assert.equal(summarize([], changes), ['unknown MIMOSATACK_LOG_LEVLE']);
+  },
+);
 
-const REFUSED: Array<[flag: string, text: string]> = [
+const INVALID_VALUES: Array<[flag: string, text: string]> = [
   ['--caller-port', '65536'],
   ['--caller-port', '-1'],
   ['--caller-port', '1e3'],
@@ -135,8 +138,8 @@
   ['--cluster-secret', 'too-short'],
 ];
 
-REFUSED.forEach(([flag, text]) =>
-  parsing(`refuses ${flag} ${text}`, () => {
+INVALID_VALUES.forEach(([flag, text]) =>
+  parsing(`rejects ${flag} ${text}`, () => {
     assert.equal(
       findFaults([flag, text]).map(({settings}) => settings),
       [[flag]],
@@ -166,7 +169,7 @@
   }),
 );
 
-parsing('ports of 0 do not clash', () => {
+parsing('several ports may be 0', () => {
   const argv = ['--caller-port=0', '--admin-port=0', '--peer-port=0'];
   assert.is(parseSettings(argv, createEnvironment()).peerPort, 0);
 });
@@ -193,18 +196,18 @@
 
 secrecy.run();
 
-const documents = suite('documents of settings');
+const documents = suite('settings documentation');
 
 documents('docs/operators/settings.md is current', () => {
   const page = new URL('../../../docs/operators/settings.md', import.meta.url);
   assert.fixture(readFileSync(page, 'utf8'), formatSettingsAsMarkdown());
 });
 
-documents('the help text tells every flag', () => {
+documents('the help text lists every flag', () => {
   SETTING_NAMES.forEach(name => assert.match(formatUsage(), `\n  --${name} (`));
 });
 
-documents('every default comes from a setting that exists', () => {
+documents('every inherited default refers to an existing setting', () => {
   assert.ok(SETTING_SCHEMA['advertise-host'].defaultFrom in SETTING_SCHEMA);
 });
 
--- a/packages/settings/src/sources.ts
+++ b/packages/settings/src/sources.ts
@@ -1,4 +1,4 @@
-/** Collects what flags and environment variables say, before it is read. */
+/** Collects the unparsed texts of settings from flags and variables. */
 import {parseArgs} from 'node:util';
 import {closest, distance} from 'fastest-levenshtein';
 import {type SettingFault} from './fault.js';
@@ -6,7 +6,7 @@
   SETTING_NAMES,
   type SettingName,
   describeSetting,
-  isOwnVariable,
+  hasDaemonPrefix,
   toFlag,
   toVariable,
 } from './schema.js';
@@ -14,20 +14,19 @@
 /** Environment variables, as in `process.env`. */
 export type Environment = Readonly<Record<string, string | undefined>>;
 
-/** The text given for a setting, and the flag or variable that gave it. */
-export interface GivenText {
+/** The text of a setting and the flag or variable that it comes from. */
+export interface SourceText {
   label: string;
   text: string;
 }
 
-/** What was found for one kind of source. */
-export interface Found {
-  given: ReadonlyMap<SettingName, GivenText>;
+export interface SourceResult {
+  given: ReadonlyMap<SettingName, SourceText>;
   faults: readonly SettingFault[];
 }
 
-/** The most letters in which a mistyped variable differs from a known one. */
-const MAX_TYPO_LETTERS = 2;
+/** Maximum edit distance between a mistyped variable and a known one. */
+const MAX_TYPO_DISTANCE = 2;
 
 const SEE_DOCS = 'docs/operators/settings.md lists all settings.';
 
@@ -35,7 +34,7 @@
 type OptionToken = Extract<Token, {kind: 'option'}>;
 
 /** Reads flags of the forms `--name value` and `--name=value`. */
-export function readFlags(argv: readonly string[]): Found {
+export function readFlags(argv: readonly string[]): SourceResult {
   const tokens = tokenize(argv);
   const options = tokens.filter(token => token.kind === 'option');
   const known = options.filter(option => isSettingName(option.name));
@@ -48,15 +47,17 @@
     given: new Map(given),
     faults: [
       ...describeUnknownFlags(options),
-      ...describeStrayArguments(tokens),
-      ...known.filter(option => option.value === undefined).map(lacksValue),
-      ...known.filter(isRepeated).map(repeatsFlag),
+      ...describePositionals(tokens),
+      ...known
+        .filter(option => option.value === undefined)
+        .map(reportMissingValue),
+      ...known.filter(isRepeated).map(reportRepeatedFlag),
     ],
   };
 }
 
 /** Reads environment variables; an empty one counts as not given. */
-export function readEnvironment(env: Environment): Found {
+export function readEnvironment(env: Environment): SourceResult {
   const given = SETTING_NAMES.map(name => {
     const label = toVariable(name);
     return [name, {label, text: env[label] ?? ''}] as const;
@@ -65,9 +66,8 @@
 }
 
 /**
- * Splits the arguments into tokens. `parseArgs` takes `--b` in `--a --b` for
- * the value of `--a`, which would hide the setting b; such an `--a` is left
- * without a value and `--b` is read as a flag of its own.
+ * Splits the arguments into tokens. In `--a --b`, `parseArgs` reads `--b` as
+ * the value of `--a`; here `--a` gets no value and `--b` is parsed as a flag.
  */
 function tokenize(argv: readonly string[]): Token[] {
   const {tokens} = parseArgs({
@@ -80,7 +80,7 @@
     tokens: true,
   });
   const cut = tokens.findIndex(
-    token => token.kind === 'option' && hasSwallowedFlag(token),
+    token => token.kind === 'option' && hasConsumedFlag(token),
   );
   const token = tokens[cut];
   if (token?.kind !== 'option') return tokens;
@@ -91,8 +91,11 @@
   ];
 }
 
-/** A secret may begin with hyphens, and would be printed as unknown flag. */
-function hasSwallowedFlag(option: OptionToken): boolean {
+/**
+ * Whether `parseArgs` read a flag as the value of the option. A secret may start
+ * with hyphens and must not be printed as an unknown flag.
+ */
+function hasConsumedFlag(option: OptionToken): boolean {
   if (option.inlineValue !== false) return false;
   if (!option.value.startsWith('--')) return false;
   const [name = ''] = option.value.slice(2).split('=');
@@ -130,25 +133,25 @@
 }
 
 /**
- * Finds arguments that belong to no flag. The one after an unknown flag is
- * left out, since it is most likely that flag's value, and no argument is
- * repeated in the message, since it may be a secret.
+ * Reports positional arguments, except one after an unknown flag, which is
+ * probably its value. An argument may be a secret, so the message omits it.
  */
-function describeStrayArguments(tokens: readonly Token[]): SettingFault[] {
+function describePositionals(tokens: readonly Token[]): SettingFault[] {
   return tokens
     .filter(
       (token, position) =>
-        token.kind === 'positional' && !mayTakeValue(tokens[position - 1]),
+        token.kind === 'positional' &&
+        !isUnknownFlagWithoutValue(tokens[position - 1]),
     )
     .map(() => ({
       problem: 'unknown',
       settings: [],
-      message: 'There is an argument that belongs to no flag.',
+      message: 'There is an argument that does not belong to a flag.',
       remedy: 'Write each setting as --name value.',
     }));
 }
 
-function mayTakeValue(token: Token | undefined): boolean {
+function isUnknownFlagWithoutValue(token: Token | undefined): boolean {
   return (
     token?.kind === 'option' &&
     token.value === undefined &&
@@ -156,7 +159,7 @@
   );
 }
 
-function lacksValue({name}: OptionToken): SettingFault {
+function reportMissingValue({name}: OptionToken): SettingFault {
   return {
     problem: 'missing',
     settings: [`--${name}`],
@@ -165,7 +168,7 @@
   };
 }
 
-function repeatsFlag({name}: OptionToken): SettingFault {
+function reportRepeatedFlag({name}: OptionToken): SettingFault {
   return {
     problem: 'repeated',
     settings: [`--${name}`],
@@ -175,16 +178,16 @@
 }
 
 /**
- * Finds variables with our prefix that are a letter or two off. Others are
- * left alone: they may belong to the command-line tool.
+ * Reports variables with the daemon's prefix that are close to a known one.
+ * Other variables are ignored: they may belong to the command-line tool.
  */
 function describeMistypedVariables(env: Environment): SettingFault[] {
   const known = SETTING_NAMES.map(toVariable);
   return Object.keys(env)
-    .filter(variable => isOwnVariable(variable) && !known.includes(variable))
+    .filter(variable => hasDaemonPrefix(variable) && !known.includes(variable))
     .map(variable => ({variable, nearest: closest(variable, known)}))
     .filter(
-      ({variable, nearest}) => distance(variable, nearest) <= MAX_TYPO_LETTERS,
+      ({variable, nearest}) => distance(variable, nearest) <= MAX_TYPO_DISTANCE,
     )
     .map(({variable, nearest}) => ({
       problem: 'unknown',
--- a/packages/settings/src/value_readers.ts
+++ b/packages/settings/src/value_readers.ts
@@ -1,4 +1,4 @@
-/** Readers that turn the text of a setting into its value. */
+/** Readers that parse the text of a setting. */
 import {isIP} from 'node:net';
 import {
   type AddressListDefinition,
@@ -11,22 +11,19 @@
 } from './definition.js';
 import {type FaultProblem} from './fault.js';
 
-/** Why a text is not a value; the complaint never repeats the text. */
+/** Why a text is invalid; the reason never contains the text. */
 export interface Rejection {
   problem: FaultProblem;
-  complaint: string;
+  reason: string;
   remedy: string;
 }
 
-/** What a reader makes of a text. */
 export type ReadResult<T> = {value: T} | {rejection: Rejection};
 
-/** Reads the values of one setting. */
 export interface ValueReader<T extends SettingValue = SettingValue> {
   read(text: string): ReadResult<T>;
 }
 
-/** The reader for a row of the schema. */
 export function createReader(definition: SettingDefinition): ValueReader {
   switch (definition.type) {
     case 'integer':
@@ -58,8 +55,8 @@
 }
 
 const NUMBER_FORMS = {
-  integer: {pattern: /^-?\d{1,15}$/, complaint: 'is not a whole number'},
-  fraction: {pattern: /^-?\d+(\.\d+)?$/, complaint: 'is not a number'},
+  integer: {pattern: /^-?\d{1,15}$/, reason: 'is not a whole number'},
+  fraction: {pattern: /^-?\d+(\.\d+)?$/, reason: 'is not a number'},
 };
 
 class NumberReader implements ValueReader<number> {
@@ -67,9 +64,9 @@
 
   read(text: string): ReadResult<number> {
     const {type, min, max} = this.definition;
-    const {pattern, complaint} = NUMBER_FORMS[type];
+    const {pattern, reason} = NUMBER_FORMS[type];
     const remedy = `Give a number from ${min} to ${max}.`;
-    if (!pattern.test(text)) return reject('invalid', complaint, remedy);
+    if (!pattern.test(text)) return reject('invalid', reason, remedy);
     const value = Number(text);
     return value >= min && value <= max
       ? {value}
@@ -111,14 +108,14 @@
 class PatternReader implements ValueReader<string> {
   constructor(
     private readonly pattern: RegExp,
-    private readonly complaint: string,
+    private readonly reason: string,
     private readonly remedy: string,
   ) {}
 
   read(text: string): ReadResult<string> {
     return this.pattern.test(text)
       ? {value: text}
-      : reject('invalid', this.complaint, this.remedy);
+      : reject('invalid', this.reason, this.remedy);
   }
 }
 
@@ -132,12 +129,12 @@
         'Give a URL such as http://10.0.0.5:9000.',
       );
     }
-    // Settings are logged, so a password in a URL would be logged with them.
+    // Settings are logged, and so would be a password in a URL.
     return url.username === '' && url.password === ''
       ? {value: text}
       : reject(
           'invalid',
-          'holds a user name or a password',
+          'contains a user name or a password',
           'Give the URL without them.',
         );
   }
@@ -173,7 +170,7 @@
   }
 }
 
-/** Reads `10.0.0.5:7082` or `[fd00::5]:7082`. */
+/** Parses `10.0.0.5:7082` or `[fd00::5]:7082`. */
 function parseAddress(text: string): SocketAddress | undefined {
   const match = /^(?:\[([^\]]+)\]|([^:]+)):(\d{1,5})$/.exec(text);
   const host = match?.[1] ?? match?.[2] ?? '';
@@ -185,8 +182,8 @@
 
 function reject(
   problem: FaultProblem,
-  complaint: string,
+  reason: string,
   remedy: string,
 ): {rejection: Rejection} {
-  return {rejection: {problem, complaint, remedy}};
+  return {rejection: {problem, reason, remedy}};
 }
