--- a/packages/metrics/src/catalogue.ts
+++ b/packages/metrics/src/catalogue.ts
@@ -1,13 +1,11 @@
-/** The catalogue of metrics: every name with its type, tags and meaning. */
+/** The catalogue of metrics: names, types, tags and descriptions. */
 
-/** How the values of a metric are read. */
 export type MetricType = 'counter' | 'gauge' | 'timing';
 
-/** What the catalogue says about one metric. */
 export interface MetricDefinition {
   type: MetricType;
   description: string;
-  /** The tags beside those of the node, each with its meaning. */
+  /** The description of each tag; tags of the node are not listed. */
   tags: Readonly<Record<string, string>>;
 }
 
@@ -16,7 +14,7 @@
   kind: 'the route, such as `POST /v1/chat/completions`',
 } as const;
 
-/** Every metric, by name. Timings are in milliseconds. */
+/** All metrics by name; timings are in milliseconds. */
 export const METRIC_CATALOGUE = {
   'requests.received': counter('Requests that arrived.', INTERFACE_TAGS),
   'requests.refused': counter('Requests answered with an error.', {
@@ -141,20 +139,18 @@
 
 type Catalogue = typeof METRIC_CATALOGUE;
 
-/** The name of a metric. */
 export type MetricName = keyof Catalogue;
 
-/** The names of the metrics of one type. */
+/** Names of the metrics of type `T`. */
 export type MetricNameOf<T extends MetricType> = {
   [N in MetricName]: Catalogue[N]['type'] extends T ? N : never;
 }[MetricName];
 
-/** Exactly the tags that the catalogue names for a metric. */
+/** The tags that the catalogue defines for a metric. */
 export type MetricTags<N extends MetricName> = {
   readonly [K in keyof Catalogue[N]['tags']]: string;
 };
 
-/** All names, in the order of the catalogue. */
 export const METRIC_NAMES = Object.keys(
   METRIC_CATALOGUE,
 ) as readonly MetricName[];
--- a/packages/metrics/src/memory_metrics.ts
+++ b/packages/metrics/src/memory_metrics.ts
@@ -1,14 +1,13 @@
 import {type MetricName} from './catalogue.js';
 import {type Metrics} from './metrics.js';
 
-/** One value as `MemoryMetrics` keeps it. */
 export interface MetricSample {
   name: MetricName;
   value: number;
   tags: Readonly<Record<string, string>>;
 }
 
-/** Keeps every value, so that tests can look at them. */
+/** Keeps all values in memory for assertions in tests. */
 export class MemoryMetrics implements Metrics {
   readonly samples: MetricSample[] = [];
 
@@ -40,7 +39,7 @@
     return Promise.resolve();
   }
 
-  /** The values of one metric, oldest first. */
+  /** Returns the values of a metric, oldest first. */
   valuesOf(name: MetricName): number[] {
     return this.samples
       .filter(sample => sample.name === name)
--- a/packages/metrics/src/metrics.test.ts
+++ b/packages/metrics/src/metrics.test.ts
@@ -10,11 +10,11 @@
   formatMetricsAsMarkdown,
 } from './index.js';
 
-/** A statsd server on a free port, which keeps the lines it is sent. */
+/** Starts a statsd server on a free port that records received lines. */
 async function startServer() {
   const socket = createSocket('udp4');
   const lines: string[] = [];
-  const arrived = new Promise<void>(resolve =>
+  const received = new Promise<void>(resolve =>
     socket.on('message', datagram => {
       lines.push(...datagram.toString().trim().split('\n'));
       resolve();
@@ -24,7 +24,7 @@
   const {port} = socket.address();
   const close = () =>
     new Promise<void>(resolve => socket.close(() => resolve()));
-  return {port, lines, arrived, close};
+  return {port, lines, received, close};
 }
 
 function createMetrics(host: string, port: number) {
@@ -40,7 +40,7 @@
 
 const metricsSuite = suite('metrics');
 
-metricsSuite('names are in one style', () => {
+metricsSuite('names follow one naming convention', () => {
   METRIC_NAMES.forEach(name => assert.match(name, /^[a-z]+\.[a-z_]+$/));
 });
 
@@ -58,7 +58,7 @@
     metrics.gauge('fold.next_offset', 17, {});
     metrics.timing('loads.duration', 250, {model: 'list-writer'});
     await metrics.close();
-    await server.arrived;
+    await server.received;
     await server.close();
     assert.equal(server.lines, [
       'mimosatack.loads.finished:1|c|#node:entry-1,model:list-writer',
@@ -68,12 +68,8 @@
   },
 );
 
-/**
- * The metrics server is replaced and for a while nothing listens on its port.
- * The node must go on as if nothing had happened: each datagram is refused by
- * the host, and that error must not reach the code that measures.
- */
-metricsSuite('a metrics server that is gone hurts nobody', async () => {
+// Guards against send errors that reach the caller while the server is down.
+metricsSuite('an unreachable metrics server causes no errors', async () => {
   const server = await startServer();
   await server.close();
   const {metrics} = createMetrics('127.0.0.1', server.port);
@@ -83,14 +79,14 @@
   await metrics.close();
 });
 
-metricsSuite('the memory metrics give back the values by name', () => {
+metricsSuite('the memory metrics return the values by name', () => {
   const metrics = new MemoryMetrics();
   metrics.count('fold.void', {reason: 'duplicate'}, 2);
   metrics.gauge('log.reachable', 1, {});
   assert.equal(metrics.valuesOf('fold.void'), [2]);
 });
 
-metricsSuite('values can be read as text', async () => {
+metricsSuite('values are formatted in the Prometheus text format', async () => {
   const metrics = new PrometheusMetrics();
   metrics.count('answers.finished', {result: 'refused', kind: 'overloaded'}, 2);
   metrics.gauge('configuration.version', 7, {});
--- a/packages/metrics/src/metrics.ts
+++ b/packages/metrics/src/metrics.ts
@@ -1,7 +1,7 @@
-/** The interface through which the rest of the system measures. */
+/** The interface for reporting metrics. */
 import {type MetricNameOf, type MetricTags} from './catalogue.js';
 
-/** Takes values of the metrics in the catalogue; never throws. */
+/** Reports values of the metrics in the catalogue; never throws. */
 export interface Metrics {
   count<N extends MetricNameOf<'counter'>>(
     name: N,
@@ -18,6 +18,6 @@
     durationMs: number,
     tags: MetricTags<N>,
   ): void;
-  /** Sends what is held back and lets go of the socket. */
+  /** Sends buffered values and releases resources. */
   close(): Promise<void>;
 }
--- a/packages/metrics/src/no_metrics.ts
+++ b/packages/metrics/src/no_metrics.ts
@@ -1,6 +1,6 @@
 import {type Metrics} from './metrics.js';
 
-/** Drops every value; for nodes without a metrics server. */
+/** Discards all values; used by nodes without a metrics server. */
 export class NoMetrics implements Metrics {
   count(): void {}
   gauge(): void {}
--- a/packages/metrics/src/prometheus_metrics.ts
+++ b/packages/metrics/src/prometheus_metrics.ts
@@ -11,14 +11,14 @@
 
 const PREFIX = 'mimosatack_';
 /**
- * Upper bounds in milliseconds: plain answers take 20 to 200, first tokens up
- * to 2,500, and callers wait for 25,000 at most.
+ * Upper bounds of histogram buckets: plain responses take 20 to 200 ms, first
+ * tokens up to 2,500 ms, and callers wait for 25,000 ms at most.
  */
 const BUCKETS_MS = [
   5, 10, 20, 50, 100, 200, 400, 800, 1_500, 2_500, 5_000, 10_000, 25_000,
 ];
 
-/** Keeps the values in memory, to be read over HTTP. */
+/** Keeps metrics in a registry for scraping by Prometheus. */
 export class PrometheusMetrics implements Metrics {
   private readonly registry = new Registry();
   private readonly counters = new Map<MetricName, Counter>();
@@ -41,7 +41,7 @@
     this.histograms.get(name)?.observe({...tags}, durationMs);
   }
 
-  /** The values in the text format that scrapers read. */
+  /** Formats all metrics in the Prometheus text format. */
   format(): Promise<string> {
     return this.registry.metrics();
   }
--- a/packages/metrics/src/statsd_metrics.ts
+++ b/packages/metrics/src/statsd_metrics.ts
@@ -3,31 +3,29 @@
 import {type MetricName} from './catalogue.js';
 import {type Metrics} from './metrics.js';
 
-/** Where the metrics go. */
 export interface StatsdMetricsOptions {
   host: string;
   port: number;
-  /** Tags on every value, such as the node's name. */
+  /** Tags of every value, such as the node's name. */
   nodeTags: Readonly<Record<string, string>>;
-  /** Told of what the client could not send. */
+  /** Called when the client fails to send metrics. */
   onError(error: Error): void;
-  /** A socket to send with, in place of one of the client's own. */
+  /** Replaces the socket that the client creates by default. */
   socket?: Socket;
 }
 
 type Tags = Readonly<Record<string, string>>;
 
 const PREFIX = 'mimosatack.';
-/** One datagram that fits any network. */
+/** Fits into the MTU of common networks without fragmentation. */
 const MAX_DATAGRAM_BYTES = 1_400;
 const FLUSH_INTERVAL_MS = 1_000;
 
 /**
  * Sends metrics to a statsd server by UDP.
  *
- * Guards against a metrics server that is gone or whose name does not
- * resolve: datagrams are sent without waiting, and the client gives its
- * errors to `onError` alone, so nothing that serves requests ever sees them.
+ * Guards against a metrics server that is down or whose name does not resolve:
+ * send errors are passed to `onError` and never to the code that reports.
  */
 export class StatsdMetrics implements Metrics {
   private readonly client: StatsD;
