--- a/packages/records/src/record_codec.ts
+++ b/packages/records/src/record_codec.ts
@@ -1,27 +1,26 @@
-/** The binary form of records: one log append carries a batch of them. */
+/** The binary encoding of record batches; each log append holds one batch. */
 import {TypedError} from '@mimosatack/errors';
 import {pack, unpack} from 'msgpackr';
 import {type AgreedRecord, agreedRecordSchema} from './record_schema.js';
 
-/** The form of a batch; a reader refuses forms it does not know. */
-const BATCH_FORM = 1;
+/** Version of the batch format; other versions are rejected on decoding. */
+const BATCH_FORMAT_VERSION = 1;
 
-/** One entry of a decoded batch: a record, or why it could not be read. */
+/** A record of a decoded batch, or the error that made it unreadable. */
 export type DecodedRecord =
   {record: AgreedRecord} | {error: TypedError; recordId: string | null};
 
-/** Encodes a batch for one append. */
 export function encodeBatch(records: readonly AgreedRecord[]): Uint8Array {
-  return pack([BATCH_FORM, records]);
+  return pack([BATCH_FORMAT_VERSION, records]);
 }
 
 /**
- * Decodes one append. Never throws: bytes that are no batch give one error
- * entry, so that every node passes over the same things.
+ * Decodes one append. Never throws: data that is not a batch yields one error
+ * entry, so that all nodes skip the same records.
  */
 export function decodeBatch(data: Uint8Array): DecodedRecord[] {
   const content = unpackOrNull(data);
-  if (!isBatch(content)) return [unreadable('The append is no batch.')];
+  if (!isBatch(content)) return [makeUnreadable('The append is no batch.')];
   return content[1].map(decodeRecord);
 }
 
@@ -30,10 +29,13 @@
   if (parsed.success) return {record: parsed.data};
   const issue = parsed.error.issues[0];
   const where = issue?.path.join('.') ?? '';
-  return unreadable(`${where}: ${issue?.message ?? 'invalid'}`, idOf(value));
+  return makeUnreadable(
+    `${where}: ${issue?.message ?? 'invalid'}`,
+    readRecordId(value),
+  );
 }
 
-function unreadable(
+function makeUnreadable(
   message: string,
   recordId: string | null = null,
 ): DecodedRecord {
@@ -50,11 +52,13 @@
 
 function isBatch(value: unknown): value is [number, unknown[]] {
   return (
-    Array.isArray(value) && value[0] === BATCH_FORM && Array.isArray(value[1])
+    Array.isArray(value) &&
+    value[0] === BATCH_FORMAT_VERSION &&
+    Array.isArray(value[1])
   );
 }
 
-function idOf(value: unknown): string | null {
+function readRecordId(value: unknown): string | null {
   const id = (value as {recordId?: unknown} | null)?.recordId;
   return typeof id === 'string' ? id : null;
 }
--- a/packages/records/src/record_schema.ts
+++ b/packages/records/src/record_schema.ts
@@ -1,6 +1,6 @@
 /**
- * The records of the agreed log. A record states a wish; whether it is valid
- * follows from its place in the log alone, by the rules of the fold.
+ * Schemas of the records in the agreed log. A record is a request for a change;
+ * its position in the log determines whether the fold accepts it.
  */
 import {z} from 'zod';
 
@@ -22,7 +22,6 @@
   'event',
 ] as const;
 
-/** One kind of document. */
 export type DocumentKind = (typeof DOCUMENT_KINDS)[number];
 
 const putDocument = z.object({
@@ -62,7 +61,7 @@
 const noteHostState = z.object({
   type: z.literal('note-host-state'),
   backendServerId: name,
-  /** Whether the platform's list says that its host leaves. */
+  /** Whether the platform's host list reports its host as leaving. */
   isLeaving: z.boolean(),
 });
 
@@ -80,21 +79,21 @@
   backendServerId: name,
   memoryMib,
   /**
-   * When the model is loaded once and unloaded again, so that its checkpoint
-   * lies in a near cache before it is needed; null to leave that out.
+   * When the model is loaded and unloaded ahead of time, to place its checkpoint
+   * in a nearby cache; null for no prefetch.
    */
   stage: z.object({fromMs: timeMs, untilMs: timeMs}).nullable(),
-  /** When the load that makes the replica warm begins. */
+  /** Start of the load that makes the replica warm. */
   loadAtMs: timeMs,
-  /** How long the transfer from the weight store is expected to take. */
+  /** Expected duration of the transfer from the weight store. */
   storeMs: z.number().min(0),
-  /** When the replica is unloaded again. */
+  /** When the replica is unloaded. */
   untilMs: timeMs,
-  /** The lost slot that this one stands in for, if any. */
+  /** The lost slot that this one replaces, if any. */
   replaces: name.nullable(),
 });
 
-/** What a decided replica is for: an event, or requests without one. */
+/** Whether a replica serves an event, or demand outside events. */
 const purpose = z.discriminatedUnion('for', [
   z.object({for: z.literal('event'), eventId: name}),
   z.object({for: z.literal('demand'), model: name}),
@@ -103,9 +102,9 @@
 const decideSlots = z.object({
   type: z.literal('decide-slots'),
   purpose,
-  /** The revision of the event or model that was planned for. */
+  /** Revision of the event or model that the plan is based on. */
   targetRevision: version,
-  /** The number of plans accepted for this purpose so far. */
+  /** Number of plans accepted for this purpose before this one. */
   expectedPlan: version,
   slots: z.array(slot).min(1).max(512),
 });
@@ -132,9 +131,9 @@
 const claimSteward = z.object({
   type: z.literal('claim-steward'),
   backendServerId: name,
-  /** The epoch of the claim that this one follows; 0 for the first. */
+  /** Epoch of the preceding claim; 0 for the first claim. */
   expectedEpoch: version,
-  /** Processes that may take over, in order, while the log is down. */
+  /** Processes that may take over while the log is unavailable, in order. */
   successors: z.array(name).max(15),
 });
 
@@ -147,7 +146,7 @@
 const clearDoubt = z.object({
   type: z.literal('clear-doubt'),
   backendServerId: name,
-  /** The epoch of the former claim whose orders can no longer arrive. */
+  /** Epoch of the former claim whose orders can no longer arrive. */
   epoch: version,
   evidence: z.enum(['acknowledged', 'host-gone', 'replaced']),
 });
@@ -156,7 +155,7 @@
   type: z.literal('note-checkpoint'),
   /** The checkpoint covers all appends below this offset. */
   coversOffset: version,
-  /** How many records those appends held. */
+  /** Number of records in those appends. */
   coversSequence: version,
 });
 
@@ -183,18 +182,17 @@
   activateRules,
 ]);
 
-/** The checked form of a record. */
 export const agreedRecordSchema = z.object({
   recordId: z.string().min(8).max(64),
-  /** The incarnation of the node that wrote the record. */
+  /** Incarnation of the node that wrote the record. */
   author: z.string().min(1).max(128),
-  /** How many records the author had folded when it wrote. */
+  /** Number of records that the author had folded when it wrote this one. */
   basisSequence: version,
-  /** The author's wall clock, for the audit trail only. */
+  /** Wall clock time of the author; used by the audit trail only. */
   writtenAtMs: timeMs,
-  /** The operator on whose behalf the record was written, if any. */
+  /** The operator who requested the change, if any. */
   operator: z.string().min(1).max(128).nullable(),
-  /** Why, in the operator's words. */
+  /** The reason given by the operator. */
   reason: z.string().max(1024).nullable(),
   body: recordBody,
 });
