--- a/packages/platform/src/http_backend.ts
+++ b/packages/platform/src/http_backend.ts
@@ -1,4 +1,4 @@
-/** The control side of backend servers over HTTP. */
+/** HTTP clients for the control and load interfaces of backend servers. */
 import {
   type BackendServerId,
   type EngineState,
@@ -49,7 +49,6 @@
   load: loadReportSchema,
 });
 
-/** Where a backend server is and who asks. */
 export interface HttpBackendOptions {
   backendServerId: BackendServerId;
   baseUrl: string;
@@ -57,7 +56,7 @@
   timeoutMs: number;
 }
 
-/** One model engine's control side over HTTP. */
+/** HTTP client for the control interface of one model engine. */
 export class HttpEngineControl implements EngineControl {
   readonly backendServerId: BackendServerId;
 
@@ -67,22 +66,21 @@
 
   readState(signal?: AbortSignal): Promise<EngineState> {
     return exchangeJson(
-      {...this.base(), path: '/v1/state', method: 'GET', signal},
+      {...this.requestDefaults(), path: '/v1/state', method: 'GET', signal},
       engineStateSchema,
     );
   }
 
   /**
-   * Each order goes over a connection of its own: a client that keeps
-   * connections may write an order again after a reset, and one that shares
-   * them may leave it queued behind a slow answer.
+   * Uses a new connection for each order: a reused connection could cause the
+   * client to resend the order after a reset, or delay it behind a slow response.
    */
   async sendOrder(order: EngineOrder): Promise<void> {
     const dispatcher = new Agent({connections: 1, pipelining: 0});
     try {
       await exchangeJson(
         {
-          ...this.base(),
+          ...this.requestDefaults(),
           path: '/v1/orders',
           method: 'POST',
           body: JSON.stringify(order),
@@ -95,12 +93,12 @@
     }
   }
 
-  private base() {
-    return makeBackendBase('model engine', this.options);
+  private requestDefaults() {
+    return makeBackendDefaults('model engine', this.options);
   }
 }
 
-/** One plain service's load report over HTTP. */
+/** HTTP client for the load reports of one plain service. */
 export class HttpServiceMonitor implements ServiceMonitor {
   readonly backendServerId: BackendServerId;
 
@@ -111,7 +109,7 @@
   readLoad(signal?: AbortSignal): Promise<LoadReport> {
     return exchangeJson(
       {
-        ...makeBackendBase('plain service', this.options),
+        ...makeBackendDefaults('plain service', this.options),
         path: '/v1/load',
         method: 'GET',
         signal,
@@ -121,7 +119,7 @@
   }
 }
 
-function makeBackendBase(system: string, options: HttpBackendOptions) {
+function makeBackendDefaults(system: string, options: HttpBackendOptions) {
   return {
     system: `${system} ${options.backendServerId}`,
     baseUrl: options.baseUrl,
--- a/packages/platform/src/http_exchange.ts
+++ b/packages/platform/src/http_exchange.ts
@@ -1,11 +1,10 @@
-/** One HTTP exchange with an outside system, with typed errors. */
+/** HTTP requests to external systems, with JSON responses and typed errors. */
 import {type ErrorKind, TypedError, ERROR_KINDS} from '@mimosatack/errors';
 import {type Dispatcher, request} from 'undici';
 import {z} from 'zod';
 
-/** What to ask of an outside system. */
 export interface ExchangeRequest {
-  /** The system's name in messages, such as `log service`. */
+  /** Name of the system in error messages, such as `log service`. */
   system: string;
   baseUrl: string;
   /** Path and query. */
@@ -17,7 +16,7 @@
   timeoutMs: number;
   signal?: AbortSignal;
   dispatcher?: Dispatcher;
-  /** The kind of error when the system can't be reached or answers badly. */
+  /** Error kind if the system is unreachable or its response is invalid. */
   unreachableKind: 'platform-unavailable' | 'backend-unreachable';
 }
 
@@ -29,24 +28,24 @@
   }),
 });
 
-/** Sends a request and checks the JSON answer against `schema`. */
+/** Sends a request and validates the JSON response against `schema`. */
 export async function exchangeJson<T>(
   spec: ExchangeRequest,
   schema: z.ZodType<T>,
 ): Promise<T> {
-  const {statusCode, text} = await exchange(spec);
+  const {statusCode, text} = await sendRequest(spec);
   const json = parseJson(text);
-  if (statusCode >= 300) throw makeRefusal(spec, statusCode, json);
+  if (statusCode >= 300) throw makeResponseError(spec, statusCode, json);
   const parsed = schema.safeParse(json);
   if (parsed.success) return parsed.data;
   throw new TypedError(
     spec.unreachableKind,
-    `The ${spec.system} gave a malformed answer: ` +
+    `The ${spec.system} returned a malformed response: ` +
       (parsed.error.issues[0]?.message ?? 'not JSON'),
   );
 }
 
-async function exchange(
+async function sendRequest(
   spec: ExchangeRequest,
 ): Promise<{statusCode: number; text: string}> {
   const timeout = AbortSignal.timeout(spec.timeoutMs);
@@ -79,7 +78,7 @@
   }
 }
 
-function makeRefusal(
+function makeResponseError(
   spec: ExchangeRequest,
   statusCode: number,
   json: unknown,
@@ -88,15 +87,19 @@
   if (!parsed.success) {
     return new TypedError(
       spec.unreachableKind,
-      `The ${spec.system} answered with status ${statusCode}.`,
+      `The ${spec.system} responded with status ${statusCode}.`,
     );
   }
   const {kind, message, info} = parsed.data.error;
   const known = ERROR_KINDS.find(other => other === kind);
   const usedKind: ErrorKind = known ?? spec.unreachableKind;
-  return new TypedError(usedKind, `The ${spec.system} says: ${message}`, {
-    info,
-  });
+  return new TypedError(
+    usedKind,
+    `The ${spec.system} returned an error: ${message}`,
+    {
+      info,
+    },
+  );
 }
 
 function parseJson(text: string): unknown {
--- a/packages/platform/src/http_log_service.ts
+++ b/packages/platform/src/http_log_service.ts
@@ -8,9 +8,9 @@
   type LogService,
 } from './interfaces.js';
 
-const appendAnswer = z.object({offset: z.number().int().min(0)});
+const appendResponseSchema = z.object({offset: z.number().int().min(0)});
 
-const readAnswer = z.object({
+const readResponseSchema = z.object({
   firstOffset: z.number().int().min(0),
   nextOffset: z.number().int().min(0),
   records: z.array(
@@ -18,22 +18,21 @@
   ),
 });
 
-/** Where the log service is and who asks. */
 export interface HttpLogServiceOptions {
   baseUrl: string;
   /** Sent as `x-node-id`. */
   nodeId: string;
   timeoutMs: number;
   /**
-   * Must be above the number of streams that are read at once, since each
-   * read at the end of a stream holds a connection; 8 when left out.
+   * Must exceed the number of streams read concurrently, because each read at
+   * the end of a stream occupies a connection. Defaults to 8.
    */
   connections?: number;
 }
 
 const DEFAULT_CONNECTIONS = 8;
 
-/** The log service over HTTP; docs/design/platform_interfaces.md. */
+/** HTTP client for the log service; see docs/design/platform_interfaces.md. */
 export class HttpLogService implements LogService {
   private readonly agent: Agent;
 
@@ -45,13 +44,13 @@
   async append(stream: string, data: Uint8Array): Promise<LogOffset> {
     const answer = await exchangeJson(
       {
-        ...this.base(),
+        ...this.requestDefaults(),
         path: `/v1/streams/${encodeURIComponent(stream)}/records`,
         method: 'POST',
         body: data,
         contentType: 'application/octet-stream',
       },
-      appendAnswer,
+      appendResponseSchema,
     );
     return answer.offset;
   }
@@ -60,13 +59,13 @@
     const query = `from=${request.from}&limit=${request.limit}&waitMs=${request.waitMs}`;
     const page = await exchangeJson(
       {
-        ...this.base(),
+        ...this.requestDefaults(),
         path: `/v1/streams/${encodeURIComponent(request.stream)}/records?${query}`,
         method: 'GET',
         timeoutMs: this.options.timeoutMs + request.waitMs,
         signal: request.signal,
       },
-      readAnswer,
+      readResponseSchema,
     );
     return {
       ...page,
@@ -81,7 +80,7 @@
     await this.agent.destroy();
   }
 
-  private base() {
+  private requestDefaults() {
     return {
       system: 'log service',
       baseUrl: this.options.baseUrl,
--- a/packages/platform/src/http_platform.ts
+++ b/packages/platform/src/http_platform.ts
@@ -1,4 +1,4 @@
-/** The host list and the weight store over HTTP. */
+/** HTTP clients for the host list and the weight store. */
 import {type HostEntry} from '@mimosatack/types';
 import {z} from 'zod';
 import {exchangeJson} from './http_exchange.js';
@@ -10,7 +10,7 @@
 
 const name = z.string().min(1).max(128);
 
-const hostsAnswer = z.object({
+const hostsResponseSchema = z.object({
   hosts: z.array(
     z.object({
       hostId: name,
@@ -24,19 +24,17 @@
   ),
 });
 
-const limitsAnswer = z.object({
+const limitsResponseSchema = z.object({
   loadsPerSecond: z.number().positive(),
   fullSpeedLoads: z.number().int().min(1),
 });
 
-/** Where a platform system is and who asks. */
 export interface HttpPlatformOptions {
   baseUrl: string;
   nodeId: string;
   timeoutMs: number;
 }
 
-/** The platform's host list over HTTP. */
 export class HttpHostList implements HostList {
   constructor(private readonly options: HttpPlatformOptions) {}
 
@@ -51,13 +49,12 @@
         timeoutMs: this.options.timeoutMs,
         unreachableKind: 'platform-unavailable',
       },
-      hostsAnswer,
+      hostsResponseSchema,
     );
     return answer.hosts;
   }
 }
 
-/** The limits of the weight store over HTTP. */
 export class HttpWeightStore implements WeightStore {
   constructor(private readonly options: HttpPlatformOptions) {}
 
@@ -72,7 +69,7 @@
         timeoutMs: this.options.timeoutMs,
         unreachableKind: 'platform-unavailable',
       },
-      limitsAnswer,
+      limitsResponseSchema,
     );
   }
 }
--- a/packages/platform/src/interfaces.ts
+++ b/packages/platform/src/interfaces.ts
@@ -1,7 +1,7 @@
 /**
- * The outside systems as the rest of the code sees them. Every method rejects
- * with a `TypedError`; `platform-unavailable` and `backend-unreachable` mean
- * that the other side could not be reached or did not answer in time.
+ * Interfaces of the external systems. Methods reject with a `TypedError`; kind
+ * `platform-unavailable` or `backend-unreachable` means that the system was
+ * unreachable, timed out or sent an invalid response.
  */
 import {
   type BackendServerId,
@@ -13,27 +13,25 @@
   type SlotId,
 } from '@mimosatack/types';
 
-/** A record as read from a stream. */
 export interface LogRecord {
   offset: LogOffset;
   data: Uint8Array;
 }
 
-/** A stretch of a stream. */
+/** Consecutive records of a stream. */
 export interface LogPage {
-  /** The oldest offset that is still kept. */
+  /** The oldest retained offset. */
   firstOffset: LogOffset;
-  /** The offset that the next append will get. */
+  /** The offset of the next append. */
   nextOffset: LogOffset;
   records: LogRecord[];
 }
 
-/** What to read from a stream. */
 export interface LogReadRequest {
   stream: string;
   from: LogOffset;
   limit: number;
-  /** How long to wait for a record when there is none at `from` yet. */
+  /** Maximum wait for a record at `from` if there is none yet. */
   waitMs: number;
   signal?: AbortSignal;
 }
@@ -41,23 +39,22 @@
 /** The platform's append-only log service. */
 export interface LogService {
   /**
-   * Appends one record and returns its offset. A rejection does not mean that
-   * the record was not appended: the answer may have been lost.
+   * Appends one record and returns its offset. The record may have been appended
+   * even if the call rejects, because the response may have been lost.
    */
   append(stream: string, data: Uint8Array): Promise<LogOffset>;
-  /** Rejects with `trimmed` when `from` is older than what is kept. */
+  /** Rejects with `trimmed` if `from` is below the oldest retained offset. */
   read(request: LogReadRequest): Promise<LogPage>;
 }
 
-/** The platform's lagging list of live and leaving hosts. */
+/** The platform's list of live and leaving hosts, which may be outdated. */
 export interface HostList {
   listHosts(): Promise<HostEntry[]>;
 }
 
-/** Limits of the platform's weight store. */
 export interface WeightStoreLimits {
   loadsPerSecond: number;
-  /** How many loads at once run at full speed. */
+  /** Number of concurrent loads that run at full speed. */
   fullSpeedLoads: number;
 }
 
@@ -66,7 +63,7 @@
   readLimits(): Promise<WeightStoreLimits>;
 }
 
-/** What a steward tells an engine to do. */
+/** An order from a steward to an engine. */
 export type EngineOrder =
   | (ModelRef & {
       order: 'load';
@@ -83,19 +80,19 @@
       role: 'prefill' | 'decode' | 'both';
     };
 
-/** The orders side of one model engine. */
+/** The control interface of one model engine. */
 export interface EngineControl {
   readonly backendServerId: BackendServerId;
   readState(signal?: AbortSignal): Promise<EngineState>;
   /**
-   * Sends one order; resolves when the engine has taken it. Rejects with
-   * `stale-fencing-number`, `out-of-memory`, or `backend-unreachable` (in
-   * which case the order may still arrive later).
+   * Sends one order; resolves when the engine accepts it. Rejects with
+   * `stale-fencing-number`, `out-of-memory` or `backend-unreachable`; in the last
+   * case the order may still arrive later.
    */
   sendOrder(order: EngineOrder): Promise<void>;
 }
 
-/** The load side of one plain service. */
+/** The load reporting interface of one plain service. */
 export interface ServiceMonitor {
   readonly backendServerId: BackendServerId;
   readLoad(signal?: AbortSignal): Promise<LoadReport>;
