--- a/packages/platform/src/http_log_service.ts
+++ b/packages/platform/src/http_log_service.ts
@@ -42,7 +42,7 @@
   }
 
   async append(stream: string, data: Uint8Array): Promise<LogOffset> {
-    const answer = await exchangeJson(
+    const response = await exchangeJson(
       {
         ...this.requestDefaults(),
         path: `/v1/streams/${encodeURIComponent(stream)}/records`,
@@ -52,7 +52,7 @@
       },
       appendResponseSchema,
     );
-    return answer.offset;
+    return response.offset;
   }
 
   async read(request: LogReadRequest): Promise<LogPage> {
--- a/packages/platform/src/http_platform.ts
+++ b/packages/platform/src/http_platform.ts
@@ -39,7 +39,7 @@
   constructor(private readonly options: HttpPlatformOptions) {}
 
   async listHosts(): Promise<HostEntry[]> {
-    const answer = await exchangeJson(
+    const response = await exchangeJson(
       {
         system: 'host list',
         baseUrl: this.options.baseUrl,
@@ -51,7 +51,7 @@
       },
       hostsResponseSchema,
     );
-    return answer.hosts;
+    return response.hosts;
   }
 }
 
--- a/packages/settings/src/format_settings.ts
+++ b/packages/settings/src/format_settings.ts
@@ -44,12 +44,12 @@
 
   --help            Print this text and exit.
   --version         Print the release and exit.
-  --print-settings  Print the settings in force, without secrets, and exit.
+  --print-settings  Print the effective settings, without secrets, and exit.
 
 Each setting can be given as an environment variable instead, such as
 ${toVariable('log-url')}; a flag wins. Give secrets by variables only.`;
 
-const USAGE_FOOTER = `Exit codes: 0 stopped, 1 could not start or was cut off, 2 wrong settings.
+const USAGE_FOOTER = `Exit codes: 0 stopped, 1 failed to start or shutdown cut short, 2 invalid settings.
 docs/operators/settings.md describes each setting in detail.`;
 
 function formatUsageLine(name: SettingName): string {
