--- a/packages/stand-ins/src/engine/checkpoint_cache.ts
+++ b/packages/stand-ins/src/engine/checkpoint_cache.ts
@@ -1,4 +1,4 @@
-/** Which checkpoints an engine keeps near. */
+/** The checkpoints that an engine caches in memory and on disk. */
 import {
   type CacheTier,
   type CachedCheckpoint,
@@ -6,7 +6,7 @@
   formatModelRef,
 } from '@mimosatack/types';
 
-/** How many checkpoints each tier holds. */
+/** The maximum number of checkpoints in each tier. */
 export interface CacheCapacities {
   memoryCheckpoints: number;
   diskCheckpoints: number;
@@ -15,8 +15,8 @@
 type CheckpointTier = Map<string, ModelRef>;
 
 /**
- * Two tiers in least-recently-used order: what memory has no room for goes
- * down to disk, and what disk has no room for is forgotten.
+ * A two-tier LRU cache: a checkpoint evicted from memory moves to disk, and one
+ * evicted from disk is dropped.
  */
 export class CheckpointCache {
   private readonly memory: CheckpointTier = new Map();
@@ -30,7 +30,7 @@
     return this.disk.has(key) ? 'disk' : 'remote';
   }
 
-  /** Puts a checkpoint into a tier as the one used last. */
+  /** Stores a checkpoint in a tier as the most recently used one. */
   put({model, adapter, version}: ModelRef, tier: 'memory' | 'disk'): void {
     const ref = {model, adapter, version};
     const key = formatModelRef(ref);
@@ -52,7 +52,7 @@
   }
 }
 
-/** Inserts as the newest and returns what no longer fits, if anything. */
+/** Inserts as the most recently used; returns the evicted entry, if any. */
 function insert(
   tier: CheckpointTier,
   ref: ModelRef,
--- a/packages/stand-ins/src/engine/checkpoint_source.ts
+++ b/packages/stand-ins/src/engine/checkpoint_source.ts
@@ -1,18 +1,18 @@
-/** Where an engine fetches remote checkpoints from. */
+/** Sources from which an engine fetches remote checkpoints. */
 import {type Clock, sleep} from '@mimosatack/clock';
 import {type ModelRef} from '@mimosatack/types';
 import {Agent, request} from 'undici';
 import {type Transfer} from '../platform/transfer_model.js';
 
-const RETRY_MS = 250;
+const RETRY_DELAY_MS = 250;
 
-/** A weight store as one engine sees it. */
+/** A weight store as used by one engine. */
 export interface CheckpointSource {
-  /** Calls `onDone` when the checkpoint is there, unless cancelled before. */
+  /** Calls `onDone` once the checkpoint is fetched, unless cancelled. */
   fetch(ref: ModelRef, sizeFactor: number, onDone: () => void): Transfer;
 }
 
-/** A store without limits, for engines that run alone. */
+/** A store without rate limits, for engines without a platform. */
 export class InstantCheckpointSource implements CheckpointSource {
   constructor(private readonly clock: Clock) {}
 
@@ -21,9 +21,9 @@
   }
 }
 
-/** The weight store of the platform stand-in; failures are tried again. */
+/** Fetches from the platform stand-in; retries until success or cancel. */
 export class HttpCheckpointSource implements CheckpointSource {
-  // A slow transfer must not run into undici's own timeouts.
+  // undici's default timeouts would abort a slow transfer.
   private readonly agent = new Agent({headersTimeout: 0, bodyTimeout: 0});
 
   constructor(
@@ -47,7 +47,7 @@
   ): Promise<void> {
     const body = JSON.stringify({...ref, sizeFactor});
     while (!signal.aborted && !(await this.tryFetch(body, signal))) {
-      await sleep(this.clock, RETRY_MS, signal);
+      await sleep(this.clock, RETRY_DELAY_MS, signal);
     }
   }
 
--- a/packages/stand-ins/src/engine/completion.ts
+++ b/packages/stand-ins/src/engine/completion.ts
@@ -1,4 +1,4 @@
-/** Answers that follow from the request alone, so that a test can judge them. */
+/** Deterministic answers, so that a test can check them from the request. */
 import {createHash} from 'node:crypto';
 import {
   type JsonObject,
@@ -7,7 +7,7 @@
   readString,
 } from '../shared/input.js';
 
-/** The fields of a completion request that decide its answer. */
+/** The fields of a completion request that determine its answer. */
 export interface CompletionRequest {
   model: string;
   /** For `/v1/completions`. */
@@ -17,21 +17,20 @@
   max_tokens?: number | null;
 }
 
-/** Which of the two common endpoints a request came to. */
+/** The endpoint of a request: chat completions or text completions. */
 export type CompletionKind = 'chat' | 'text';
 
 const DIGEST_CHARS = 16;
 const BLOCK_CHARS = 64;
 
-/** The whole text of the right answer to a request. */
+/** The full text of the correct answer to a request. */
 export function expectedCompletionText(request: CompletionRequest): string {
   return expectedTokens(request).join('');
 }
 
 /**
- * The right answer as a list of stream chunks: the words of the prompt, each
- * with its index, over and over when `max_tokens` asks for more, and a digest
- * of the whole request at the end.
+ * The correct answer as a list of stream chunks: the words of the prompt, each
+ * with its index, repeated up to `max_tokens`, then a digest of the request.
  */
 export function expectedTokens(request: CompletionRequest): string[] {
   const prompt = readPromptText(request);
@@ -44,7 +43,7 @@
   return [...echo, `#${digest(`${request.model}\n${count}\n${prompt}`)}`];
 }
 
-/** The prompt of either kind of request as one text. */
+/** The prompt or the chat messages of a request as one text. */
 export function readPromptText({prompt, messages}: CompletionRequest): string {
   if (!Array.isArray(messages)) return flattenContent(prompt);
   return (messages as JsonObject[])
@@ -53,8 +52,8 @@
 }
 
 /**
- * Hashes of the whole blocks at the start of a prompt, each covering all
- * before it; these are the `prefixHash`es of cache events.
+ * Hashes of the complete blocks of a prompt, each covering all text up to the
+ * end of its block; cache events carry these as `prefixHash`.
  */
 export function computePrefixHashes(promptText: string): string[] {
   const blocks = Math.floor(promptText.length / BLOCK_CHARS);
@@ -63,7 +62,7 @@
   );
 }
 
-/** Checks the fields that the engine needs. */
+/** Reads the fields that the engine needs; throws `bad-request`. */
 export function readCompletionRequest(body: JsonObject): CompletionRequest {
   if (body['prompt'] === undefined && !Array.isArray(body['messages'])) {
     throw badRequest('Either prompt or messages is needed.');
@@ -77,14 +76,14 @@
   };
 }
 
-/** Who answers whom, for the JSON of an answer. */
+/** The fields that identify an answer in its JSON. */
 export interface AnswerHeader {
   kind: CompletionKind;
   model: string;
   requestId: string;
 }
 
-/** The JSON of one stream chunk; the last one has a `finish_reason`. */
+/** The JSON of one stream chunk; the last chunk has a `finish_reason`. */
 export function formatChunk(
   {kind, model, requestId}: AnswerHeader,
   text: string,
@@ -106,7 +105,7 @@
   });
 }
 
-/** The JSON of a whole answer. */
+/** The JSON of an answer that is not streamed. */
 export function formatAnswer(
   {kind, model, requestId}: AnswerHeader,
   tokens: readonly string[],
--- a/packages/stand-ins/src/engine/engine_core.test.ts
+++ b/packages/stand-ins/src/engine/engine_core.test.ts
@@ -13,13 +13,13 @@
   return {clock, engine};
 }
 
-function makeLoad(slotId: string, fencingNumber = 1): EngineOrder {
+function makeLoadOrder(slotId: string, fencingNumber = 1): EngineOrder {
   const ref = {model: 'm', adapter: null, version: '1'};
   const order = {orderId: `load-${slotId}`, slotId, fencingNumber};
   return {order: 'load', memoryMib: 600, ...order, ...ref};
 }
 
-function makeUnload(slotId: string): EngineOrder {
+function makeUnloadOrder(slotId: string): EngineOrder {
   return {order: 'unload', orderId: 'unload', slotId, fencingNumber: 1};
 }
 
@@ -34,8 +34,8 @@
 
 test('refuses an order with an old fencing number', () => {
   const {engine} = setUp();
-  engine.applyOrder(makeLoad('s1', 2));
-  assert.throws(() => engine.applyOrder(makeLoad('s2', 1)), /older/);
+  engine.applyOrder(makeLoadOrder('s1', 2));
+  assert.throws(() => engine.applyOrder(makeLoadOrder('s2', 1)), /older/);
   const outcomes = engine.observe().orders.map(each => each.outcome);
   assert.equal(outcomes, ['taken', 'stale-fencing-number']);
   assert.is(engine.readState().replicas.length, 1);
@@ -43,8 +43,8 @@
 
 test('shows that an engine without fencing took an old order', () => {
   const {engine} = setUp({fencing: 'ignores', memoryMib: 2_000});
-  engine.applyOrder(makeLoad('s1', 2));
-  engine.applyOrder(makeLoad('s2', 1));
+  engine.applyOrder(makeLoadOrder('s1', 2));
+  engine.applyOrder(makeLoadOrder('s2', 1));
   const [, late] = engine.observe().orders;
   assert.is(late?.outcome, 'taken');
   assert.is(late?.isStale, true);
@@ -53,15 +53,15 @@
 
 test('refuses what does not fit into memory', () => {
   const {engine} = setUp();
-  engine.applyOrder(makeLoad('s1'));
-  assert.throws(() => engine.applyOrder(makeLoad('s2')), /do not fit/);
+  engine.applyOrder(makeLoadOrder('s1'));
+  assert.throws(() => engine.applyOrder(makeLoadOrder('s2')), /do not fit/);
   assert.equal(engine.observe().overcommits, []);
 });
 
 test('shows an overcommit of an engine that does not check', () => {
   const {engine} = setUp({checksMemory: false});
-  engine.applyOrder(makeLoad('s1'));
-  engine.applyOrder(makeLoad('s2'));
+  engine.applyOrder(makeLoadOrder('s1'));
+  engine.applyOrder(makeLoadOrder('s2'));
   const {overcommits, highWaterMib} = engine.observe();
   assert.is(overcommits[0]?.usedMib, 1_200);
   assert.is(highWaterMib, 1_200);
@@ -69,33 +69,33 @@
 
 test('holds the memory of a replica until it is unloaded', () => {
   const {clock, engine} = setUp();
-  engine.applyOrder(makeLoad('s1'));
-  engine.applyOrder(makeUnload('s1'));
-  assert.throws(() => engine.applyOrder(makeLoad('s2')), /do not fit/);
+  engine.applyOrder(makeLoadOrder('s1'));
+  engine.applyOrder(makeUnloadOrder('s1'));
+  assert.throws(() => engine.applyOrder(makeLoadOrder('s2')), /do not fit/);
   clock.advance(1_000);
-  engine.applyOrder(makeLoad('s2'));
+  engine.applyOrder(makeLoadOrder('s2'));
   assert.is(engine.readState().replicas.length, 1);
 });
 
 test('shows a request that was cut off by an unload', () => {
   const {clock, engine} = setUp();
-  engine.applyOrder(makeLoad('s1'));
+  engine.applyOrder(makeLoadOrder('s1'));
   clock.advance(10_000);
   submit(engine, 'q1');
-  engine.applyOrder(makeUnload('s1'));
+  engine.applyOrder(makeUnloadOrder('s1'));
   assert.is(engine.observe().requests[0]?.outcome, 'cut-off');
 });
 
 test('shows a request that met a replica still loading', () => {
   const {engine} = setUp();
-  engine.applyOrder(makeLoad('s1'));
+  engine.applyOrder(makeLoadOrder('s1'));
   assert.throws(() => submit(engine, 'q1'), /not warm/);
   assert.is(engine.observe().coldStartStalls[0]?.isLoading, true);
 });
 
 test('runs waiting requests by priority, then by arrival', () => {
   const {clock, engine} = setUp({maxRunning: 1});
-  engine.applyOrder(makeLoad('s1'));
+  engine.applyOrder(makeLoadOrder('s1'));
   clock.advance(10_000);
   submit(engine, 'first');
   submit(engine, 'low', 1);
@@ -111,7 +111,7 @@
 
 test('weighs the rest of a warm replica by its share of memory', () => {
   const {clock, engine} = setUp({accelerators: 10, initMs: 100});
-  engine.applyOrder(makeLoad('s1'));
+  engine.applyOrder(makeLoadOrder('s1'));
   clock.advance(100);
   clock.advance(1_000);
   assert.is(engine.observe().idleAcceleratorMs, 6_000);
@@ -125,16 +125,16 @@
   engine.cacheCheckpoints([
     {model: 'old', adapter: null, version: '1', tier: 'memory'},
   ]);
-  engine.applyOrder(makeLoad('s1'));
+  engine.applyOrder(makeLoadOrder('s1'));
   clock.advance(10_000);
-  engine.applyOrder(makeUnload('s1'));
+  engine.applyOrder(makeUnloadOrder('s1'));
   const tiers = engine.readState().cached.map(each => each.tier + each.model);
   assert.equal(tiers, ['memorym', 'diskold']);
 });
 
 test('does nothing while frozen and goes on after', () => {
   const {clock, engine} = setUp();
-  engine.applyOrder(makeLoad('s1'));
+  engine.applyOrder(makeLoadOrder('s1'));
   clock.advance(10_000);
   const run = submit(engine, 'q1');
   engine.gate.freeze(null);
@@ -147,7 +147,7 @@
 
 test('reports load late and cache events late and with gaps', () => {
   const {clock, engine} = setUp({cacheEventGapFraction: 0.5});
-  engine.applyOrder(makeLoad('s1'));
+  engine.applyOrder(makeLoadOrder('s1'));
   clock.advance(10_000);
   const hashes = Array.from({length: 100}, (_, index) => `h${index}`);
   engine.prefixCache.use('m', hashes);
--- a/packages/stand-ins/src/engine/engine_core.ts
+++ b/packages/stand-ins/src/engine/engine_core.ts
@@ -41,7 +41,7 @@
 import {ReplicaTable} from './replica_table.js';
 import {RequestBatch, RequestRun} from './request_batch.js';
 
-/** A completion request with what its headers say. */
+/** A completion request with the values of its headers. */
 export interface SubmittedRequest {
   header: AnswerHeader;
   request: CompletionRequest;
@@ -50,10 +50,10 @@
   priority: number;
 }
 
-/** What prefill and decode work an engine takes on. */
+/** Whether an engine runs prefill, decode or both. */
 export type EngineRole = Extract<EngineOrder, {order: 'set-role'}>['role'];
 
-/** A model engine that does no inference but behaves like one. */
+/** Simulates a model engine: scheduling, memory and caches, no inference. */
 export class EngineStandIn implements ControlTarget, BackendCore {
   readonly incarnation = randomUUID();
   readonly faults = new FaultSet(NO_ENGINE_FAULTS);
@@ -83,13 +83,20 @@
     this.cache = new CheckpointCache(this.options);
     this.prefixCache = new PrefixCache(this.options, clock, this.random);
     const {gate, cache, observer} = this;
-    const parts = {options: this.options, clock, gate, cache, observer, source};
+    const dependencies = {
+      options: this.options,
+      clock,
+      gate,
+      cache,
+      observer,
+      source,
+    };
     this.replicas = new ReplicaTable({
-      ...parts,
+      ...dependencies,
       onUnload: slotId => this.batch.cutOff(slotId),
     });
     this.batch = new RequestBatch({
-      ...parts,
+      ...dependencies,
       faults: this.faults.values,
       replicas: this.replicas,
     });
@@ -97,30 +104,30 @@
     this.load = new LaggingValue(clock, loadReportLagMs, this.batch.counts);
   }
 
-  /** Takes an order or throws the reason for refusing it. */
+  /** Applies an order; throws an `HttpProblem` when it is refused. */
   applyOrder(order: EngineOrder): void {
-    this.checkAlive();
+    this.checkNotStopped();
     try {
       this.checkFencing(order);
       if (order.order === 'load') this.replicas.load(order);
       else if (order.order === 'unload') this.replicas.unload(order.slotId);
       else this.role = order.role;
-      this.observer.noteOrder(order, 'taken');
+      this.observer.recordOrder(order, 'taken');
     } catch (error) {
       const kind = error instanceof HttpProblem ? error.kind : 'internal';
-      this.observer.noteOrder(order, kind);
+      this.observer.recordOrder(order, kind);
       throw error;
     }
   }
 
-  /** Notes an order that a fault kept from being looked at. */
+  /** Records an order that the `refuseOrders` fault refused. */
   noteRefusedOrder(order: EngineOrder): void {
-    this.observer.noteOrder(order, 'refused');
+    this.observer.recordOrder(order, 'refused');
   }
 
   /** Queues a request; throws `unknown-model` without a warm replica. */
   submit(submitted: SubmittedRequest): RequestRun {
-    this.checkAlive();
+    this.checkNotStopped();
     const {header, request} = submitted;
     const {model, requestId} = header;
     const [replica] = this.replicas
@@ -128,44 +135,44 @@
       .sort((a, b) => a.runningRequests - b.runningRequests);
     if (!replica) {
       const isLoading = this.replicas.find(model, 'loading').length > 0;
-      this.observer.noteStall({requestId, model, isLoading});
+      this.observer.recordColdStartStall({requestId, model, isLoading});
       throw new HttpProblem(404, 'unknown-model', `${model} is not warm.`);
     }
     const prefixHashes = computePrefixHashes(readPromptText(request));
     const cachedFraction = this.prefixCache.use(model, prefixHashes);
-    const observation = this.observeArrival(submitted);
+    const observation = this.recordArrival(submitted);
     const tokens = expectedTokens(request);
     const answer = {header, tokens, prefixHashes, cachedFraction};
     const run = new RequestRun(answer, replica, observation);
-    this.track(run);
+    this.registerRun(run);
     return run;
   }
 
-  /** The run of a request, for as long as its stream is kept. */
+  /** The run of a request, until `streamKeepMs` after its end. */
   findRun(requestId: string): RequestRun | undefined {
     const run = this.runs.get(requestId);
     return run && !this.isExpired(run) ? run : undefined;
   }
 
-  /** Any run but the given one, for crossed answers. */
+  /** A run other than the given one, for the `crossedAnswers` fault. */
   findOtherRun(run: RequestRun): RequestRun | undefined {
     return [...this.runs.values()].find(other => other !== run);
   }
 
-  /** Cancels a request; an unknown one is left alone. */
+  /** Cancels a request; ignores an unknown id. */
   cancel(requestId: string): void {
     const run = this.runs.get(requestId);
     if (run) this.batch.stop(run, 'cancelled');
   }
 
-  /** What `POST /v1/kv` of another engine takes. */
+  /** The body to send to `POST /v1/kv` of another engine. */
   exportKv({plan}: RequestRun): object {
     const {header, prefixHashes} = plan;
     const {model, requestId} = header;
     return {requestId, model, prefixHashes};
   }
 
-  /** Puts checkpoints into the cache, as if loaded some time ago. */
+  /** Adds checkpoints to the cache without loading them. */
   cacheCheckpoints(checkpoints: readonly CachedCheckpoint[]): void {
     checkpoints.forEach(each => this.cache.put(each, each.tier));
   }
@@ -208,7 +215,7 @@
     this.replicas.restartObservation();
   }
 
-  /** Ends all replicas and requests at once, as when the process dies. */
+  /** Ends all replicas and requests immediately, as in a process crash. */
   stop(): void {
     this.isStopped = true;
     this.gate.close();
@@ -227,7 +234,7 @@
     this.highestFencingNumber = fencingNumber;
   }
 
-  private observeArrival({
+  private recordArrival({
     header,
     idempotencyKey,
     priority,
@@ -247,7 +254,7 @@
     return observation;
   }
 
-  private track(run: RequestRun): void {
+  private registerRun(run: RequestRun): void {
     const {requestId} = run.plan.header;
     this.dropExpiredRuns();
     this.runs.delete(requestId);
@@ -259,7 +266,7 @@
     this.load.set(this.batch.counts);
   }
 
-  /** Runs are in the order of arrival, so the first to expire lead. */
+  /** Stops at the first run that is kept; `runs` is in arrival order. */
   private dropExpiredRuns(): void {
     for (const [requestId, run] of this.runs) {
       if (!this.isExpired(run)) return;
@@ -272,7 +279,7 @@
     return this.clock.wallMs() > endedMs + this.options.streamKeepMs;
   }
 
-  private checkAlive(): void {
+  private checkNotStopped(): void {
     if (this.isStopped) throw new HttpProblem(503, 'stopped', 'It has died.');
   }
 
--- a/packages/stand-ins/src/engine/engine_observer.ts
+++ b/packages/stand-ins/src/engine/engine_observer.ts
@@ -1,22 +1,22 @@
-/** What truly happened on one engine, for tests to judge the system by. */
+/** Records what one engine did, as ground truth for tests. */
 import {type Clock} from '@mimosatack/clock';
 import {type EngineOrder} from '@mimosatack/platform';
 import {type CacheTier, type SlotId} from '@mimosatack/types';
 
-/** One order as it arrived. */
+/** One order that arrived at the engine. */
 export interface OrderObservation {
   order: EngineOrder;
   atMs: number;
-  /** Whether a higher fencing number had arrived before. */
+  /** Whether an earlier order had a higher fencing number. */
   isStale: boolean;
-  /** `taken`, or the kind of the refusal. */
+  /** `taken`, or the `kind` of the error. */
   outcome: string;
 }
 
-/** One life of a replica. */
+/** One replica from load to unload. */
 export interface ReplicaObservation {
   slotId: SlotId;
-  /** As `formatModelRef` writes it. */
+  /** As formatted by `formatModelRef`. */
   checkpoint: string;
   memoryMib: number;
   tier: CacheTier;
@@ -27,11 +27,11 @@
   unloadedMs: number | null;
 }
 
-/** How far a request got; `cut-off` means that its replica went away. */
+/** The state of a request; `cut-off`: its replica was unloaded. */
 export type RequestOutcome =
   'queued' | 'running' | 'finished' | 'cancelled' | 'cut-off';
 
-/** One request; it ran when `startedMs` is not null. */
+/** One request; `startedMs` is null if it never ran. */
 export interface RequestObservation {
   requestId: string;
   idempotencyKey: string | null;
@@ -44,23 +44,23 @@
   outcome: RequestOutcome;
 }
 
-/** A moment at which loaded replicas held more than there is. */
+/** A time at which replicas used more memory than the engine has. */
 export interface OvercommitObservation {
   atMs: number;
   usedMib: number;
   memoryMib: number;
 }
 
-/** A request that found no warm replica of its model. */
+/** A request that arrived while its model had no warm replica. */
 export interface ColdStartStall {
   requestId: string;
   model: string;
   atMs: number;
-  /** Whether a replica was at least being loaded. */
+  /** Whether a replica of the model was loading. */
   isLoading: boolean;
 }
 
-/** All that `GET /control/observed` of an engine tells. */
+/** The response of `GET /control/observed` of an engine. */
 export interface EngineObservation {
   backendServerId: string;
   incarnation: string;
@@ -70,11 +70,11 @@
   overcommits: OvercommitObservation[];
   coldStartStalls: ColdStartStall[];
   highWaterMib: number;
-  /** Accelerators × share of memory × time, of warm replicas at rest. */
+  /** Accelerators × memory fraction × time, over idle warm replicas. */
   idleAcceleratorMs: number;
 }
 
-/** Collects what happened since the start or the last reset. */
+/** Collects observations since the start or the last reset. */
 export class EngineObserver {
   orders: OrderObservation[] = [];
   replicas: ReplicaObservation[] = [];
@@ -87,10 +87,10 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly machine: {accelerators: number; memoryMib: number},
+    private readonly resources: {accelerators: number; memoryMib: number},
   ) {}
 
-  noteOrder(order: EngineOrder, outcome: string): void {
+  recordOrder(order: EngineOrder, outcome: string): void {
     const isStale = order.fencingNumber < this.highestFencingNumber;
     const {fencingNumber} = order;
     this.highestFencingNumber = Math.max(
@@ -100,29 +100,29 @@
     this.orders.push({order, outcome, isStale, atMs: this.clock.wallMs()});
   }
 
-  noteMemory(usedMib: number): void {
-    const {memoryMib} = this.machine;
+  recordMemoryUse(usedMib: number): void {
+    const {memoryMib} = this.resources;
     this.highWaterMib = Math.max(this.highWaterMib, usedMib);
     if (usedMib <= memoryMib) return;
     this.overcommits.push({atMs: this.clock.wallMs(), usedMib, memoryMib});
   }
 
-  noteStall(stall: Omit<ColdStartStall, 'atMs'>): void {
+  recordColdStartStall(stall: Omit<ColdStartStall, 'atMs'>): void {
     this.coldStartStalls.push({...stall, atMs: this.clock.wallMs()});
   }
 
-  /** Adds a stretch in which a warm replica ran nothing. */
-  addIdle(replicaMib: number, durationMs: number): void {
-    this.idleMs += this.toIdleMs(replicaMib, durationMs);
+  /** Adds a period in which a warm replica ran no request. */
+  addIdleTime(replicaMib: number, durationMs: number): void {
+    this.idleMs += this.toIdleAcceleratorMs(replicaMib, durationMs);
   }
 
-  /** Weighs a stretch of rest by the accelerators it kept from others. */
-  toIdleMs(replicaMib: number, durationMs: number): number {
-    const {accelerators, memoryMib} = this.machine;
+  /** Idle time × accelerators × the replica's fraction of memory. */
+  toIdleAcceleratorMs(replicaMib: number, durationMs: number): number {
+    const {accelerators, memoryMib} = this.resources;
     return (accelerators * durationMs * replicaMib) / memoryMib;
   }
 
-  /** @param openIdleMs idle time of stretches that have not ended yet. */
+  /** @param openIdleMs idle time of periods that have not ended yet. */
   observe(
     openIdleMs: number,
   ): Omit<EngineObservation, 'backendServerId' | 'incarnation'> {
@@ -139,7 +139,7 @@
     };
   }
 
-  /** Forgets what has ended; what still goes on stays. */
+  /** Drops finished observations; keeps loaded replicas and open requests. */
   reset(): void {
     this.orders = [];
     this.replicas = this.replicas.filter(each => each.unloadedMs === null);
--- a/packages/stand-ins/src/engine/engine_options.ts
+++ b/packages/stand-ins/src/engine/engine_options.ts
@@ -3,7 +3,7 @@
 import {type BackendOptions} from '../shared/backend_server.js';
 import {type WorkFaults} from '../shared/http_server.js';
 
-/** Settings of one engine; the flags have the same names. */
+/** Settings of one engine; each is also a command-line flag. */
 export interface EngineOptions extends BackendOptions {
   fencing: FencingSupport;
   accelerators: number;
@@ -13,29 +13,28 @@
   maxRunning: number;
   firstTokenMs: number;
   tokenMs: number;
-  /** Size of every checkpoint, in usual loads of the weight store. */
+  /** Size of every checkpoint; 1 is the weight store's standard load. */
   sizeFactor: number;
-  /** How long a checkpoint takes from each tier, and setting it up. */
+  /** Load times from the disk and memory tiers, and initialization time. */
   diskLoadMs: number;
   memoryLoadMs: number;
   initMs: number;
-  /** How long an unloaded replica still holds its memory. */
+  /** How long a replica occupies its memory after an unload order. */
   unloadMs: number;
-  /** How many checkpoints each tier keeps. */
+  /** The maximum number of checkpoints in each tier. */
   memoryCheckpoints: number;
   diskCheckpoints: number;
   /** How long a stream can be resumed after its end. */
   streamKeepMs: number;
   loadReportLagMs: number;
   cacheEventLagMs: number;
-  /** Fraction of cache events that are never shown. */
+  /** Fraction of cache events that are never reported. */
   cacheEventGapFraction: number;
-  /** How many prefix blocks the prompt cache holds. */
+  /** Capacity of the prompt cache in prefix blocks. */
   prefixBlocks: number;
   seed: number;
 }
 
-/** Settings used where none are given. */
 export const DEFAULT_ENGINE_OPTIONS: EngineOptions = {
   port: 0,
   backendServerId: 'r1',
@@ -66,7 +65,7 @@
   seed: 1,
 };
 
-/** Faults of one engine; "next N" faults count down. */
+/** Faults of one engine; "next N" faults are counters that run down to 0. */
 export interface EngineFaults extends WorkFaults {
   /** Next N streams: destroyed after `resetAfterChunks` chunks. */
   resetMidStream: number;
@@ -75,27 +74,26 @@
   reorderFraction: number;
   /** Fraction of chunks sent twice. */
   doubleFraction: number;
-  /** Next N chunks or whole answers: those of another request are sent. */
+  /** Next N chunks or whole answers: replaced by another request's. */
   crossedAnswers: number;
-  /** Next N answers: not JSON. */
+  /** Next N whole answers: broken JSON. */
   malformedAnswers: number;
   /** Whether `GET /v1/state` answers with broken JSON. */
   malformedState: boolean;
-  /** Next N orders: refused with `refused`. */
+  /** Next N orders: rejected with the error kind `refused`. */
   refuseOrders: number;
-  /** Orders arrive this much later, also when their sender has given up. */
+  /** Delay of every order, applied even if its sender disconnects. */
   delayOrdersMs: number;
-  /** Next N orders: on the way until `/control/release-orders`. */
+  /** Next N orders: held until `/control/release-orders`. */
   holdOrders: number;
-  /** Whether late orders are answered 202 before they are looked at. */
+  /** Whether delayed orders are answered 202 before they are checked. */
   answerLateOrdersFirst: boolean;
-  /** Next N orders: carried out, but the connection is destroyed. */
+  /** Next N orders: applied, but the connection is destroyed. */
   loseOrderAnswers: number;
-  /** How many times slower than usual tokens come. */
+  /** Factor by which token generation is slowed down. */
   slowTokenFactor: number;
 }
 
-/** An engine without a fault. */
 export const NO_ENGINE_FAULTS: EngineFaults = {
   cutNodes: [],
   resetBeforeRead: 0,
--- a/packages/stand-ins/src/engine/engine_server.test.ts
+++ b/packages/stand-ins/src/engine/engine_server.test.ts
@@ -37,7 +37,7 @@
   await body(engine).finally(() => engine.close());
 }
 
-function makeLoad(slotId: string, fencingNumber: number) {
+function makeLoadOrder(slotId: string, fencingNumber: number) {
   const ref = {model: 'm', adapter: null, version: '1'};
   const header = {orderId: slotId, order: 'load', slotId, fencingNumber};
   return {...header, ...ref, memoryMib: 1};
@@ -52,7 +52,7 @@
 }
 
 async function warmUp(engine: Engine): Promise<void> {
-  await (await post(engine, '/v1/orders', makeLoad('s1', 1))).body.dump();
+  await (await post(engine, '/v1/orders', makeLoadOrder('s1', 1))).body.dump();
   while (engine.core.readState().replicas[0]?.status !== 'warm') {
     await new Promise(resolve => setTimeout(resolve, 1));
   }
@@ -108,8 +108,8 @@
   }));
 
 test('sends a chunk of another request', () =>
-  // A caller would see words of a stranger's answer in its own: the engine
-  // mixes up two streams and sends one chunk on the wrong connection.
+  // Reproduces an engine that sends a chunk of one stream on the connection of
+  // another request.
   withEngine({}, async engine => {
     await warmUp(engine);
     engine.core.faults.set({crossedAnswers: 1});
@@ -120,8 +120,7 @@
   }));
 
 test('breaks a stream and resumes it without running again', () =>
-  // A caller's stream breaks after three chunks. The run goes on, and asking
-  // for the rest gives the missing chunks without a second run.
+  // Guards against a second run when a caller resumes a broken stream.
   withEngine({}, async engine => {
     await warmUp(engine);
     engine.core.faults.set({resetMidStream: 1, resetAfterChunks: 3});
@@ -154,15 +153,17 @@
   }));
 
 test('takes an order that was long on the way', () =>
-  // A steward gives up on an order and loses its lease; the next one sends its
-  // own. Then the first order arrives, and an engine without fencing takes it.
+  // Reproduces a stale order: the order of a previous steward arrives after that
+  // of the current one, and an engine without fencing applies it.
   withEngine({fencing: 'ignores'}, async engine => {
     engine.core.faults.set({holdOrders: 1});
-    const late = post(engine, '/v1/orders', makeLoad('s1', 1));
+    const late = post(engine, '/v1/orders', makeLoadOrder('s1', 1));
     while (engine.core.faults.values.holdOrders > 0) {
       await new Promise(resolve => setTimeout(resolve, 1));
     }
-    await (await post(engine, '/v1/orders', makeLoad('s2', 2))).body.dump();
+    await (
+      await post(engine, '/v1/orders', makeLoadOrder('s2', 2))
+    ).body.dump();
     await (await post(engine, '/control/release-orders', {})).body.dump();
     assert.is((await late).statusCode, 202);
     const stale = engine.core.observe().orders.map(each => each.isStale);
@@ -170,10 +171,14 @@
   }));
 
 test('carries out an order whose answer is lost', () =>
-  // A steward sees its connection break, although the engine took the order.
+  // Reproduces an order that is applied although its sender sees a failure.
   withEngine({}, async engine => {
     engine.core.faults.set({loseOrderAnswers: 1});
-    const outcome = await post(engine, '/v1/orders', makeLoad('s1', 1)).then(
+    const outcome = await post(
+      engine,
+      '/v1/orders',
+      makeLoadOrder('s1', 1),
+    ).then(
       () => 'answered',
       () => 'lost',
     );
@@ -185,8 +190,8 @@
   withEngine({}, async engine => {
     const unknown = await post(engine, '/control/faults', {nonsense: 1});
     assert.is(unknown.statusCode, 400);
-    const ill = await post(engine, '/control/faults', {cutNodes: 'r1'});
-    assert.is(ill.statusCode, 400);
+    const wrongType = await post(engine, '/control/faults', {cutNodes: 'r1'});
+    assert.is(wrongType.statusCode, 400);
   }));
 
 test.run();
--- a/packages/stand-ins/src/engine/engine_server.ts
+++ b/packages/stand-ins/src/engine/engine_server.ts
@@ -9,16 +9,16 @@
 } from 'fastify';
 import {
   type RunningBackend,
-  hostIdOf,
+  resolveHostId,
   listenAsBackend,
 } from '../shared/backend_server.js';
 import {HttpProblem} from '../shared/http_problem.js';
 import {
   createHttpServer,
   destroyConnection,
-  installControl,
-  installFreezeControl,
-  installWorkFaults,
+  installControlRoutes,
+  installFreezeRoutes,
+  installWorkFaultHooks,
   readHeader,
 } from '../shared/http_server.js';
 import {
@@ -47,7 +47,7 @@
   Querystring: {from?: string};
 }
 
-/** Starts a model engine and puts it on the platform's host list. */
+/** Starts a model engine and registers it in the platform's host list. */
 export async function startEngineStandIn(
   options: Partial<EngineOptions> = {},
   clock: Clock = new SystemClock(),
@@ -55,12 +55,12 @@
   const core = createCore({...DEFAULT_ENGINE_OPTIONS, ...options}, clock);
   const server = createHttpServer();
   const isWork = (url: string) => WORK_URL.test(url);
-  installWorkFaults(server, {faults: core.faults, gate: core.gate, isWork});
+  installWorkFaultHooks(server, {faults: core.faults, gate: core.gate, isWork});
   installReportRoutes(server, core);
   installOrderRoutes(server, core);
   installCompletionRoutes(server, core);
-  installControl(server, core);
-  installFreezeControl(server, core.gate);
+  installControlRoutes(server, core);
+  installFreezeRoutes(server, core.gate);
   return listenAsBackend(server, core, 'runner');
 }
 
@@ -68,7 +68,11 @@
   const {platform} = options;
   readChoice({...options}, 'fencing', ['refuses-old', 'ignores']);
   if (platform === '') return new EngineStandIn(options, clock);
-  const source = new HttpCheckpointSource(clock, platform, hostIdOf(options));
+  const source = new HttpCheckpointSource(
+    clock,
+    platform,
+    resolveHostId(options),
+  );
   return new EngineStandIn(options, clock, source);
 }
 
@@ -115,7 +119,7 @@
   const kinds = {'/v1/chat/completions': 'chat', '/v1/completions': 'text'};
   Object.entries(kinds).forEach(([path, kind]) =>
     server.post(path, async (request, reply) =>
-      complete(core, kind as CompletionKind, request, reply),
+      answerCompletion(core, kind as CompletionKind, request, reply),
     ),
   );
   server.get<RunRoute>(
@@ -124,7 +128,7 @@
       const run = findRun(core, request.params.requestId);
       const from = Number(request.query.from ?? 0);
       reply.hijack();
-      new StreamWriter(core, run, reply.raw, from).begin();
+      new StreamWriter(core, run, reply.raw, from).start();
       return reply;
     },
   );
@@ -153,7 +157,7 @@
   });
 }
 
-async function complete(
+async function answerCompletion(
   core: EngineStandIn,
   kind: CompletionKind,
   request: FastifyRequest,
@@ -168,13 +172,13 @@
     idempotencyKey: readHeader(request, 'idempotency-key'),
     priority: Number(readHeader(request, 'x-priority') ?? DEFAULT_PRIORITY),
   });
-  if (body['stream'] !== true) return answerWhole(core, run, request, reply);
+  if (body['stream'] !== true) return answerAsJson(core, run, request, reply);
   reply.hijack();
-  new StreamWriter(core, run, reply.raw, 0).begin();
+  new StreamWriter(core, run, reply.raw, 0).start();
   return reply;
 }
 
-async function answerWhole(
+async function answerAsJson(
   core: EngineStandIn,
   run: RequestRun,
   request: FastifyRequest,
--- a/packages/stand-ins/src/engine/order_delivery.ts
+++ b/packages/stand-ins/src/engine/order_delivery.ts
@@ -1,4 +1,4 @@
-/** How orders reach an engine: at once, late, or with the answer lost. */
+/** Delivers orders to an engine subject to its order faults. */
 import {sleep} from '@mimosatack/clock';
 import {type EngineOrder} from '@mimosatack/platform';
 import {HttpProblem} from '../shared/http_problem.js';
@@ -11,41 +11,41 @@
 } from '../shared/input.js';
 import {type EngineStandIn} from './engine_core.js';
 
-/** Whether the sender of an order gets to know that it was taken. */
+/** Whether the sender of an order receives the answer. */
 export type DeliveryResult = 'answered' | 'answer-lost';
 
-/** Carries orders to the engine as its faults say. */
+/** Delays, holds or refuses orders as the engine's faults specify. */
 export class OrderDelivery {
   private held: Array<() => void> = [];
 
   constructor(private readonly core: EngineStandIn) {}
 
-  /** Throws the refusal, if the order is refused. */
+  /** Throws an `HttpProblem` when the order is refused before its answer. */
   async deliver(input: JsonObject): Promise<DeliveryResult> {
     const order = readOrder(input);
     const {faults} = this.core;
-    const isLost = faults.take('loseOrderAnswers');
+    const isAnswerLost = faults.take('loseOrderAnswers');
     const {delayOrdersMs, answerLateOrdersFirst} = faults.values;
     const isHeld = faults.take('holdOrders');
     if (isHeld || delayOrdersMs > 0) {
-      const arrival = this.arriveLate(order, isHeld, delayOrdersMs);
-      // The sender has its answer already; the refusal shows as observed.
-      if (answerLateOrdersFirst) arrival.catch(() => undefined);
-      else await arrival;
+      const applied = this.applyDelayed(order, isHeld, delayOrdersMs);
+      // The sender already has a 202; the observer records a later refusal.
+      if (answerLateOrdersFirst) applied.catch(() => undefined);
+      else await applied;
     } else {
-      this.arrive(order);
+      this.applyOrRefuse(order);
     }
-    return isLost ? 'answer-lost' : 'answered';
+    return isAnswerLost ? 'answer-lost' : 'answered';
   }
 
-  /** Lets all held orders arrive, in the order in which they were sent. */
+  /** Delivers all held orders, in the order in which they were received. */
   releaseHeld(): void {
     const released = this.held;
     this.held = [];
     released.forEach(release => release());
   }
 
-  private async arriveLate(
+  private async applyDelayed(
     order: EngineOrder,
     isHeld: boolean,
     delayMs: number,
@@ -53,10 +53,10 @@
     if (isHeld) await new Promise<void>(resolve => this.held.push(resolve));
     else await sleep(this.core.clock, delayMs);
     await this.core.gate.whenOpen();
-    this.arrive(order);
+    this.applyOrRefuse(order);
   }
 
-  private arrive(order: EngineOrder): void {
+  private applyOrRefuse(order: EngineOrder): void {
     if (!this.core.faults.take('refuseOrders')) {
       return this.core.applyOrder(order);
     }
--- a/packages/stand-ins/src/engine/prefix_cache.ts
+++ b/packages/stand-ins/src/engine/prefix_cache.ts
@@ -1,8 +1,8 @@
-/** The prompt cache of an engine and the events it publishes about it. */
+/** The prompt cache of an engine and its cache events. */
 import {type Clock} from '@mimosatack/clock';
 import {type RandomSource} from '@mimosatack/random';
 
-/** One change of the prompt cache. */
+/** One block stored in or evicted from the prompt cache. */
 export interface CacheEvent {
   seq: number;
   op: 'stored' | 'evicted';
@@ -10,33 +10,31 @@
   prefixHash: string;
 }
 
-/** Cache events as a caller sees them. */
+/** A page of the cache events that are visible to callers. */
 export interface CacheEventPage {
   firstSeq: number;
   nextSeq: number;
   events: CacheEvent[];
 }
 
-/** Settings of a prefix cache. */
 export interface PrefixCacheOptions {
   prefixBlocks: number;
   cacheEventLagMs: number;
   cacheEventGapFraction: number;
 }
 
-/** How many events are kept for reading. */
-const KEPT_EVENTS = 10_000;
+const MAX_RETAINED_EVENTS = 10_000;
 
-interface StampedEvent extends CacheEvent {
+interface StoredEvent extends CacheEvent {
   visibleAtMs: number;
-  /** Whether the event is a gap in what callers see. */
+  /** Whether the event is never reported to callers. */
   isLost: boolean;
 }
 
-/** Least-recently-used blocks; its events come late and with gaps. */
+/** An LRU cache of prefix blocks, with delayed and incomplete events. */
 export class PrefixCache {
   private readonly blocks = new Map<string, {model: string; hash: string}>();
-  private events: StampedEvent[] = [];
+  private events: StoredEvent[] = [];
   private nextSeq = 0;
 
   constructor(
@@ -45,7 +43,7 @@
     private readonly random: RandomSource,
   ) {}
 
-  /** Stores a prompt's blocks; returns which fraction was there before. */
+  /** Stores a prompt's blocks; returns the fraction already cached. */
   use(model: string, hashes: readonly string[]): number {
     const known = hashes.filter(hash => this.blocks.has(`${model} ${hash}`));
     hashes.forEach(hash => this.touch(model, hash));
@@ -86,6 +84,6 @@
       visibleAtMs: this.clock.monotonicMs() + cacheEventLagMs,
       isLost: this.random.nextFraction() < cacheEventGapFraction,
     });
-    if (this.events.length > KEPT_EVENTS) this.events.shift();
+    if (this.events.length > MAX_RETAINED_EVENTS) this.events.shift();
   }
 }
--- a/packages/stand-ins/src/engine/replica_table.ts
+++ b/packages/stand-ins/src/engine/replica_table.ts
@@ -1,4 +1,4 @@
-/** The replicas of one engine: loading, warm, unloading. */
+/** The replicas of one engine and their memory. */
 import {type Clock} from '@mimosatack/clock';
 import {type EngineOrder} from '@mimosatack/platform';
 import {
@@ -19,13 +19,12 @@
 } from './engine_observer.js';
 import {type EngineOptions} from './engine_options.js';
 
-/** An order to load a replica. */
 export type LoadOrder = Extract<EngineOrder, {order: 'load'}>;
 
-/** A replica without the requests on it, which the batch knows. */
+/** A replica without its request count, which `RequestBatch` holds. */
 export type ReplicaSummary = Omit<LoadedReplica, 'activeRequests'>;
 
-/** One replica as the engine keeps it. */
+/** A replica with the engine's internal state. */
 export interface Replica extends ReplicaSummary {
   runningRequests: number;
   observation: ReplicaObservation;
@@ -33,29 +32,28 @@
 
 interface ReplicaEntry extends Replica {
   startedMs: number;
-  /** Since when it has been warm and run nothing; null while it has not. */
+  /** When the replica last became warm and idle; null while it is not. */
   idleSinceMs: number | null;
-  /** The step of loading or unloading that is under way. */
+  /** The current step of loading or unloading. */
   step: Transfer | undefined;
 }
 
-/** What a replica table works with. */
-export interface ReplicaTableParts {
+export interface ReplicaTableDependencies {
   options: EngineOptions;
   clock: Clock;
   gate: FreezeGate;
   cache: CheckpointCache;
   source: CheckpointSource;
   observer: EngineObserver;
-  /** Called when a replica stops serving, to cut off what it runs. */
+  /** Called when a replica stops serving, to cut off its requests. */
   onUnload(slotId: SlotId): void;
 }
 
-/** Loads and unloads replicas and keeps count of their memory. */
+/** Loads and unloads replicas and accounts for their memory. */
 export class ReplicaTable {
   private readonly entries = new Map<SlotId, ReplicaEntry>();
 
-  constructor(private readonly parts: ReplicaTableParts) {}
+  constructor(private readonly deps: ReplicaTableDependencies) {}
 
   list(): ReplicaSummary[] {
     return [...this.entries.values()].map(entry => {
@@ -65,28 +63,28 @@
     });
   }
 
-  /** The replicas of `name` or `name:adapter` with the given status. */
+  /** The replicas of model `name` (or `model:adapter`) in the given status. */
   find(name: string, status: ReplicaSummary['status']): Replica[] {
     return [...this.entries.values()].filter(
       entry => entry.status === status && formatRequestModel(entry) === name,
     );
   }
 
-  /** Carries a load order out; throws `out-of-memory`. */
+  /** Starts loading a replica; throws `out-of-memory`. */
   load(order: LoadOrder): void {
-    const present = this.entries.get(order.slotId);
-    if (present?.status === 'unloading') {
+    const existing = this.entries.get(order.slotId);
+    if (existing?.status === 'unloading') {
       const message = `${order.slotId} still holds its memory.`;
       throw new HttpProblem(409, 'out-of-memory', message);
     }
-    if (present) return;
-    const {memoryMib, checksMemory} = this.parts.options;
+    if (existing) return;
+    const {memoryMib, checksMemory} = this.deps.options;
     const usedMib = this.usedMib() + order.memoryMib;
     if (checksMemory && usedMib > memoryMib) {
       const message = `${usedMib} MiB do not fit into ${memoryMib} MiB.`;
       throw new HttpProblem(409, 'out-of-memory', message);
     }
-    this.begin(order);
+    this.startLoading(order);
   }
 
   unload(slotId: SlotId): void {
@@ -94,55 +92,60 @@
     if (!entry || entry.status === 'unloading') return;
     entry.step?.cancel();
     entry.status = 'unloading';
-    entry.observation.unloadingMs = this.parts.clock.wallMs();
-    this.parts.onUnload(slotId);
-    this.endIdle(entry);
-    this.after(entry, this.parts.options.unloadMs, () => this.remove(entry));
+    entry.observation.unloadingMs = this.deps.clock.wallMs();
+    this.deps.onUnload(slotId);
+    this.endIdlePeriod(entry);
+    this.scheduleStep(entry, this.deps.options.unloadMs, () =>
+      this.remove(entry),
+    );
   }
 
-  noteStart(replica: Replica): void {
+  recordStart(replica: Replica): void {
     const entry = this.entries.get(replica.slotId);
     replica.runningRequests += 1;
-    if (entry) this.endIdle(entry);
+    if (entry) this.endIdlePeriod(entry);
   }
 
-  noteEnd(replica: Replica): void {
+  recordEnd(replica: Replica): void {
     const entry = this.entries.get(replica.slotId);
     replica.runningRequests -= 1;
-    if (entry && entry.runningRequests === 0) this.beginIdle(entry);
+    if (entry && entry.runningRequests === 0) this.startIdlePeriod(entry);
   }
 
-  /** Idle time of the stretches of rest that still last. */
+  /** Idle time of the idle periods that have not ended. */
   openIdleMs(): number {
-    const nowMs = this.parts.clock.monotonicMs();
+    const nowMs = this.deps.clock.monotonicMs();
     return [...this.entries.values()].reduce((sum, entry) => {
       const durationMs = nowMs - (entry.idleSinceMs ?? nowMs);
-      return sum + this.parts.observer.toIdleMs(entry.memoryMib, durationMs);
+      return (
+        sum +
+        this.deps.observer.toIdleAcceleratorMs(entry.memoryMib, durationMs)
+      );
     }, 0);
   }
 
-  /** Begins a new observation with what is loaded now. */
+  /** Restarts idle times and memory use for the replicas loaded now. */
   restartObservation(): void {
-    const nowMs = this.parts.clock.monotonicMs();
+    const nowMs = this.deps.clock.monotonicMs();
     [...this.entries.values()]
       .filter(entry => entry.idleSinceMs !== null)
       .forEach(entry => (entry.idleSinceMs = nowMs));
-    this.parts.observer.noteMemory(this.usedMib());
+    this.deps.observer.recordMemoryUse(this.usedMib());
   }
 
-  /** Ends everything at once, as when the process dies. */
+  /** Removes all replicas immediately, as in a process crash. */
   stop(): void {
     [...this.entries.values()].forEach(entry => {
       entry.step?.cancel();
-      this.parts.onUnload(entry.slotId);
-      this.endIdle(entry);
+      this.deps.onUnload(entry.slotId);
+      this.endIdlePeriod(entry);
       this.remove(entry);
     });
   }
 
-  private begin(order: LoadOrder): void {
+  private startLoading(order: LoadOrder): void {
     const {slotId, model, adapter, version, memoryMib} = order;
-    const {clock, cache, observer} = this.parts;
+    const {clock, cache, observer} = this.deps;
     const tier = cache.tierOf(order);
     const observation: ReplicaObservation = {
       slotId,
@@ -166,63 +169,67 @@
     };
     this.entries.set(slotId, entry);
     observer.replicas.push(observation);
-    observer.noteMemory(this.usedMib());
+    observer.recordMemoryUse(this.usedMib());
     this.fetch(entry, tier, () => this.initialise(entry));
   }
 
   private fetch(entry: ReplicaEntry, tier: CacheTier, next: () => void): void {
-    const {options, source, gate} = this.parts;
+    const {options, source, gate} = this.deps;
     const {diskLoadMs, memoryLoadMs, sizeFactor} = options;
     if (tier === 'remote') {
-      const onDone = () => gate.pass(() => this.ifLoading(entry, next));
+      const onDone = () => gate.pass(() => this.runIfLoading(entry, next));
       entry.step = source.fetch(entry, sizeFactor, onDone);
       return;
     }
     const delayMs = tier === 'disk' ? diskLoadMs : memoryLoadMs;
-    this.after(entry, delayMs, () => this.ifLoading(entry, next));
+    this.scheduleStep(entry, delayMs, () => this.runIfLoading(entry, next));
   }
 
   private initialise(entry: ReplicaEntry): void {
-    this.parts.cache.put(entry, 'memory');
-    this.after(entry, this.parts.options.initMs, () =>
-      this.ifLoading(entry, () => this.becomeWarm(entry)),
+    this.deps.cache.put(entry, 'memory');
+    this.scheduleStep(entry, this.deps.options.initMs, () =>
+      this.runIfLoading(entry, () => this.markWarm(entry)),
     );
   }
 
-  private becomeWarm(entry: ReplicaEntry): void {
-    const {clock} = this.parts;
+  private markWarm(entry: ReplicaEntry): void {
+    const {clock} = this.deps;
     entry.step = undefined;
     entry.status = 'warm';
     entry.loadMs = Math.round(clock.monotonicMs() - entry.startedMs);
     entry.observation.warmMs = clock.wallMs();
-    this.beginIdle(entry);
+    this.startIdlePeriod(entry);
   }
 
   private remove(entry: ReplicaEntry): void {
     this.entries.delete(entry.slotId);
-    entry.observation.unloadedMs = this.parts.clock.wallMs();
+    entry.observation.unloadedMs = this.deps.clock.wallMs();
   }
 
-  private after(entry: ReplicaEntry, delayMs: number, next: () => void): void {
-    const {clock, gate} = this.parts;
+  private scheduleStep(
+    entry: ReplicaEntry,
+    delayMs: number,
+    next: () => void,
+  ): void {
+    const {clock, gate} = this.deps;
     entry.step = clock.setTimer(delayMs, () => gate.pass(next));
   }
 
-  /** A step held up by a freeze may end after its replica was unloaded. */
-  private ifLoading(entry: ReplicaEntry, next: () => void): void {
+  /** Guards against a step that a freeze delayed past its replica's unload. */
+  private runIfLoading(entry: ReplicaEntry, next: () => void): void {
     const isCurrent = this.entries.get(entry.slotId) === entry;
     if (isCurrent && entry.status === 'loading') next();
   }
 
-  private beginIdle(entry: ReplicaEntry): void {
+  private startIdlePeriod(entry: ReplicaEntry): void {
     if (entry.status !== 'warm') return;
-    entry.idleSinceMs = this.parts.clock.monotonicMs();
+    entry.idleSinceMs = this.deps.clock.monotonicMs();
   }
 
-  private endIdle(entry: ReplicaEntry): void {
+  private endIdlePeriod(entry: ReplicaEntry): void {
     if (entry.idleSinceMs === null) return;
-    const durationMs = this.parts.clock.monotonicMs() - entry.idleSinceMs;
-    this.parts.observer.addIdle(entry.memoryMib, durationMs);
+    const durationMs = this.deps.clock.monotonicMs() - entry.idleSinceMs;
+    this.deps.observer.addIdleTime(entry.memoryMib, durationMs);
     entry.idleSinceMs = null;
   }
 
--- a/packages/stand-ins/src/engine/request_batch.ts
+++ b/packages/stand-ins/src/engine/request_batch.ts
@@ -1,4 +1,4 @@
-/** Continuous batching: which requests run, and what their answers are. */
+/** Continuous batching: schedules requests and produces their answers. */
 import {type Clock, type Timer} from '@mimosatack/clock';
 import {type SlotId} from '@mimosatack/types';
 import {type FreezeGate} from '../shared/freeze_gate.js';
@@ -7,19 +7,18 @@
 import {type EngineFaults, type EngineOptions} from './engine_options.js';
 import {type Replica, type ReplicaTable} from './replica_table.js';
 
-/** What is known of an answer before it is begun. */
+/** The answer of a request, computed before it runs. */
 export interface AnswerPlan {
   header: AnswerHeader;
-  /** The whole answer. */
   tokens: readonly string[];
   prefixHashes: readonly string[];
-  /** Fraction of the prompt that was in the prefix cache. */
+  /** Fraction of the prompt's blocks found in the prefix cache. */
   cachedFraction: number;
 }
 
 /** One request from its arrival to the end of its stream. */
 export class RequestRun {
-  /** Stream chunks so far; the index of a chunk is its event id. */
+  /** The stream chunks so far; a chunk's index is its event id. */
   readonly chunks: string[] = [];
   timer: Timer | undefined;
   private listeners: Array<() => void> = [];
@@ -34,7 +33,7 @@
     return this.observation.endedMs !== null;
   }
 
-  /** Calls `listener` on every new chunk and at the end. */
+  /** Calls `listener` after every new chunk and at the end of the run. */
   onProgress(listener: () => void): void {
     this.listeners.push(listener);
   }
@@ -44,8 +43,7 @@
   }
 }
 
-/** What a request batch works with. */
-export interface RequestBatchParts {
+export interface RequestBatchDependencies {
   options: EngineOptions;
   clock: Clock;
   gate: FreezeGate;
@@ -53,7 +51,7 @@
   replicas: ReplicaTable;
 }
 
-/** How much of the time to the first token a fully cached prompt saves. */
+/** Fraction of the time to first token that a fully cached prompt saves. */
 const PREFIX_CACHE_SAVING = 0.8;
 
 /** Runs up to `maxRunning` requests at once; the others queue. */
@@ -61,35 +59,35 @@
   private queue: RequestRun[] = [];
   private running: RequestRun[] = [];
 
-  constructor(private readonly parts: RequestBatchParts) {}
+  constructor(private readonly deps: RequestBatchDependencies) {}
 
   get counts(): {running: number; queued: number} {
     return {running: this.running.length, queued: this.queue.length};
   }
 
-  /** Requests that run on a replica or wait for it. */
+  /** The number of running and queued requests of a replica. */
   countOn(slotId: SlotId): number {
     return [...this.queue, ...this.running].filter(
       run => run.replica.slotId === slotId,
     ).length;
   }
 
-  /** Queues a request by priority, then arrival. */
+  /** Queues a request by priority, then arrival order. */
   add(run: RequestRun): void {
     const {priority} = run.observation;
-    const behind = this.queue.findIndex(
+    const position = this.queue.findIndex(
       other => other.observation.priority < priority,
     );
-    this.queue.splice(behind < 0 ? this.queue.length : behind, 0, run);
+    this.queue.splice(position < 0 ? this.queue.length : position, 0, run);
     this.startQueued();
   }
 
-  /** Ends a request early; one that has ended stays as it is. */
+  /** Ends a request early; does nothing if it has ended. */
   stop(run: RequestRun, outcome: 'cancelled' | 'cut-off'): void {
     if (!run.isEnded) this.end(run, outcome);
   }
 
-  /** Cuts off whatever runs or waits on a replica that goes away. */
+  /** Ends all running and queued requests of an unloaded replica. */
   cutOff(slotId: SlotId): void {
     [...this.queue, ...this.running]
       .filter(run => run.replica.slotId === slotId)
@@ -97,7 +95,7 @@
   }
 
   private startQueued(): void {
-    while (this.running.length < this.parts.options.maxRunning) {
+    while (this.running.length < this.deps.options.maxRunning) {
       const run = this.queue.shift();
       if (!run) return;
       this.start(run);
@@ -106,15 +104,15 @@
 
   private start(run: RequestRun): void {
     this.running.push(run);
-    run.observation.startedMs = this.parts.clock.wallMs();
+    run.observation.startedMs = this.deps.clock.wallMs();
     run.observation.outcome = 'running';
-    this.parts.replicas.noteStart(run.replica);
-    const share = 1 - PREFIX_CACHE_SAVING * run.plan.cachedFraction;
-    this.setTokenTimer(run, this.parts.options.firstTokenMs * share);
+    this.deps.replicas.recordStart(run.replica);
+    const delayFactor = 1 - PREFIX_CACHE_SAVING * run.plan.cachedFraction;
+    this.setTokenTimer(run, this.deps.options.firstTokenMs * delayFactor);
   }
 
   private setTokenTimer(run: RequestRun, delayMs: number): void {
-    const {clock, gate, faults} = this.parts;
+    const {clock, gate, faults} = this.deps;
     run.timer = clock.setTimer(delayMs * faults.slowTokenFactor, () =>
       gate.pass(() => this.emitToken(run)),
     );
@@ -127,9 +125,9 @@
     run.chunks.push(
       formatChunk(run.plan.header, run.plan.tokens[index] ?? '', isLast),
     );
-    run.observation.firstTokenMs ??= this.parts.clock.wallMs();
+    run.observation.firstTokenMs ??= this.deps.clock.wallMs();
     if (isLast) return this.end(run, 'finished');
-    this.setTokenTimer(run, this.parts.options.tokenMs);
+    this.setTokenTimer(run, this.deps.options.tokenMs);
     run.notifyProgress();
   }
 
@@ -139,8 +137,8 @@
   ): void {
     run.timer?.cancel();
     run.observation.outcome = outcome;
-    run.observation.endedMs = this.parts.clock.wallMs();
-    if (this.running.includes(run)) this.parts.replicas.noteEnd(run.replica);
+    run.observation.endedMs = this.deps.clock.wallMs();
+    if (this.running.includes(run)) this.deps.replicas.recordEnd(run.replica);
     this.running = this.running.filter(other => other !== run);
     this.queue = this.queue.filter(other => other !== run);
     run.notifyProgress();
--- a/packages/stand-ins/src/engine/stream_writer.ts
+++ b/packages/stand-ins/src/engine/stream_writer.ts
@@ -1,4 +1,4 @@
-/** Writes the stream of a request, well or with faults. */
+/** Writes the event stream of a request, subject to stream faults. */
 import {type ServerResponse} from 'node:http';
 import {type EngineStandIn} from './engine_core.js';
 import {formatChunk} from './completion.js';
@@ -9,16 +9,16 @@
   'cache-control': 'no-cache',
 };
 
-/** One connection on which a stream is sent. */
+/** Sends the stream of one run on one connection. */
 export class StreamWriter {
   private nextId: number;
   private sentChunks = 0;
-  /** A chunk that is sent after its successor. */
+  /** An event that is sent after its successor (`reorderFraction`). */
   private heldEvent: string | undefined;
-  private isOver = false;
+  private isFinished = false;
   private readonly resetAfterChunks: number;
 
-  /** @param from the first event to send. */
+  /** @param from the id of the first event to send. */
   constructor(
     private readonly core: EngineStandIn,
     private readonly run: RequestRun,
@@ -31,18 +31,18 @@
       : Infinity;
   }
 
-  /** Sends what there is, and the rest as it comes. */
-  begin(): void {
+  /** Sends the existing chunks, then each new one. */
+  start(): void {
     this.response.writeHead(200, STREAM_HEADERS);
     this.response.flushHeaders();
-    this.run.onProgress(() => this.pump());
-    this.pump();
+    this.run.onProgress(() => this.sendNewChunks());
+    this.sendNewChunks();
   }
 
-  private pump(): void {
-    if (this.isOver) return;
-    const fresh = this.run.chunks.slice(this.nextId);
-    fresh.forEach(chunk => this.sendChunk(this.nextId++, chunk));
+  private sendNewChunks(): void {
+    if (this.isFinished) return;
+    const newChunks = this.run.chunks.slice(this.nextId);
+    newChunks.forEach(chunk => this.sendChunk(this.nextId++, chunk));
     if (this.sentChunks >= this.resetAfterChunks) return this.reset();
     if (this.run.isEnded) this.finish();
   }
@@ -52,7 +52,7 @@
     this.sentChunks += 1;
     const {faults, random} = this.core;
     const {reorderFraction, doubleFraction} = faults.values;
-    const event = formatEvent(id, this.crossChunk(id, chunk));
+    const event = formatEvent(id, this.applyCrossedAnswer(id, chunk));
     const isHeld = !this.heldEvent && random.nextFraction() < reorderFraction;
     if (isHeld) {
       this.heldEvent = event;
@@ -63,12 +63,12 @@
     this.releaseHeld();
   }
 
-  /** The chunk itself, or one that belongs to another request. */
-  private crossChunk(id: number, chunk: string): string {
+  /** The chunk, or a chunk of another request (`crossedAnswers`). */
+  private applyCrossedAnswer(id: number, chunk: string): string {
     const {core, run} = this;
     if (!core.faults.take('crossedAnswers')) return chunk;
     const other = core.findOtherRun(run);
-    return other?.chunks[id] ?? other?.chunks[0] ?? foreignChunk(run);
+    return other?.chunks[id] ?? other?.chunks[0] ?? makeForeignChunk(run);
   }
 
   private releaseHeld(): void {
@@ -83,14 +83,14 @@
     if (outcome === 'finished') {
       this.write(formatEvent(this.run.chunks.length, '[DONE]'));
     }
-    this.isOver = true;
+    this.isFinished = true;
     this.response.end();
   }
 
-  /** Destroys the connection once what was written has been sent. */
+  /** Destroys the connection after flushing written data. */
   private reset(): void {
     this.releaseHeld();
-    this.isOver = true;
+    this.isFinished = true;
     this.response.write('', () => this.response.destroy());
   }
 
@@ -103,7 +103,7 @@
   return `id: ${id}\ndata: ${data}\n\n`;
 }
 
-function foreignChunk({plan}: RequestRun): string {
+function makeForeignChunk({plan}: RequestRun): string {
   const {header} = plan;
   const requestId = `not-${header.requestId}`;
   return formatChunk({...header, requestId}, 'foreign ', false);
--- a/packages/stand-ins/src/engine_main.ts
+++ b/packages/stand-ins/src/engine_main.ts
@@ -1,4 +1,4 @@
-/** Program: one model engine. */
+/** Runs one model engine stand-in. */
 import {DEFAULT_ENGINE_OPTIONS} from './engine/engine_options.js';
 import {startEngineStandIn} from './engine/engine_server.js';
 import {parseFlags, runProgram} from './shared/program.js';
--- a/packages/stand-ins/src/platform/host_list.test.ts
+++ b/packages/stand-ins/src/platform/host_list.test.ts
@@ -8,8 +8,15 @@
 
 function makeEntry(hostId: string): HostEntry {
   const baseUrl = `http://127.0.0.1/${hostId}`;
-  const place = {failureDomain: 'hall-a', region: 'sask-central'};
-  return {hostId, role: 'runner', baseUrl, pool: 'p', state: 'live', ...place};
+  const location = {failureDomain: 'hall-a', region: 'sask-central'};
+  return {
+    hostId,
+    role: 'runner',
+    baseUrl,
+    pool: 'p',
+    state: 'live',
+    ...location,
+  };
 }
 
 test('shows changes after the lag and tells the truth to observers', () => {
--- a/packages/stand-ins/src/platform/host_list.ts
+++ b/packages/stand-ins/src/platform/host_list.ts
@@ -6,20 +6,20 @@
 
 /** Faults of the host list. */
 export interface HostListFaults extends PlatformFaults {
-  /** How long a change made from now on stays unseen. */
+  /** Delay before a new change becomes visible. */
   lagMs: number;
 }
 
-/** One change of the truth; a null entry means that the host is gone. */
+/** One change of a host; a null entry means that it was removed. */
 export interface HostChange {
   hostId: HostId;
   entry: HostEntry | null;
   atMs: number;
-  /** When `GET /v1/hosts` begins to show it. */
+  /** When the change becomes visible in `GET /v1/hosts`. */
   visibleAtMs: number;
 }
 
-/** The hosts as they are, and as the list shows them. */
+/** The actual hosts, and the delayed list that callers see. */
 export class HostListStandIn {
   readonly faults: FaultSet<HostListFaults>;
   private changes: HostChange[] = [];
@@ -34,24 +34,24 @@
     this.faults = new FaultSet({...NO_PLATFORM_FAULTS, lagMs});
   }
 
-  /** Adds a host or replaces what is said of it. */
+  /** Adds or replaces the entry of a host. */
   put(entry: HostEntry): void {
     this.actual.set(entry.hostId, entry);
-    this.change(entry.hostId, entry);
+    this.recordChange(entry.hostId, entry);
   }
 
   remove(hostId: HostId): void {
     this.actual.delete(hostId);
-    this.change(hostId, null);
+    this.recordChange(hostId, null);
   }
 
-  /** Marks a host as live or leaving; an unknown one is left alone. */
+  /** Sets the state of a host; ignores an unknown id. */
   setState(hostId: HostId, state: HostEntry['state']): void {
     const entry = this.actual.get(hostId);
     if (entry) this.put({...entry, state});
   }
 
-  /** The list as a caller sees it now. */
+  /** The hosts that are visible to callers now. */
   listHosts(): HostEntry[] {
     const nowMs = this.clock.wallMs();
     const due = this.pending.filter(change => change.visibleAtMs <= nowMs);
@@ -81,7 +81,7 @@
     this.changes = [];
   }
 
-  private change(hostId: HostId, entry: HostEntry | null): void {
+  private recordChange(hostId: HostId, entry: HostEntry | null): void {
     const atMs = this.clock.wallMs();
     const visibleAtMs = atMs + this.faults.values.lagMs;
     const change = {hostId, entry, atMs, visibleAtMs};
--- a/packages/stand-ins/src/platform/log_service.ts
+++ b/packages/stand-ins/src/platform/log_service.ts
@@ -7,15 +7,14 @@
 
 /** Faults of one platform service. */
 export interface PlatformFaults extends ConnectionFaults {
-  /** Answers 503 to everything. */
+  /** Answers every request with 503. */
   down: boolean;
-  /** Delay before a request takes effect; it does also if its caller left. */
+  /** Delay before a request takes effect, even if its caller disconnects. */
   slowMs: number;
-  /** When not empty, `down`, `slowMs` and "next N" hit these callers alone. */
+  /** If not empty, only these callers see `down`, `slowMs` and "next N". */
   onlyNodes: string[];
 }
 
-/** A platform service without a fault. */
 export const NO_PLATFORM_FAULTS: PlatformFaults = {
   cutNodes: [],
   down: false,
@@ -25,13 +24,13 @@
 
 /** Faults of the log service. */
 export interface LogFaults extends PlatformFaults {
-  /** Next N appends: the record is kept, the connection destroyed. */
+  /** Next N appends: the record is stored, the connection destroyed. */
   loseAppendAnswers: number;
-  /** Next N appends: answered 503, and nothing is kept. */
+  /** Next N appends: answered with 503, and the record is not stored. */
   refuseAppends: number;
 }
 
-/** One record that was truly appended, whether or not it is still kept. */
+/** One appended record, including records trimmed since. */
 export interface AppendedRecord {
   offset: LogOffset;
   data: Uint8Array;
@@ -39,14 +38,13 @@
   nodeId: string | null;
 }
 
-/** What to read from a stream. */
 export interface ReadRange {
   stream: string;
   from: LogOffset;
   limit: number;
 }
 
-/** What truly happened to one stream. */
+/** The recorded state of one stream, as ground truth for tests. */
 export interface StreamObservation {
   stream: string;
   /** Records appended since the start or the last reset. */
@@ -61,21 +59,21 @@
   /** Every record ever appended; its index is its offset. */
   history: AppendedRecord[];
   firstOffset: LogOffset;
-  /** Where the observation began. */
+  /** The next offset at the last reset. */
   observedFrom: LogOffset;
   lostAnswers: number;
 }
 
-/** Streams that only grow at the end and are trimmed at the start. */
+/** Append-only streams that are trimmed at the start. */
 export class LogServiceStandIn {
   readonly faults = new FaultSet<LogFaults>(
     {...NO_PLATFORM_FAULTS, loseAppendAnswers: 0, refuseAppends: 0},
     () => this.wakeReaders(),
   );
   private readonly streams = new Map<string, LogStream>();
-  private waiting: Array<() => void> = [];
+  private waitingReaders: Array<() => void> = [];
 
-  /** @param keepRecords how many records each stream keeps. */
+  /** @param keepRecords the number of records retained in each stream. */
   constructor(
     private readonly clock: Clock,
     private readonly keepRecords = Number.MAX_SAFE_INTEGER,
@@ -94,7 +92,7 @@
     return offset;
   }
 
-  /** Reads what there is; throws `trimmed` when `from` is no longer kept. */
+  /** Reads existing records; throws `trimmed` if `from` was trimmed. */
   read({stream, from, limit}: ReadRange): LogPage {
     const {history, firstOffset} = this.openStream(stream);
     if (from < firstOffset) {
@@ -113,27 +111,29 @@
     return new Promise(resolve => {
       const wake = () => {
         timer.cancel();
-        this.waiting = this.waiting.filter(other => other !== wake);
+        this.waitingReaders = this.waitingReaders.filter(
+          other => other !== wake,
+        );
         resolve();
       };
       const timer = this.clock.setTimer(waitMs, wake);
-      this.waiting.push(wake);
+      this.waitingReaders.push(wake);
     });
   }
 
-  /** Forgets records before `firstOffset`. */
+  /** Removes records before `firstOffset`; never moves backwards. */
   trim(stream: string, firstOffset: LogOffset): void {
     const log = this.openStream(stream);
     const bounded = Math.min(firstOffset, log.history.length);
     log.firstOffset = Math.max(log.firstOffset, bounded);
   }
 
-  /** Every record ever appended, also those that are trimmed. */
+  /** Every record ever appended, including trimmed ones. */
   readHistory(stream: string): readonly AppendedRecord[] {
     return this.streams.get(stream)?.history ?? [];
   }
 
-  /** Notes that an append took effect but its answer was not sent. */
+  /** Records that an append succeeded but its answer was not sent. */
   noteLostAnswer(stream: string): void {
     this.openStream(stream).lostAnswers += 1;
   }
@@ -157,14 +157,14 @@
     });
   }
 
-  /** Wakes long polls, so that they see new records and new faults. */
+  /** Wakes long polls, so that they check for new records and faults. */
   private wakeReaders(): void {
-    [...this.waiting].forEach(wake => wake());
+    [...this.waitingReaders].forEach(wake => wake());
   }
 
   private openStream(stream: string): LogStream {
-    const known = this.streams.get(stream);
-    if (known) return known;
+    const existing = this.streams.get(stream);
+    if (existing) return existing;
     const log = {history: [], firstOffset: 0, observedFrom: 0, lostAnswers: 0};
     this.streams.set(stream, log);
     return log;
--- a/packages/stand-ins/src/platform/platform_core.ts
+++ b/packages/stand-ins/src/platform/platform_core.ts
@@ -1,4 +1,4 @@
-/** The three platform services that run in one program. */
+/** The three platform services that run in one process. */
 import {type Clock, SystemClock} from '@mimosatack/clock';
 import {type ControlTarget} from '../shared/http_server.js';
 import {type JsonObject, badRequest} from '../shared/input.js';
@@ -6,17 +6,16 @@
 import {LogServiceStandIn} from './log_service.js';
 import {WeightStoreStandIn} from './weight_store.js';
 
-/** Settings of the platform stand-in; the flags have the same names. */
+/** Settings of the platform stand-in; each is also a command-line flag. */
 export interface PlatformOptions {
   port: number;
-  /** How many records each stream keeps. */
+  /** The number of records retained in each stream. */
   keepRecords: number;
   hostListLagMs: number;
   loadsPerSecond: number;
   fullSpeedLoads: number;
 }
 
-/** Settings used where none are given. */
 export const DEFAULT_PLATFORM_OPTIONS: PlatformOptions = {
   port: 0,
   keepRecords: 1_000_000,
@@ -25,7 +24,7 @@
   fullSpeedLoads: 4,
 };
 
-/** Log service, host list and weight store side by side. */
+/** The log service, host list and weight store. */
 export class PlatformStandIn implements ControlTarget {
   readonly log: LogServiceStandIn;
   readonly hosts: HostListStandIn;
@@ -53,7 +52,7 @@
     };
   }
 
-  /** Takes `{"log":{…},"hosts":{…},"weightStore":{…}}`, each optional. */
+  /** Accepts `{"log":{…},"hosts":{…},"weightStore":{…}}`, each optional. */
   setFaults(input: JsonObject): void {
     Object.entries(input).forEach(([service, faults]) =>
       this.findFaults(service).setFromJson(faults as JsonObject),
--- a/packages/stand-ins/src/platform/platform_server.test.ts
+++ b/packages/stand-ins/src/platform/platform_server.test.ts
@@ -26,8 +26,7 @@
 }
 
 test('keeps a record whose answer is lost', () =>
-  // A writer sees its connection break and cannot know whether its record was
-  // kept. The service appends it and drops the connection before answering.
+  // Reproduces an append that succeeds although its writer sees a failure.
   withPlatform(async ({baseUrl, core}) => {
     core.log.faults.set({loseAppendAnswers: 1});
     await assertRejects(append(baseUrl, 'a'));
@@ -46,8 +45,7 @@
   }));
 
 test('ends a long poll when the service goes down', () =>
-  // A reader waits for the next record when the service goes down; it must
-  // hear of it and not wait for a record that cannot come.
+  // Guards against a reader that waits out its long poll on a failed service.
   withPlatform(async ({baseUrl, core}) => {
     const url = `${baseUrl}/v1/streams/s/records?from=0&waitMs=60000`;
     const poll = request(url);
--- a/packages/stand-ins/src/platform/platform_server.ts
+++ b/packages/stand-ins/src/platform/platform_server.ts
@@ -11,8 +11,8 @@
   type RunningStandIn,
   createHttpServer,
   destroyConnection,
-  installControl,
-  isCut,
+  installControlRoutes,
+  isNodeCut,
   listenOnLoopback,
   readNodeId,
 } from '../shared/http_server.js';
@@ -42,7 +42,7 @@
   Params: {hostId: string};
 }
 
-/** Starts log service, host list and weight store on one port. */
+/** Starts the log service, host list and weight store on one port. */
 export async function startPlatformStandIn(
   options: Partial<PlatformOptions> = {},
   clock: Clock = new SystemClock(),
@@ -53,7 +53,7 @@
   installLogRoutes(server, core);
   installHostRoutes(server, core);
   installWeightStoreRoutes(server, core);
-  installControl(server, core);
+  installControlRoutes(server, core);
   const baseUrl = await listenOnLoopback(server, settings.port);
   const close = async () => {
     core.log.faults.set({down: true});
@@ -71,15 +71,15 @@
     '/v1/streams/:stream/records',
     async (request, reply) => {
       if (!(await admit(core, log.faults.values, request, reply))) return reply;
-      const hit = isHit(request, log.faults.values);
-      if (hit && log.faults.take('refuseAppends')) throw unavailable();
+      const isAffected = isAffectedCaller(request, log.faults.values);
+      if (isAffected && log.faults.take('refuseAppends')) throw unavailable();
       const {stream} = request.params;
       const offset = log.append(
         stream,
         readBytes(request),
         readNodeId(request),
       );
-      if (!hit || !log.faults.take('loseAppendAnswers')) return {offset};
+      if (!isAffected || !log.faults.take('loseAppendAnswers')) return {offset};
       log.noteLostAnswer(stream);
       destroyConnection(request, reply);
       return reply;
@@ -102,7 +102,7 @@
   });
 }
 
-/** Waits for a record at `from`, but looks again when faults change. */
+/** Long-polls for a record at `from`; checks faults again on each wake. */
 async function readPage(
   core: PlatformStandIn,
   request: FastifyRequest<StreamRoute>,
@@ -110,17 +110,17 @@
 ) {
   const {log, clock} = core;
   const {from, limit, waitMs} = request.query;
-  const ask = {
+  const range = {
     stream: request.params.stream,
     from: toNumber(from, 0),
     limit: toNumber(limit, DEFAULT_PAGE_RECORDS),
   };
-  const untilMs = clock.monotonicMs() + toNumber(waitMs, 0);
-  let page = log.read(ask);
-  while (page.records.length === 0 && clock.monotonicMs() < untilMs) {
-    await log.waitForChange(untilMs - clock.monotonicMs());
-    if (!checkAccess(log.faults.values, request, reply)) return reply;
-    page = log.read(ask);
+  const deadlineMs = clock.monotonicMs() + toNumber(waitMs, 0);
+  let page = log.read(range);
+  while (page.records.length === 0 && clock.monotonicMs() < deadlineMs) {
+    await log.waitForChange(deadlineMs - clock.monotonicMs());
+    if (!checkAvailable(log.faults.values, request, reply)) return reply;
+    page = log.read(range);
   }
   return {...page, records: page.records.map(toJsonRecord)};
 }
@@ -173,42 +173,45 @@
     };
     const sizeFactor = readNumber(body, 'sizeFactor', 1);
     await new Promise<void>(resolve => {
-      const ask = {ref, sizeFactor, nodeId: readNodeId(request)};
-      const transfer = weightStore.fetch(ask, resolve);
+      const fetchRequest = {ref, sizeFactor, nodeId: readNodeId(request)};
+      const transfer = weightStore.fetch(fetchRequest, resolve);
       reply.raw.once('close', () => transfer.cancel());
     });
     return {};
   });
 }
 
-/** Lets faults act on a request; false when it has been dealt with. */
+/** Applies faults to a request; false if its connection was destroyed. */
 async function admit(
   core: PlatformStandIn,
   faults: PlatformFaults,
   request: FastifyRequest,
   reply: FastifyReply,
 ): Promise<boolean> {
-  if (!checkAccess(faults, request, reply)) return false;
-  if (faults.slowMs > 0 && isHit(request, faults)) {
+  if (!checkAvailable(faults, request, reply)) return false;
+  if (faults.slowMs > 0 && isAffectedCaller(request, faults)) {
     await sleep(core.clock, faults.slowMs);
   }
-  return checkAccess(faults, request, reply);
+  return checkAvailable(faults, request, reply);
 }
 
-function checkAccess(
+function checkAvailable(
   faults: PlatformFaults,
   request: FastifyRequest,
   reply: FastifyReply,
 ): boolean {
-  if (isCut(request, faults)) {
+  if (isNodeCut(request, faults)) {
     destroyConnection(request, reply);
     return false;
   }
-  if (faults.down && isHit(request, faults)) throw unavailable();
+  if (faults.down && isAffectedCaller(request, faults)) throw unavailable();
   return true;
 }
 
-function isHit(request: FastifyRequest, {onlyNodes}: PlatformFaults): boolean {
+function isAffectedCaller(
+  request: FastifyRequest,
+  {onlyNodes}: PlatformFaults,
+): boolean {
   const nodeId = readNodeId(request);
   return (
     onlyNodes.length === 0 || (nodeId !== null && onlyNodes.includes(nodeId))
--- a/packages/stand-ins/src/platform/transfer_model.test.ts
+++ b/packages/stand-ins/src/platform/transfer_model.test.ts
@@ -5,7 +5,7 @@
 
 const test = suite('transfer model');
 
-/** A store that gives one transfer its full speed for 500 ms. */
+/** A store in which one transfer of size 1 takes 500 ms at full speed. */
 function setUp() {
   const clock = new ManualClock();
   const limits = {loadsPerSecond: 8, fullSpeedLoads: 4};
--- a/packages/stand-ins/src/platform/transfer_model.ts
+++ b/packages/stand-ins/src/platform/transfer_model.ts
@@ -1,39 +1,39 @@
-/** How long transfers from a rate-limited weight store take. */
+/** Models the duration of transfers from a rate-limited weight store. */
 import {type Clock, type Timer} from '@mimosatack/clock';
 import {type WeightStoreLimits} from '@mimosatack/platform';
 
-/** Work left that is no more than rounding of the clock. */
+/** Remaining work below this is a rounding error, and the transfer is done. */
 const ROUNDING_MS = 1e-6;
 
-/** A transfer that is going on. */
+/** A transfer in progress. */
 export interface Transfer {
-  /** Gives the transfer up; its share goes to the others. */
+  /** Cancels the transfer and frees its share of the bandwidth. */
   cancel(): void;
 }
 
 interface ActiveTransfer {
-  /** How long it would still take at full speed. */
+  /** The remaining time at full speed. */
   remainingMs: number;
   onDone: () => void;
 }
 
 /**
- * Shares the bandwidth of the store evenly among the transfers under way
- * (processor sharing). Up to `fullSpeedLoads` run at full speed, which is
- * `fullSpeedLoads / loadsPerSecond` seconds for a transfer of size 1; with
- * more of them each is slower, so that `loadsPerSecond` is never exceeded.
+ * Shares the bandwidth of the store evenly among active transfers (processor
+ * sharing). Up to `fullSpeedLoads` transfers run at full speed, at which a
+ * transfer of size 1 takes `fullSpeedLoads / loadsPerSecond` seconds; more
+ * transfers slow each other down, so that `loadsPerSecond` is not exceeded.
  */
 export class TransferModel {
   private active: ActiveTransfer[] = [];
   private slowdownFactor = 1;
-  private settledMs: number;
+  private updatedMs: number;
   private timer: Timer | undefined;
 
   constructor(
     private readonly clock: Clock,
     private readonly limits: WeightStoreLimits,
   ) {
-    this.settledMs = clock.monotonicMs();
+    this.updatedMs = clock.monotonicMs();
   }
 
   get activeTransfers(): number {
@@ -43,33 +43,33 @@
   /**
    * Starts a transfer.
    *
-   * @param sizeFactor size in units of a usual load.
+   * @param sizeFactor size in units of a standard load.
    * @param onDone called once when the transfer is complete.
    */
   start(sizeFactor: number, onDone: () => void): Transfer {
     const {fullSpeedLoads, loadsPerSecond} = this.limits;
     const remainingMs = (sizeFactor * 1000 * fullSpeedLoads) / loadsPerSecond;
     const transfer = {remainingMs, onDone};
-    this.change(() => this.active.push(transfer));
-    return {cancel: () => this.change(() => this.drop(transfer))};
+    this.applyChange(() => this.active.push(transfer));
+    return {cancel: () => this.applyChange(() => this.remove(transfer))};
   }
 
-  /** Makes all transfers slower from now on; 1 is the usual speed. */
+  /** Slows all transfers down by a factor, including active ones. */
   setSlowdown(factor: number): void {
-    this.change(() => (this.slowdownFactor = Math.max(1, factor)));
+    this.applyChange(() => (this.slowdownFactor = Math.max(1, factor)));
   }
 
-  /** Settles what went on at the old speed before anything changes. */
-  private change(apply: () => void): void {
-    this.settle();
+  /** Accounts for progress at the old speed before the speed changes. */
+  private applyChange(apply: () => void): void {
+    this.updateRemaining();
     apply();
     this.setNextTimer();
   }
 
-  private settle(): void {
+  private updateRemaining(): void {
     const nowMs = this.clock.monotonicMs();
-    const workMs = (nowMs - this.settledMs) * this.speed();
-    this.settledMs = nowMs;
+    const workMs = (nowMs - this.updatedMs) * this.speed();
+    this.updatedMs = nowMs;
     this.active.forEach(transfer => (transfer.remainingMs -= workMs));
   }
 
@@ -87,14 +87,14 @@
   }
 
   private finishDue(): void {
-    this.settle();
+    this.updateRemaining();
     const done = this.active.filter(each => each.remainingMs <= ROUNDING_MS);
-    done.forEach(transfer => this.drop(transfer));
+    done.forEach(transfer => this.remove(transfer));
     this.setNextTimer();
     done.forEach(transfer => transfer.onDone());
   }
 
-  private drop(transfer: ActiveTransfer): void {
+  private remove(transfer: ActiveTransfer): void {
     this.active = this.active.filter(other => other !== transfer);
   }
 }
--- a/packages/stand-ins/src/platform/weight_store.ts
+++ b/packages/stand-ins/src/platform/weight_store.ts
@@ -8,11 +8,11 @@
 
 /** Faults of the weight store. */
 export interface WeightStoreFaults extends PlatformFaults {
-  /** How many times slower than usual transfers are, also those under way. */
+  /** Factor by which transfers slow down, including active ones. */
   slowdownFactor: number;
 }
 
-/** One transfer as it truly went. */
+/** One transfer, as ground truth for tests. */
 export interface TransferObservation {
   checkpoint: string;
   nodeId: string | null;
@@ -21,14 +21,14 @@
   status: 'active' | 'done' | 'cancelled';
 }
 
-/** What an engine asks for. */
+/** A checkpoint that an engine fetches. */
 export interface FetchRequest {
   ref: ModelRef;
   sizeFactor: number;
   nodeId: string | null;
 }
 
-/** A store that many engines load from at once. */
+/** A rate-limited store from which engines load concurrently. */
 export class WeightStoreStandIn {
   readonly faults = new FaultSet<WeightStoreFaults>(
     {...NO_PLATFORM_FAULTS, slowdownFactor: 1},
@@ -44,7 +44,7 @@
     this.model = new TransferModel(clock, limits);
   }
 
-  /** Starts a transfer; `onDone` is not called when it is cancelled. */
+  /** Starts a transfer; `onDone` is not called after a cancel. */
   fetch(request: FetchRequest, onDone: () => void): Transfer {
     const observation: TransferObservation = {
       checkpoint: formatModelRef(request.ref),
--- a/packages/stand-ins/src/service/service_core.ts
+++ b/packages/stand-ins/src/service/service_core.ts
@@ -11,17 +11,16 @@
 import {type JsonObject} from '../shared/input.js';
 import {LaggingValue} from '../shared/lagging_value.js';
 
-/** Settings of one service; the flags have the same names. */
+/** Settings of one service; each is also a command-line flag. */
 export interface ServiceOptions extends BackendOptions {
   maxRunning: number;
   /** How long a call runs. */
   runMs: number;
   loadReportLagMs: number;
-  /** The body field by which runs are counted. */
+  /** The JSON body field by which runs are counted. */
   countedField: string;
 }
 
-/** Settings used where none are given. */
 export const DEFAULT_SERVICE_OPTIONS: ServiceOptions = {
   port: 0,
   backendServerId: 's1',
@@ -38,31 +37,30 @@
 
 /** Faults of one service. */
 export interface ServiceFaults extends WorkFaults {
-  /** Added to how long a call runs. */
+  /** Added to the run time of each call. */
   slowMs: number;
 }
 
-/** One call, before it runs. */
 export interface ServiceCall {
   name: string;
   requestId: string | null;
   idempotencyKey: string | null;
-  /** The body as text, whatever its form. */
+  /** The raw body as text. */
   body: string;
 }
 
-/** One run as it truly went. */
+/** One run of a call, as ground truth for tests. */
 export interface RunObservation {
   name: string;
   requestId: string | null;
   idempotencyKey: string | null;
-  /** What the counted field of the body held, if the body is JSON. */
+  /** The counted field as JSON text; null if absent or the body is not JSON. */
   fieldValue: string | null;
   startedMs: number;
   endedMs: number | null;
 }
 
-/** All that `GET /control/observed` of a service tells. */
+/** The response of `GET /control/observed` of a service. */
 export interface ServiceObservation {
   backendServerId: string;
   runs: RunObservation[];
@@ -70,7 +68,7 @@
   runsByField: Record<string, number>;
 }
 
-/** A service whose calls take effect as soon as they start to run. */
+/** A service whose calls take effect when they start to run. */
 export class ServiceStandIn implements ControlTarget, BackendCore {
   readonly faults = new FaultSet<ServiceFaults>({
     cutNodes: [],
@@ -94,7 +92,7 @@
     this.load = new LaggingValue(clock, this.options.loadReportLagMs, 0);
   }
 
-  /** Runs a call; `onDone` gets the JSON to answer with. */
+  /** Runs a call; passes the JSON of the answer to `onDone`. */
   run(call: ServiceCall, onDone: (answer: object) => void): void {
     const {name, requestId, idempotencyKey, body} = call;
     const run: RunObservation = {
@@ -134,8 +132,8 @@
     return {
       backendServerId,
       runs: this.runs,
-      runsByKey: count(this.runs.map(run => run.idempotencyKey)),
-      runsByField: count(this.runs.map(run => run.fieldValue)),
+      runsByKey: countByValue(this.runs.map(run => run.idempotencyKey)),
+      runsByField: countByValue(this.runs.map(run => run.fieldValue)),
     };
   }
 
@@ -149,7 +147,7 @@
     this.runs = [];
   }
 
-  /** Ends all runs at once, as when the process dies. */
+  /** Ends all runs immediately, as in a process crash. */
   stop(): void {
     this.gate.close();
   }
@@ -160,7 +158,7 @@
   }
 }
 
-/** The right answer to a call; a function of the call alone. */
+/** The correct answer to a call, which depends only on the call. */
 export function expectedCallAnswer({name, requestId, body}: ServiceCall) {
   return {name, requestId, echo: body};
 }
@@ -174,7 +172,9 @@
   }
 }
 
-function count(keys: ReadonlyArray<string | null>): Record<string, number> {
+function countByValue(
+  keys: ReadonlyArray<string | null>,
+): Record<string, number> {
   return keys.reduce<Record<string, number>>((counts, key) => {
     if (key !== null) counts[key] = (counts[key] ?? 0) + 1;
     return counts;
--- a/packages/stand-ins/src/service/service_server.test.ts
+++ b/packages/stand-ins/src/service/service_server.test.ts
@@ -14,7 +14,7 @@
   await body(service).finally(() => service.close());
 }
 
-/** Calls the service; false when the connection broke. */
+/** Calls the service; false if the connection was destroyed. */
 async function call({baseUrl}: Service): Promise<boolean> {
   const sent = request(`${baseUrl}/calls/ping`, {
     method: 'POST',
@@ -30,8 +30,8 @@
 }
 
 test('shows that a call ran twice', () =>
-  // A member gets a doubled ping: the first call runs but its answer is lost,
-  // and the caller sends it again.
+  // Reproduces a double run: the answer of the first call is lost, and the caller
+  // retries.
   withService(async service => {
     service.core.faults.set({resetAfterRun: 1});
     assert.equal([await call(service), await call(service)], [false, true]);
@@ -48,8 +48,7 @@
   }));
 
 test('runs a call after a freeze although its caller has gone', () =>
-  // A caller gives up on a frozen service and takes the call for lost; the
-  // service reads it on thawing and runs it after all.
+  // Reproduces a call that runs after its caller has disconnected.
   withService(async service => {
     service.core.gate.freeze(null);
     const abort = new AbortController();
--- a/packages/stand-ins/src/service/service_server.ts
+++ b/packages/stand-ins/src/service/service_server.ts
@@ -8,9 +8,9 @@
 import {
   createHttpServer,
   destroyConnection,
-  installControl,
-  installFreezeControl,
-  installWorkFaults,
+  installControlRoutes,
+  installFreezeRoutes,
+  installWorkFaultHooks,
   readHeader,
 } from '../shared/http_server.js';
 import {type ServiceOptions, ServiceStandIn} from './service_core.js';
@@ -19,7 +19,7 @@
   Params: {name: string};
 }
 
-/** Starts a plain service and puts it on the platform's host list. */
+/** Starts a plain service and registers it in the platform's host list. */
 export async function startServiceStandIn(
   options: Partial<ServiceOptions> = {},
   clock: Clock = new SystemClock(),
@@ -27,13 +27,13 @@
   const core = new ServiceStandIn(options, clock);
   const server = createHttpServer();
   const isWork = (url: string) => url.startsWith('/calls/');
-  installWorkFaults(server, {faults: core.faults, gate: core.gate, isWork});
+  installWorkFaultHooks(server, {faults: core.faults, gate: core.gate, isWork});
   server.post<CallRoute>('/calls/:name', async (request, reply) =>
     answerCall(core, request, reply),
   );
   server.get('/v1/load', async () => core.readLoad());
-  installControl(server, core);
-  installFreezeControl(server, core.gate);
+  installControlRoutes(server, core);
+  installFreezeRoutes(server, core.gate);
   return listenAsBackend(server, core, 'service');
 }
 
--- a/packages/stand-ins/src/shared/backend_server.ts
+++ b/packages/stand-ins/src/shared/backend_server.ts
@@ -1,46 +1,46 @@
-/** What model engines and plain services share as backend servers. */
+/** The common part of model engines and plain services. */
 import {type HostEntry, type HostId} from '@mimosatack/types';
 import {type FastifyInstance} from 'fastify';
 import {request} from 'undici';
 import {type RunningStandIn, listenOnLoopback} from './http_server.js';
 
-/** Settings that say where a backend server stands. */
+/** Address, identity and location of a backend server. */
 export interface BackendOptions {
   port: number;
   backendServerId: string;
-  /** The backend server's id when left empty. */
+  /** Defaults to `backendServerId` if empty. */
   hostId: string;
   pool: string;
   failureDomain: string;
   region: string;
-  /** Base URL of the platform stand-in; empty: it stands alone. */
+  /** Base URL of the platform stand-in; empty: no platform. */
   platform: string;
 }
 
 /** A backend server that listens on loopback. */
 export interface RunningBackend<T> extends RunningStandIn<T> {
-  /** Dies without a word: the host list goes on showing it. */
+  /** Simulates a crash: stops without deregistering from the host list. */
   kill(): Promise<void>;
 }
 
 /** The logic of a backend server. */
 export interface BackendCore {
   readonly options: BackendOptions;
-  /** Ends all work at once, as when the process dies. */
+  /** Ends all work immediately, as in a process crash. */
   stop(): void;
 }
 
-/** Listens, and puts the backend server on the platform's host list. */
+/** Listens and registers the server in the platform's host list. */
 export async function listenAsBackend<T extends BackendCore>(
   server: FastifyInstance,
   core: T,
   role: HostEntry['role'],
 ): Promise<RunningBackend<T>> {
   const {port, platform, pool, failureDomain, region} = core.options;
-  const hostId = hostIdOf(core.options);
+  const hostId = resolveHostId(core.options);
   const baseUrl = await listenOnLoopback(server, port);
-  const place = {hostId, baseUrl, pool, failureDomain, region};
-  await registerHost(platform, {...place, role, state: 'live'});
+  const location = {hostId, baseUrl, pool, failureDomain, region};
+  await registerHost(platform, {...location, role, state: 'live'});
   const kill = async () => {
     core.stop();
     await server.close();
@@ -52,8 +52,7 @@
   return {baseUrl, core, close, kill};
 }
 
-/** The host that a backend server says it is on. */
-export function hostIdOf(options: BackendOptions): HostId {
+export function resolveHostId(options: BackendOptions): HostId {
   return options.hostId === '' ? options.backendServerId : options.hostId;
 }
 
@@ -70,7 +69,7 @@
   await answer.body.dump();
 }
 
-/** A platform that has gone already is no error. */
+/** Ignores errors, since the platform may have stopped already. */
 async function deregisterHost(
   platformUrl: string,
   hostId: HostId,
--- a/packages/stand-ins/src/shared/fault_set.ts
+++ b/packages/stand-ins/src/shared/fault_set.ts
@@ -1,7 +1,7 @@
 /** Faults that a test switches on and off. */
 import {type JsonObject, badRequest} from './input.js';
 
-/** Faults that every stand-in knows. */
+/** Faults of every stand-in. */
 export interface ConnectionFaults {
   /** Callers, by `x-node-id`, whose connections are destroyed. */
   cutNodes: string[];
@@ -14,24 +14,24 @@
 
 /** The current faults of one stand-in. */
 export class FaultSet<T extends object> {
-  /** The faults in force; read it, but change it through `set`. */
+  /** The current faults; change them only through `set`. */
   readonly values: T;
 
   /** @param onChange called after every change. */
   constructor(
-    private readonly none: T,
+    private readonly initial: T,
     private readonly onChange: () => void = () => undefined,
   ) {
-    this.values = structuredClone(none);
+    this.values = structuredClone(initial);
   }
 
-  /** Changes the given faults and leaves the others as they are. */
+  /** Changes the given faults and keeps the others. */
   set(changes: Partial<T>): void {
     Object.assign(this.values, changes);
     this.onChange();
   }
 
-  /** Like `set`, for input that has not been checked. */
+  /** Like `set`, for unchecked input; throws `bad-request`. */
   setFromJson(input: JsonObject): void {
     Object.entries(input).forEach(([name, value]) =>
       this.checkFault(name, value),
@@ -39,23 +39,23 @@
     this.set(input as Partial<T>);
   }
 
-  /** Lifts all faults. */
+  /** Restores the initial faults. */
   clear(): void {
-    this.set(structuredClone(this.none));
+    this.set(structuredClone(this.initial));
   }
 
-  /** Uses up one of the "next N" faults; false when none is left. */
+  /** Decrements a "next N" counter; false if it is 0. */
   take(key: CounterKey<T>): boolean {
-    const left = this.values[key] as number;
-    if (left <= 0) return false;
-    this.set({[key]: left - 1} as Partial<T>);
+    const remaining = this.values[key] as number;
+    if (remaining <= 0) return false;
+    this.set({[key]: remaining - 1} as Partial<T>);
     return true;
   }
 
   private checkFault(name: string, value: unknown): void {
-    const sample = (this.none as JsonObject)[name];
+    const sample = (this.initial as JsonObject)[name];
     if (sample === undefined) throw badRequest(`There is no fault ${name}.`);
-    if (!hasShapeOf(sample, value)) {
+    if (!hasSameType(sample, value)) {
       throw badRequest(
         `Fault ${name} must look like ${JSON.stringify(sample)}.`,
       );
@@ -63,7 +63,7 @@
   }
 }
 
-function hasShapeOf(sample: unknown, value: unknown): boolean {
+function hasSameType(sample: unknown, value: unknown): boolean {
   return Array.isArray(sample)
     ? Array.isArray(value) && value.every(item => typeof item === 'string')
     : typeof value === typeof sample;
--- a/packages/stand-ins/src/shared/freeze_gate.ts
+++ b/packages/stand-ins/src/shared/freeze_gate.ts
@@ -1,20 +1,20 @@
-/** A process that stops doing anything for a while without dying. */
+/** Simulates a process that is suspended and resumed. */
 import {type Clock, type Timer} from '@mimosatack/clock';
 
-/** Holds work back while the stand-in is frozen. */
+/** Defers callbacks while the stand-in is frozen. */
 export class FreezeGate {
   private frozen = false;
-  private waiting: Array<() => void> = [];
+  private deferred: Array<() => void> = [];
   private thawTimer: Timer | undefined;
 
   constructor(private readonly clock: Clock) {}
 
-  /** How many pieces of work are held back. */
+  /** The number of deferred callbacks. */
   get heldCount(): number {
-    return this.waiting.length;
+    return this.deferred.length;
   }
 
-  /** Freezes until `thaw`, or for `forMs` when that is not null. */
+  /** Freezes for `forMs`, or until `thaw` if it is null. */
   freeze(forMs: number | null): void {
     this.thawTimer?.cancel();
     this.frozen = true;
@@ -24,28 +24,28 @@
         : this.clock.setTimer(forMs, () => this.thaw());
   }
 
-  /** Lets all held work go on, in the order in which it came. */
+  /** Runs all deferred callbacks, in the order in which they were passed. */
   thaw(): void {
     this.thawTimer?.cancel();
     this.frozen = false;
-    const released = this.waiting;
-    this.waiting = [];
+    const released = this.deferred;
+    this.deferred = [];
     released.forEach(callback => callback());
   }
 
-  /** Drops all held work and lets no more pass, as when the process dies. */
+  /** Freezes and drops deferred callbacks, as in a process crash. */
   close(): void {
     this.freeze(null);
-    this.waiting = [];
+    this.deferred = [];
   }
 
-  /** Calls `callback` now, or once thawed. */
+  /** Calls `callback` now, or on `thaw` while frozen. */
   pass(callback: () => void): void {
-    if (this.frozen) this.waiting.push(callback);
+    if (this.frozen) this.deferred.push(callback);
     else callback();
   }
 
-  /** Resolves now, or once thawed. */
+  /** Resolves now, or on `thaw` while frozen. */
   whenOpen(): Promise<void> {
     return new Promise(resolve => this.pass(resolve));
   }
--- a/packages/stand-ins/src/shared/http_problem.ts
+++ b/packages/stand-ins/src/shared/http_problem.ts
@@ -1,6 +1,6 @@
-/** Errors as an outside system tells them over HTTP. */
+/** Errors that the stand-ins return over HTTP. */
 
-/** A refusal with its HTTP status and the `kind` in the JSON body. */
+/** An error with its HTTP status and the `kind` in the JSON body. */
 export class HttpProblem extends Error {
   constructor(
     readonly status: number,
@@ -11,7 +11,7 @@
     super(message);
   }
 
-  /** The JSON body of the answer. */
+  /** The JSON body of the response. */
   toBody(): object {
     const {kind, message, info} = this;
     return {error: {kind, message, info}};
--- a/packages/stand-ins/src/shared/http_server.ts
+++ b/packages/stand-ins/src/shared/http_server.ts
@@ -1,4 +1,4 @@
-/** What the HTTP servers of all stand-ins share. */
+/** The HTTP server setup that all stand-ins share. */
 import fastify, {
   type FastifyInstance,
   type FastifyReply,
@@ -15,13 +15,13 @@
 /** A stand-in that listens on loopback. */
 export interface RunningStandIn<T> {
   baseUrl: string;
-  /** The logic behind the server, for tests in the same process. */
+  /** The stand-in itself, for tests in the same process. */
   core: T;
-  /** Stops listening and ends all connections. */
+  /** Stops listening and closes all connections. */
   close(): Promise<void>;
 }
 
-/** Makes a server that hands every body over as a `Buffer`. */
+/** Creates a server that reads every body as a `Buffer`. */
 export function createHttpServer(): FastifyInstance {
   const server = fastify({
     forceCloseConnections: true,
@@ -40,7 +40,7 @@
   return server;
 }
 
-/** Listens on loopback alone; port 0 picks a free one. */
+/** Listens on loopback only; port 0 selects a free port. */
 export function listenOnLoopback(
   server: FastifyInstance,
   port: number,
@@ -48,7 +48,7 @@
   return server.listen({host: '127.0.0.1', port});
 }
 
-/** Ends the connection without an answer. */
+/** Destroys the connection without a response. */
 export function destroyConnection(
   request: FastifyRequest,
   reply: FastifyReply,
@@ -57,7 +57,7 @@
   request.raw.socket.destroy();
 }
 
-/** The value of a header that must not be repeated, or null. */
+/** The value of a header; null if it is absent or repeated. */
 export function readHeader(
   request: FastifyRequest,
   name: string,
@@ -66,13 +66,13 @@
   return typeof value === 'string' ? value : null;
 }
 
-/** Who calls, as the system's own HTTP adapter says in `x-node-id`. */
+/** The calling node, from the `x-node-id` header. */
 export function readNodeId(request: FastifyRequest): string | null {
   return readHeader(request, 'x-node-id');
 }
 
-/** Whether this caller is cut off. */
-export function isCut(
+/** Whether the `cutNodes` fault applies to the calling node. */
+export function isNodeCut(
   request: FastifyRequest,
   faults: ConnectionFaults,
 ): boolean {
@@ -80,44 +80,43 @@
   return nodeId !== null && faults.cutNodes.includes(nodeId);
 }
 
-/** Connection faults of the stand-ins that do work for callers. */
+/** Connection faults of backend servers. */
 export interface WorkFaults extends ConnectionFaults {
   /** Next N work requests: destroyed before the body is read; not run. */
   resetBeforeRead: number;
   /** Next N work requests: destroyed after the body is read; not run. */
   resetAfterRead: number;
-  /** Next N work requests: run to the end, then destroyed with no answer. */
+  /** Next N work requests: run, then destroyed without a response. */
   resetAfterRun: number;
 }
 
-/** The part of a `FaultSet` that the connection faults need. */
+/** The part of a `FaultSet` that the hooks use. */
 interface WorkFaultSet {
   readonly values: WorkFaults;
   take(key: 'resetBeforeRead' | 'resetAfterRead'): boolean;
 }
 
-/** What the connection faults of a backend server act on. */
 export interface WorkFaultOptions {
   faults: WorkFaultSet;
   gate: FreezeGate;
-  /** Whether a URL asks for work rather than for a report. */
+  /** Whether a URL runs a request, as opposed to reading a report. */
   isWork: (url: string) => boolean;
 }
 
-/** Puts freezing, cuts and resets before all routes but the control ones. */
-export function installWorkFaults(
+/** Adds hooks for freezes, cuts and resets to all but control routes. */
+export function installWorkFaultHooks(
   server: FastifyInstance,
   {faults, gate, isWork}: WorkFaultOptions,
 ): void {
   server.addHook('onRequest', async (request, reply) => {
     if (isControl(request)) return;
     const resets = isWork(request.url) && faults.take('resetBeforeRead');
-    if (resets || isCut(request, faults.values)) {
+    if (resets || isNodeCut(request, faults.values)) {
       destroyConnection(request, reply);
     }
   });
-  // Frozen after the body is read, so that the request takes effect on thawing
-  // although its sender has given up, as with a process that was stopped.
+  // Freezes after the body is read, as a suspended process has it in a buffer:
+  // the request takes effect on thaw even if its sender has disconnected.
   server.addHook('preHandler', async (request, reply) => {
     if (isControl(request)) return;
     await gate.whenOpen();
@@ -127,16 +126,16 @@
   });
 }
 
-/** What every stand-in lets a test do. */
+/** The control operations of a stand-in. */
 export interface ControlTarget {
   observe(): object;
   setFaults(input: Readonly<Record<string, unknown>>): void;
-  /** Lifts all faults and empties the observations; data stays. */
+  /** Clears faults and observations; keeps data. */
   reset(): void;
 }
 
 /** Adds `/control/observed`, `/control/faults` and `/control/reset`. */
-export function installControl(
+export function installControlRoutes(
   server: FastifyInstance,
   target: ControlTarget,
 ): void {
@@ -151,8 +150,8 @@
   });
 }
 
-/** Adds `/control/freeze` (`{"forMs"}`, or for ever) and `/control/thaw`. */
-export function installFreezeControl(
+/** Adds `/control/freeze` (`{"forMs"}`; absent: until thaw) and its thaw. */
+export function installFreezeRoutes(
   server: FastifyInstance,
   gate: FreezeGate,
 ): void {
--- a/packages/stand-ins/src/shared/input.ts
+++ b/packages/stand-ins/src/shared/input.ts
@@ -1,10 +1,10 @@
-/** Small checks for the JSON that callers and tests send. */
+/** Readers that validate JSON input from callers and tests. */
 import {HttpProblem} from './http_problem.js';
 
-/** A JSON object whose fields are not checked yet. */
+/** A JSON object whose fields are unchecked. */
 export type JsonObject = Readonly<Record<string, unknown>>;
 
-/** Parses a request body; an absent or empty one counts as `{}`. */
+/** Parses a request body; an absent or empty body is `{}`. */
 export function parseJsonObject(body: unknown): JsonObject {
   const text = Buffer.isBuffer(body) ? body.toString('utf8') : '';
   const value = text === '' ? {} : parseJson(text);
@@ -21,7 +21,7 @@
   return value;
 }
 
-/** Reads a string field that may be null or left out. */
+/** Reads an optional string field; null if absent. */
 export function readNullableString(
   object: JsonObject,
   field: string,
@@ -29,7 +29,7 @@
   return object[field] == null ? null : readString(object, field);
 }
 
-/** Reads a finite number, or `fallback` when the field is left out. */
+/** Reads a finite number, or `fallback` if the field is absent or null. */
 export function readNumber(
   object: JsonObject,
   field: string,
@@ -42,7 +42,7 @@
   return value;
 }
 
-/** Reads a field that must hold one of the given words. */
+/** Reads a field that must equal one of `choices`. */
 export function readChoice<T extends string>(
   object: JsonObject,
   field: string,
@@ -55,7 +55,7 @@
   return found;
 }
 
-/** The error for input that does not fit. */
+/** The error for invalid input. */
 export function badRequest(message: string): HttpProblem {
   return new HttpProblem(400, 'bad-request', message);
 }
--- a/packages/stand-ins/src/shared/lagging_value.ts
+++ b/packages/stand-ins/src/shared/lagging_value.ts
@@ -1,7 +1,7 @@
-/** Reports that lag behind the truth. */
+/** A value that is reported with a delay. */
 import {type Clock} from '@mimosatack/clock';
 
-/** Remembers past values and tells the one of `lagMs` ago. */
+/** Keeps past values and returns the value of `lagMs` ago. */
 export class LaggingValue<T> {
   private history: Array<{atMs: number; value: T}>;
 
@@ -13,22 +13,21 @@
     this.history = [{atMs: clock.monotonicMs(), value: initial}];
   }
 
-  /** Sets the present value. */
   set(value: T): void {
     this.history.push({atMs: this.clock.monotonicMs(), value});
-    this.dropOld();
+    this.dropExpired();
   }
 
-  /** The value as it was, and how old it is. */
+  /** The value of `lagMs` ago and its age. */
   read(): {value: T; ageMs: number} {
-    this.dropOld();
+    this.dropExpired();
     const [oldest] = this.history;
-    if (!oldest) throw new Error('The history always holds one value.');
+    if (!oldest) throw new Error('The history of a lagging value is empty.');
     return {value: oldest.value, ageMs: this.lagMs};
   }
 
-  /** Keeps the newest value that is at least `lagMs` old, and all after it. */
-  private dropOld(): void {
+  /** Drops all values before the newest one that is at least `lagMs` old. */
+  private dropExpired(): void {
     const horizonMs = this.clock.monotonicMs() - this.lagMs;
     const current = this.history.findLastIndex(each => each.atMs <= horizonMs);
     if (current > 0) this.history.splice(0, current);
--- a/packages/stand-ins/src/shared/program.ts
+++ b/packages/stand-ins/src/shared/program.ts
@@ -1,12 +1,12 @@
-/** Starting a stand-in as a program of its own. */
+/** Runs a stand-in as a separate process. */
 import {parseArgs} from 'node:util';
 import {type RunningStandIn} from './http_server.js';
 
 type FlagValue = string | number | boolean | null;
 
 /**
- * Reads flags named after the fields of `defaults`, so `--first-token-ms 20`
- * sets `firstTokenMs`. A field's default gives the type; null means text.
+ * Reads flags named after the fields of `defaults`: `--first-token-ms 20` sets
+ * `firstTokenMs`. The type of a flag is that of its default; null means text.
  */
 export function parseFlags<T extends object>(
   defaults: T,
@@ -27,7 +27,7 @@
   return {...defaults, ...(Object.fromEntries(given) as Partial<T>)};
 }
 
-/** Says when the stand-in is ready and closes it on SIGTERM or SIGINT. */
+/** Prints a ready line and closes the stand-in on SIGTERM or SIGINT. */
 export async function runProgram<T>(
   start: () => Promise<RunningStandIn<T>>,
 ): Promise<void> {
