--- a/packages/unrepeatable-bench/src/dated_keys.ts
+++ b/packages/unrepeatable-bench/src/dated_keys.ts
@@ -1,10 +1,10 @@
-/** Keys of the callers' own, as a caller's library makes them. */
+/** Idempotency keys that callers generate themselves. */
 import {randomBytes} from 'node:crypto';
 
 const DATE_HEX_CHARS = 12;
 const FIRST_GROUP_CHARS = 8;
 
-/** Makes a UUID of version 7. */
+/** Makes a UUID version 7 (RFC 9562) with the given time. */
 export function makeUuidV7(nowMs: number): string {
   const date = Math.floor(nowMs).toString(16).padStart(DATE_HEX_CHARS, '0');
   const tail = randomBytes(10).toString('hex');
--- a/packages/unrepeatable-bench/src/measure_main.ts
+++ b/packages/unrepeatable-bench/src/measure_main.ts
@@ -1,7 +1,7 @@
 /**
- * Program: what remembered keys and claims cost. The log service is the
- * stand-in in this process, behind HTTP on loopback; its time is in the
- * latencies, its processor time is not told apart.
+ * Measures memory per remembered key, and throughput and latency of claims.
+ * The log service stand-in runs in this process, so that the CPU figures
+ * include it.
  */
 import {randomBytes} from 'node:crypto';
 import {ClaimKeys} from '@mimosatack/claim-keys';
@@ -19,13 +19,13 @@
 
 const KEY_COUNT = 100_000;
 const ANSWER_BYTES = 64;
-const LOADS_PER_S = [1, 10, 100, 1_000, 4_000];
-const MEASURED_MS = 5_000;
+const CLAIM_RATES_PER_S = [1, 10, 100, 1_000, 4_000];
+const MEASUREMENT_MS = 5_000;
 const CLAIM_TIMEOUT_MS = 5_000;
-const TURN_MS = 5;
+const LOAD_LOOP_INTERVAL_MS = 5;
 const MS_PER_S = 1_000;
 
-/** What one rate of claims came to. */
+/** The results at one rate of claims. */
 interface ClaimMeasurement {
   claimsPerS: number;
   granted: number;
@@ -34,21 +34,21 @@
   recordsPerAppend: string;
   p50Ms: string;
   p99Ms: string;
-  /** Of this process, with the stand-in of the log service. */
+  /** CPU use of this process, including the log service stand-in. */
   cpuPercent: string;
 }
 
 async function main(): Promise<void> {
   const clock = new SystemClock();
-  console.log('Memory of remembered keys');
+  console.log('Memory per remembered key');
   console.table([
     await measureTickets(clock, null),
     await measureTickets(clock, ANSWER_BYTES),
     await measureClaims(clock),
   ]);
-  console.log('Claims, 16 partitions, 50 ms between appends to one of them');
+  console.log('Claims: 16 partitions, 50 ms between appends to a partition');
   const rows: ClaimMeasurement[] = [];
-  for (const claimsPerS of LOADS_PER_S) {
+  for (const claimsPerS of CLAIM_RATES_PER_S) {
     rows.push(await measureLoad(clock, claimsPerS));
   }
   console.table(rows);
@@ -56,10 +56,10 @@
 
 async function measureTickets(clock: Clock, answerBytes: number | null) {
   const table = new TicketTable({clock});
-  const before = countHeapBytes();
+  const before = measureHeapBytes();
   const generation = generationAt(clock.wallMs());
   const indexes = Array.from({length: KEY_COUNT}, (_, index) => index);
-  const beganMs = clock.monotonicMs();
+  const startedMs = clock.monotonicMs();
   for (const index of indexes) {
     await table.runOnce(
       {
@@ -71,26 +71,26 @@
       () => Promise.resolve(makeAnswer(answerBytes)),
     );
   }
-  const tookMs = clock.monotonicMs() - beganMs;
+  const durationMs = clock.monotonicMs() - startedMs;
   await sleep(clock, 1);
-  const bytes = countHeapBytes() - before;
+  const bytes = measureHeapBytes() - before;
   return {
     what: `ticket, answer of ${answerBytes ?? 0} bytes`,
     keys: table.size,
     bytesPerKey: Math.round(bytes / KEY_COUNT),
-    microsPerKey: ((tookMs * MS_PER_S) / KEY_COUNT).toFixed(1),
+    microsPerKey: ((durationMs * MS_PER_S) / KEY_COUNT).toFixed(1),
   };
 }
 
 async function measureClaims(clock: Clock) {
   const platform = await startPlatformStandIn();
   const {claims, log} = startClaims(clock, platform.baseUrl, 1);
-  await claimOne(claims, clock);
-  const before = countHeapBytes() - countLogBytes(platform);
+  await claimNewKey(claims, clock);
+  const before = measureHeapBytes() - countLogBytes(platform);
   const indexes = Array.from({length: KEY_COUNT / 10}, (_, index) => index);
-  await Promise.all(indexes.map(() => claimOne(claims, clock)));
+  await Promise.all(indexes.map(() => claimNewKey(claims, clock)));
   await sleep(clock, MS_PER_S);
-  const bytes = countHeapBytes() - countLogBytes(platform) - before;
+  const bytes = measureHeapBytes() - countLogBytes(platform) - before;
   await claims.stop(0);
   await log.close();
   await platform.close();
@@ -102,7 +102,7 @@
   };
 }
 
-/** The stand-in keeps its whole stream in this process. */
+/** Bytes of the stream that the stand-in holds in this process's memory. */
 function countLogBytes(
   platform: Awaited<ReturnType<typeof startPlatformStandIn>>,
 ): number {
@@ -135,11 +135,11 @@
     claimsPerS,
     granted: latencies.length,
     refused: results.length - latencies.length,
-    appendsPerS: ((appends * MS_PER_S) / MEASURED_MS).toFixed(1),
+    appendsPerS: ((appends * MS_PER_S) / MEASUREMENT_MS).toFixed(1),
     recordsPerAppend: ((after.records - before.records) / appends).toFixed(1),
     p50Ms: pickQuantile(latencies, 0.5),
     p99Ms: pickQuantile(latencies, 0.99),
-    cpuPercent: ((cpu.user + cpu.system) / MEASURED_MS / 10).toFixed(1),
+    cpuPercent: ((cpu.user + cpu.system) / MEASUREMENT_MS / 10).toFixed(1),
   };
 }
 
@@ -148,30 +148,32 @@
   clock: Clock,
   claimsPerS: number,
 ): Promise<Array<number | null>> {
-  const beganMs = clock.monotonicMs();
-  const open: Array<Promise<number | null>> = [];
+  const startedMs = clock.monotonicMs();
+  const pending: Array<Promise<number | null>> = [];
   let elapsedMs = 0;
-  while (elapsedMs < MEASURED_MS) {
+  while (elapsedMs < MEASUREMENT_MS) {
     const due = Math.floor((elapsedMs * claimsPerS) / MS_PER_S) + 1;
-    while (open.length < due) open.push(claimOne(claims, clock));
-    await sleep(clock, TURN_MS);
-    elapsedMs = clock.monotonicMs() - beganMs;
+    while (pending.length < due) pending.push(claimNewKey(claims, clock));
+    await sleep(clock, LOAD_LOOP_INTERVAL_MS);
+    elapsedMs = clock.monotonicMs() - startedMs;
   }
-  return Promise.all(open);
+  return Promise.all(pending);
 }
 
 async function warmUp(claims: ClaimKeys, clock: Clock): Promise<void> {
   claims.tick(() => true);
-  await Promise.all(Array.from({length: 200}, () => claimOne(claims, clock)));
+  await Promise.all(
+    Array.from({length: 200}, () => claimNewKey(claims, clock)),
+  );
   await sleep(clock, 200);
 }
 
-/** Claims a new key and tells its outcome; resolves with the latency. */
-async function claimOne(
+/** Claims a new key, records its run; returns the latency, null if refused. */
+async function claimNewKey(
   claims: ClaimKeys,
   clock: Clock,
 ): Promise<number | null> {
-  const beganMs = clock.monotonicMs();
+  const startedMs = clock.monotonicMs();
   const key = makeUuidV7(clock.wallMs());
   try {
     const result = await claims.claim(
@@ -180,10 +182,10 @@
         requestHash: hashKey('request', key),
         issuedAtMs: Math.floor(clock.wallMs()),
       },
-      beganMs + CLAIM_TIMEOUT_MS,
+      startedMs + CLAIM_TIMEOUT_MS,
     );
     if (result.status !== 'granted') return null;
-    const latencyMs = clock.monotonicMs() - beganMs;
+    const latencyMs = clock.monotonicMs() - startedMs;
     claims.recordRan(result.grant, makeAnswer(ANSWER_BYTES));
     return latencyMs;
   } catch {
@@ -221,8 +223,11 @@
   return values.reduce((total, value) => total + value, 0);
 }
 
-function pickQuantile(sorted: readonly number[], share: number): string {
-  const index = Math.min(sorted.length - 1, Math.floor(sorted.length * share));
+function pickQuantile(sorted: readonly number[], quantile: number): string {
+  const index = Math.min(
+    sorted.length - 1,
+    Math.floor(sorted.length * quantile),
+  );
   return (sorted[index] ?? NaN).toFixed(1);
 }
 
@@ -234,8 +239,8 @@
   };
 }
 
-/** Heap and buffers, after a collection when the program may ask for one. */
-function countHeapBytes(): number {
+/** Heap and buffer bytes, after a garbage collection under `--expose-gc`. */
+function measureHeapBytes(): number {
   (globalThis as {gc?: () => void}).gc?.();
   const {heapUsed, arrayBuffers} = process.memoryUsage();
   return heapUsed + arrayBuffers;
--- a/packages/unrepeatable-bench/src/stress_caller.ts
+++ b/packages/unrepeatable-bench/src/stress_caller.ts
@@ -1,53 +1,52 @@
-/** A caller that repeats a request through other nodes until it is told. */
+/** A caller that retries a request through other nodes until it is answered. */
 import {type Clock, sleep} from '@mimosatack/clock';
 import {type Entry, listEntries} from '@mimosatack/demo';
 import {type RandomSource, pickOne} from '@mimosatack/random';
 import {request} from 'undici';
 import {makeUuidV7} from './dated_keys.js';
 
-/** How a caller names its request. */
+/** Whether a caller's key comes from a ticket or is its own UUID. */
 export type KeyForm = 'ticket' | 'own-key';
 
-/** The last word that a caller was given. */
-export type LastWord = 'ran' | 'not-run' | 'unknown' | 'no-answer';
+/** The outcome of a request, as last reported to its caller. */
+export type ReportedOutcome = 'ran' | 'not-run' | 'unknown' | 'no-answer';
 
-/** One request, with all that its caller was told. */
+/** One request with the answers that its caller received. */
 export interface Operation {
   /** The field by which the service counts runs. */
   id: string;
   form: KeyForm;
-  lastWord: LastWord;
+  lastWord: ReportedOutcome;
   /** Kinds of the refusals, in order. */
   refusals: string[];
   attempts: number;
 }
 
-/** What callers share. */
 export interface StressContext {
   clock: Clock;
   random: RandomSource;
   token: string;
-  /** Base URLs of nodes that are thought to run. */
+  /** Base URLs of the nodes that are assumed to run. */
   listNodes(): string[];
   path: string;
 }
 
 interface Reply {
-  word: LastWord;
+  outcome: ReportedOutcome;
   kind: string;
 }
 
 const MAX_ATTEMPTS = 6;
 const DEADLINE_MS = 1_500;
-/** A caller waits a little longer than the deadline that it names. */
-const PATIENCE_MS = 2_500;
-const PAUSE_MS = 200;
-/** The share of callers that take the first `not-run` for an end. */
-const CONTENT_SHARE = 0.5;
-/** The share of callers that repeat a request although it was answered. */
-const DOUBTFUL_SHARE = 0.2;
+/** Client-side timeout, longer than the deadline sent with the request. */
+const CALLER_TIMEOUT_MS = 2_500;
+const MAX_RETRY_PAUSE_MS = 200;
+/** Fraction of `not-run` replies after which a caller stops retrying. */
+const STOP_FRACTION = 0.5;
+/** Fraction of `ran` replies after which a caller repeats the request. */
+const REPEAT_FRACTION = 0.2;
 
-/** Sends one request until its outcome is known or the caller gives up. */
+/** Sends one request until its caller stops or runs out of attempts. */
 export async function runOperation(
   index: number,
   context: StressContext,
@@ -60,31 +59,37 @@
     refusals: [],
     attempts: 0,
   };
-  const start = await chooseStart(form, operation.id, context);
-  let baseUrl = start.baseUrl;
+  const target = await chooseTarget(form, operation.id, context);
+  let baseUrl = target.baseUrl;
   while (operation.attempts < MAX_ATTEMPTS) {
-    const reply = await attempt(baseUrl, start.key, operation, context);
-    note(operation, reply);
-    if (isContent(reply.word, context.random)) break;
-    await sleep(context.clock, PAUSE_MS * context.random.nextFraction());
+    const reply = await attempt(baseUrl, target.key, operation, context);
+    recordReply(operation, reply);
+    if (stopsRetrying(reply.outcome, context.random)) break;
+    await sleep(
+      context.clock,
+      MAX_RETRY_PAUSE_MS * context.random.nextFraction(),
+    );
     baseUrl = pickOne(context.random, context.listNodes()) ?? baseUrl;
   }
   return operation;
 }
 
-/** A later `unknown` takes nothing back of what was known before. */
-function note(operation: Operation, {word, kind}: Reply): void {
+/** Keeps `ran` once reported: a later reply cannot revoke it. */
+function recordReply(operation: Operation, {outcome, kind}: Reply): void {
   operation.attempts += 1;
-  if (word !== 'ran') operation.refusals.push(`${kind} ${word}`);
-  if (operation.lastWord !== 'ran') operation.lastWord = word;
+  if (outcome !== 'ran') operation.refusals.push(`${kind} ${outcome}`);
+  if (operation.lastWord !== 'ran') operation.lastWord = outcome;
 }
 
-function isContent(word: LastWord, random: RandomSource): boolean {
-  if (word === 'ran') return random.nextFraction() >= DOUBTFUL_SHARE;
-  return word === 'not-run' && random.nextFraction() < CONTENT_SHARE;
+function stopsRetrying(
+  outcome: ReportedOutcome,
+  random: RandomSource,
+): boolean {
+  if (outcome === 'ran') return random.nextFraction() >= REPEAT_FRACTION;
+  return outcome === 'not-run' && random.nextFraction() < STOP_FRACTION;
 }
 
-async function chooseStart(
+async function chooseTarget(
   form: KeyForm,
   id: string,
   context: StressContext,
@@ -97,27 +102,27 @@
   return {baseUrl: entry.baseUrl, key};
 }
 
-/** Asks one node after the other until one answers. */
+/** Queries random nodes until one returns an entry. */
 async function findEntry(context: StressContext): Promise<Entry> {
   const {clock, random} = context;
   for (;;) {
     const baseUrl = pickOne(random, context.listNodes());
-    const entry = pickOne(random, await askForEntries(baseUrl));
+    const entry = pickOne(random, await fetchEntries(baseUrl));
     if (entry) return entry;
-    await sleep(clock, PAUSE_MS * random.nextFraction());
+    await sleep(clock, MAX_RETRY_PAUSE_MS * random.nextFraction());
   }
 }
 
-/** A node that is frozen or stopping gives none. */
-async function askForEntries(baseUrl: string | undefined): Promise<Entry[]> {
+/** The entries of a node; empty if it is frozen or stopping. */
+async function fetchEntries(baseUrl: string | undefined): Promise<Entry[]> {
   if (baseUrl === undefined) return [];
-  const asked = listEntries(baseUrl)
+  const fetched = listEntries(baseUrl)
     .then(entries => entries ?? [])
     .catch(() => []);
-  const late = new Promise<Entry[]>(resolve =>
-    setTimeout(() => resolve([]), PAUSE_MS),
+  const timedOut = new Promise<Entry[]>(resolve =>
+    setTimeout(() => resolve([]), MAX_RETRY_PAUSE_MS),
   );
-  return Promise.race([asked, late]);
+  return Promise.race([fetched, timedOut]);
 }
 
 async function attempt(
@@ -136,16 +141,16 @@
         'x-request-timeout-ms': String(DEADLINE_MS),
       },
       body: JSON.stringify({id}),
-      signal: AbortSignal.timeout(PATIENCE_MS),
+      signal: AbortSignal.timeout(CALLER_TIMEOUT_MS),
     });
     return readReply(response.statusCode, await response.body.json());
   } catch {
-    return {word: 'no-answer', kind: 'no-answer'};
+    return {outcome: 'no-answer', kind: 'no-answer'};
   }
 }
 
 function readReply(statusCode: number, json: unknown): Reply {
-  if (statusCode === 200) return {word: 'ran', kind: 'ok'};
-  const {error} = json as {error?: {kind: string; run?: LastWord}};
-  return {word: error?.run ?? 'unknown', kind: error?.kind ?? 'none'};
+  if (statusCode === 200) return {outcome: 'ran', kind: 'ok'};
+  const {error} = json as {error?: {kind: string; run?: ReportedOutcome}};
+  return {outcome: error?.run ?? 'unknown', kind: error?.kind ?? 'none'};
 }
--- a/packages/unrepeatable-bench/src/stress_faults.ts
+++ b/packages/unrepeatable-bench/src/stress_faults.ts
@@ -1,4 +1,4 @@
-/** Faults that strike the nodes, the log service and the services. */
+/** Injects faults into the nodes, the log service and the services. */
 import {type Clock, sleep} from '@mimosatack/clock';
 import {
   type Cluster,
@@ -10,7 +10,6 @@
 import {type RandomSource, pickOne} from '@mimosatack/random';
 import {request} from 'undici';
 
-/** What faults act on. */
 export interface FaultTarget {
   clock: Clock;
   random: RandomSource;
@@ -21,119 +20,124 @@
 
 interface Fault {
   name: string;
-  strike(faults: StressFaults): Promise<void>;
+  inject(faults: StressFaults): Promise<void>;
 }
 
 const POLL_MS = 10;
-const SHORT_MS = 600;
-const LONG_MS = 1_500;
-const NODE_START_LIMIT_MS = 10_000;
+const SHORT_FAULT_MS = 600;
+const LONG_FAULT_MS = 1_500;
+const NODE_EXIT_TIMEOUT_MS = 10_000;
 
 const FAULTS: readonly Fault[] = [
   {
     name: 'service resets before reading',
-    strike: f => f.reset('resetBeforeRead'),
+    inject: f => f.resetServiceConnections('resetBeforeRead'),
   },
   {
     name: 'service resets after reading',
-    strike: f => f.reset('resetAfterRead'),
+    inject: f => f.resetServiceConnections('resetAfterRead'),
   },
-  {name: 'service resets after running', strike: f => f.reset('resetAfterRun')},
-  {name: 'service frozen', strike: f => f.freezeService()},
-  {name: 'log loses append answers', strike: f => f.loseAnswers()},
-  {name: 'log down', strike: f => f.breakLog({down: true})},
-  {name: 'node cut from the log', strike: f => f.cutNode()},
-  {name: 'node killed and replaced', strike: f => f.replace('SIGKILL')},
-  {name: 'node stopped and replaced', strike: f => f.replace('SIGTERM')},
-  {name: 'node frozen and thawed', strike: f => f.freezeNode()},
+  {
+    name: 'service resets after running',
+    inject: f => f.resetServiceConnections('resetAfterRun'),
+  },
+  {name: 'service frozen', inject: f => f.freezeService()},
+  {name: 'log loses append answers', inject: f => f.loseLogAnswers()},
+  {name: 'log down', inject: f => f.failLog({down: true})},
+  {name: 'node cut from the log', inject: f => f.cutNodeFromLog()},
+  {name: 'node killed and replaced', inject: f => f.replaceNode('SIGKILL')},
+  {name: 'node stopped and replaced', inject: f => f.replaceNode('SIGTERM')},
+  {name: 'node frozen and thawed', inject: f => f.freezeNode()},
 ];
 
-/** Strikes with faults, one after the other. */
+/** Injects random faults and counts them by name. */
 export class StressFaults {
   readonly counts = new Map<string, number>();
   private nodeCount: number;
-  private readonly busy = new Set<RunningNode>();
+  private readonly reservedNodes = new Set<RunningNode>();
 
   constructor(private readonly target: FaultTarget) {
     this.nodeCount = target.cluster.nodes.length;
   }
 
-  /** Strikes at random, with pauses, until told to end. */
+  /** Injects faults at random intervals until `isOver` returns true. */
   async run(pauseMs: number, isOver: () => boolean): Promise<void> {
     const {clock, random} = this.target;
-    const struck: Array<Promise<void>> = [];
-    let nextStrikeMs = clock.monotonicMs();
+    const injected: Array<Promise<void>> = [];
+    let nextFaultMs = clock.monotonicMs();
     while (!isOver()) {
       await sleep(clock, POLL_MS);
-      if (clock.monotonicMs() < nextStrikeMs) continue;
+      if (clock.monotonicMs() < nextFaultMs) continue;
       const fault = pickOne(random, FAULTS) as Fault;
       this.counts.set(fault.name, (this.counts.get(fault.name) ?? 0) + 1);
-      struck.push(fault.strike(this).catch(() => undefined));
-      nextStrikeMs += pauseMs * (0.5 + random.nextFraction());
+      injected.push(fault.inject(this).catch(() => undefined));
+      nextFaultMs += pauseMs * (0.5 + random.nextFraction());
     }
-    await Promise.all(struck);
+    await Promise.all(injected);
   }
 
-  async reset(field: string): Promise<void> {
-    await this.control(this.pickService(), '/control/faults', {
+  async resetServiceConnections(field: string): Promise<void> {
+    await this.postControl(this.pickService(), '/control/faults', {
       [field]: this.target.random.nextInt(1, 6),
     });
   }
 
   async freezeService(): Promise<void> {
-    await this.control(this.pickService(), '/control/freeze', {
-      forMs: this.target.random.nextInt(SHORT_MS, LONG_MS),
+    await this.postControl(this.pickService(), '/control/freeze', {
+      forMs: this.target.random.nextInt(SHORT_FAULT_MS, LONG_FAULT_MS),
     });
   }
 
-  async loseAnswers(): Promise<void> {
-    await this.setLog({
+  async loseLogAnswers(): Promise<void> {
+    await this.setLogFaults({
       loseAppendAnswers: this.target.random.nextInt(1, 8),
     });
   }
 
-  async breakLog(fault: object): Promise<void> {
-    await this.setLog(fault);
-    await sleep(this.target.clock, SHORT_MS);
-    await this.setLog({down: false});
+  async failLog(fault: object): Promise<void> {
+    await this.setLogFaults(fault);
+    await sleep(this.target.clock, SHORT_FAULT_MS);
+    await this.setLogFaults({down: false});
   }
 
-  async cutNode(): Promise<void> {
+  async cutNodeFromLog(): Promise<void> {
     const node = pickOne(this.target.random, this.target.cluster.nodes);
-    await this.setLog({cutNodes: node ? [node.processName] : []});
-    await sleep(this.target.clock, LONG_MS);
-    await this.setLog({cutNodes: []});
+    await this.setLogFaults({cutNodes: node ? [node.processName] : []});
+    await sleep(this.target.clock, LONG_FAULT_MS);
+    await this.setLogFaults({cutNodes: []});
   }
 
   async freezeNode(): Promise<void> {
-    const node = this.takeNode();
+    const node = this.reserveNode();
     if (!node) return;
     node.signal('SIGSTOP');
-    await sleep(this.target.clock, LONG_MS);
+    await sleep(this.target.clock, LONG_FAULT_MS);
     node.signal('SIGCONT');
-    this.busy.delete(node);
+    this.reservedNodes.delete(node);
   }
 
-  /** Ends a node and starts another in its place. */
-  async replace(signal: NodeJS.Signals): Promise<void> {
+  /** Stops a node with a signal and starts another in its place. */
+  async replaceNode(signal: NodeJS.Signals): Promise<void> {
     const {group, cluster, clock} = this.target;
-    const node = this.takeNode();
+    const node = this.reserveNode();
     if (!node) return;
     node.signal(signal);
-    await Promise.race([node.ended, sleep(clock, NODE_START_LIMIT_MS)]);
+    await Promise.race([node.ended, sleep(clock, NODE_EXIT_TIMEOUT_MS)]);
     cluster.nodes = cluster.nodes.filter(other => other !== node);
     this.nodeCount += 1;
     const added = await startNode(group, this.target.makeSpec(this.nodeCount));
     cluster.nodes = [...cluster.nodes, added];
-    this.busy.delete(node);
+    this.reservedNodes.delete(node);
   }
 
-  /** Never the last nodes that are left alone. */
-  private takeNode(): RunningNode | undefined {
-    const free = this.target.cluster.nodes.filter(node => !this.busy.has(node));
-    if (this.busy.size >= 2) return undefined;
+  /** Reserves a node for a fault; at most two, so that the others serve. */
+  private reserveNode(): RunningNode | undefined {
+    const free = this.target.cluster.nodes.filter(
+      node => !this.reservedNodes.has(node),
+    );
+    if (this.reservedNodes.size >= 2) return undefined;
     const node = pickOne(this.target.random, free);
-    if (node) this.busy.add(node);
+    if (node) this.reservedNodes.add(node);
     return node;
   }
 
@@ -141,12 +145,12 @@
     return pickOne(this.target.random, this.target.cluster.services)!.baseUrl;
   }
 
-  private setLog(log: object): Promise<void> {
+  private setLogFaults(log: object): Promise<void> {
     const {baseUrl} = this.target.cluster.platform;
-    return this.control(baseUrl, '/control/faults', {log});
+    return this.postControl(baseUrl, '/control/faults', {log});
   }
 
-  private async control(
+  private async postControl(
     baseUrl: string,
     path: string,
     body: object,
--- a/packages/unrepeatable-bench/src/stress_main.ts
+++ b/packages/unrepeatable-bench/src/stress_main.ts
@@ -1,4 +1,4 @@
-/** Program: many unrepeatable requests while everything around them fails. */
+/** Runs unrepeatable requests under injected faults; checks their outcomes. */
 import {randomBytes} from 'node:crypto';
 import {parseArgs} from 'node:util';
 import {SystemClock, sleep} from '@mimosatack/clock';
@@ -20,9 +20,9 @@
 
 const NODE_COUNT = 5;
 const CALLER_COUNT = 64;
-const THINK_MS = 400;
+const MAX_THINK_TIME_MS = 400;
 const SETTLE_MS = 3_000;
-const READY_LIMIT_MS = 30_000;
+const READY_TIMEOUT_MS = 30_000;
 const PLAIN_SERVICE: Partial<Deployment> = {runners: 0, models: []};
 
 interface StressOptions {
@@ -68,15 +68,15 @@
     group,
     ...prepared,
   });
-  const beganMs = clock.monotonicMs();
-  let isOver = false;
-  const striking = faults.run(faultPauseMs, () => isOver);
+  const startedMs = clock.monotonicMs();
+  let isDone = false;
+  const faultRun = faults.run(faultPauseMs, () => isDone);
   const operations = await runCallers(cluster, deployment, requestCount, seed);
-  const tookMs = clock.monotonicMs() - beganMs;
-  isOver = true;
-  await striking;
+  const durationMs = clock.monotonicMs() - startedMs;
+  isDone = true;
+  await faultRun;
   await sleep(clock, SETTLE_MS);
-  return report(operations, await countRuns(cluster), faults, tookMs);
+  return report(operations, await countRuns(cluster), faults, durationMs);
 }
 
 async function prepare(
@@ -98,27 +98,27 @@
     const node = await startNode(group, makeSpec(cluster.nodes.length + 1));
     cluster.nodes.push(node);
   }
-  await publish(cluster, deployment);
+  await createConfiguration(cluster, deployment);
   await waitUntilServing(cluster, deployment);
   return {cluster, makeSpec};
 }
 
-async function publish(
+async function createConfiguration(
   cluster: Cluster,
   {team, service, servicePool, unrepeatableCall}: Deployment,
 ): Promise<void> {
-  await put(cluster, `teams/${team}`, {
+  await putRecord(cluster, `teams/${team}`, {
     tokens: [
       {name: 'app', role: 'caller', tokenHash: hashToken(cluster.callerToken)},
     ],
   });
-  await put(cluster, `services/${service}`, {
+  await putRecord(cluster, `services/${service}`, {
     pool: servicePool,
     calls: {[unrepeatableCall]: {unrepeatable: true}},
   });
 }
 
-async function put(
+async function putRecord(
   cluster: Cluster,
   path: string,
   content: object,
@@ -136,19 +136,19 @@
   if (answer.statusCode >= 300) throw new Error(text);
 }
 
-/** All nodes know the call, and the services are registered. */
+/** Waits for successive calls to succeed on random nodes; resets services. */
 async function waitUntilServing(
   cluster: Cluster,
   deployment: Deployment,
 ): Promise<void> {
   const clock = new SystemClock();
-  const limitMs = clock.monotonicMs() + READY_LIMIT_MS;
+  const limitMs = clock.monotonicMs() + READY_TIMEOUT_MS;
   const context = makeCallerContext(cluster, deployment, 0);
-  let streak = 0;
-  while (streak < NODE_COUNT * 4) {
-    if (clock.monotonicMs() > limitMs) throw new Error('Nothing is served.');
+  let successiveRuns = 0;
+  while (successiveRuns < NODE_COUNT * 4) {
+    if (clock.monotonicMs() > limitMs) throw new Error('Cluster not ready.');
     const operation = await runOperation(-1, context);
-    streak = operation.lastWord === 'ran' ? streak + 1 : 0;
+    successiveRuns = operation.lastWord === 'ran' ? successiveRuns + 1 : 0;
   }
   await Promise.all(
     cluster.services.map(({baseUrl}) =>
@@ -180,12 +180,15 @@
   let nextIndex = 0;
   const runCaller = async (caller: number): Promise<Operation[]> => {
     const context = makeCallerContext(cluster, deployment, seed + caller);
-    const done: Operation[] = [];
+    const operations: Operation[] = [];
     while (nextIndex < requestCount) {
-      done.push(await runOperation(nextIndex++, context));
-      await sleep(context.clock, THINK_MS * context.random.nextFraction());
+      operations.push(await runOperation(nextIndex++, context));
+      await sleep(
+        context.clock,
+        MAX_THINK_TIME_MS * context.random.nextFraction(),
+      );
     }
-    return done;
+    return operations;
   };
   const callers = Array.from({length: CALLER_COUNT}, (_, caller) =>
     runCaller(caller),
@@ -213,7 +216,7 @@
   operations: readonly Operation[],
   runs: ReadonlyMap<string, number>,
   faults: StressFaults,
-  tookMs: number,
+  durationMs: number,
 ): boolean {
   const tallies = tallyOutcomes(operations, runs);
   const attempts = operations
@@ -221,7 +224,7 @@
     .reduce((sum, count) => sum + count, 0);
   console.log(
     `${operations.length} requests, ${attempts} attempts, ` +
-      `${Math.round(tookMs / 1_000)} s`,
+      `${Math.round(durationMs / 1_000)} s`,
   );
   console.table(tallies);
   console.table(Object.fromEntries(faults.counts));
--- a/packages/unrepeatable-bench/src/stress_report.ts
+++ b/packages/unrepeatable-bench/src/stress_report.ts
@@ -1,7 +1,7 @@
-/** Compares what callers were told with what the services truly ran. */
+/** Compares the outcomes reported to callers with the runs on the services. */
 import {type Operation} from './stress_caller.js';
 
-/** What came out for the requests with one form of key. */
+/** Counts of outcomes for the requests with one form of key. */
 export interface CallerTally {
   form: string;
   requests: number;
@@ -9,11 +9,13 @@
   notRun: number;
   unknown: number;
   noAnswer: number;
-  /** Of those without a known outcome, how many had run in truth. */
+  /** Requests with outcome `unknown` or `no-answer` that did run. */
   unknownButRan: number;
-  /** Violations. */
+  /** Violation: requests that ran more than once. */
   secondRuns: number;
+  /** Violation: requests reported as `not-run` that ran. */
   falseNotRun: number;
+  /** Violation: requests reported as `ran` that did not run exactly once. */
   falseRan: number;
   unknownPercent: string;
 }
@@ -26,17 +28,17 @@
   const forms = ['ticket', 'own-key'] as const;
   return [
     ...forms.map(form =>
-      tally(
+      tallyForm(
         form,
         operations.filter(operation => operation.form === form),
         runsById,
       ),
     ),
-    tally('all', operations, runsById),
+    tallyForm('all', operations, runsById),
   ];
 }
 
-/** Whether anything happened that must never happen. */
+/** Whether any request ran twice or was reported wrongly. */
 export function hasViolation(tallies: readonly CallerTally[]): boolean {
   return tallies.some(
     ({secondRuns, falseNotRun, falseRan}) =>
@@ -44,7 +46,7 @@
   );
 }
 
-/** How often each refusal was given, most frequent first. */
+/** The count of each refusal, most frequent first. */
 export function countRefusals(
   operations: readonly Operation[],
 ): Array<[string, number]> {
@@ -57,26 +59,26 @@
   return [...counts].sort((first, second) => second[1] - first[1]);
 }
 
-function tally(
+function tallyForm(
   form: string,
   operations: readonly Operation[],
   runsById: ReadonlyMap<string, number>,
 ): CallerTally {
   const runsOf = ({id}: Operation) => runsById.get(id) ?? 0;
-  const having = (word: Operation['lastWord']) =>
+  const withOutcome = (word: Operation['lastWord']) =>
     operations.filter(({lastWord}) => lastWord === word);
-  const open = [...having('unknown'), ...having('no-answer')];
+  const undecided = [...withOutcome('unknown'), ...withOutcome('no-answer')];
   return {
     form,
     requests: operations.length,
-    ran: having('ran').length,
-    notRun: having('not-run').length,
-    unknown: having('unknown').length,
-    noAnswer: having('no-answer').length,
-    unknownButRan: open.filter(one => runsOf(one) > 0).length,
+    ran: withOutcome('ran').length,
+    notRun: withOutcome('not-run').length,
+    unknown: withOutcome('unknown').length,
+    noAnswer: withOutcome('no-answer').length,
+    unknownButRan: undecided.filter(one => runsOf(one) > 0).length,
     secondRuns: operations.filter(one => runsOf(one) > 1).length,
-    falseNotRun: having('not-run').filter(one => runsOf(one) > 0).length,
-    falseRan: having('ran').filter(one => runsOf(one) !== 1).length,
-    unknownPercent: ((100 * open.length) / operations.length).toFixed(2),
+    falseNotRun: withOutcome('not-run').filter(one => runsOf(one) > 0).length,
+    falseRan: withOutcome('ran').filter(one => runsOf(one) !== 1).length,
+    unknownPercent: ((100 * undecided.length) / operations.length).toFixed(2),
   };
 }
