--- a/packages/demo/src/caller_steps.ts
+++ b/packages/demo/src/caller_steps.ts
@@ -1,30 +1,30 @@
-/** What the callers of the demo do. */
+/** Requests that the demo's callers send. */
 import {TypedError} from '@mimosatack/errors';
 import {expectedCompletionText} from '@mimosatack/stand-ins';
 import {request} from 'undici';
 
-/** One entry as `/v1/entries` gives it. */
+/** A caller endpoint of a node, as listed by `/v1/entries`. */
 export interface Entry {
   nodeName: string;
   baseUrl: string;
   keyPrefix: string;
 }
 
-/** What one caller's request came to. */
+/** Result of one streamed chat completion. */
 export interface CallResult {
-  isRight: boolean;
+  isCorrect: boolean;
   firstTokenMs: number;
   detail: string;
 }
 
-/** Asks any node which addresses to use. */
+/** Lists the caller endpoints that the given node knows. */
 export async function listEntries(baseUrl: string): Promise<Entry[]> {
   const response = await request(`${baseUrl}/v1/entries`);
   const answer = (await response.body.json()) as {entries: Entry[]};
   return answer.entries;
 }
 
-/** Streams one chat completion and checks the whole answer. */
+/** Streams one chat completion and compares it with the expected text. */
 export async function streamChat(
   baseUrl: string,
   token: string,
@@ -45,21 +45,21 @@
     },
     body: JSON.stringify(body),
   });
-  let raw = '';
+  let responseText = '';
   let firstTokenMs = 0;
   for await (const chunk of response.body) {
     firstTokenMs ||= performance.now() - beganMs;
-    raw += String(chunk);
+    responseText += String(chunk);
   }
   if (response.statusCode !== 200) {
-    return {isRight: false, firstTokenMs, detail: raw};
+    return {isCorrect: false, firstTokenMs, detail: responseText};
   }
-  const answer = readStreamText(raw);
-  const isRight = answer === expectedCompletionText(body);
-  return {isRight, firstTokenMs, detail: isRight ? 'whole' : answer};
+  const answer = readStreamText(responseText);
+  const isCorrect = answer === expectedCompletionText(body);
+  return {isCorrect, firstTokenMs, detail: isCorrect ? 'whole' : answer};
 }
 
-/** Calls a plain service with an idempotency key. */
+/** Calls a service; a null `key` sends no idempotency key. */
 export async function callService(
   baseUrl: string,
   token: string,
@@ -82,7 +82,7 @@
   };
 }
 
-/** Calls `check` until it gives something; rejects after `timeoutMs`. */
+/** Polls `check` until it returns a value; rejects after `timeoutMs`. */
 export async function waitFor<T>(
   what: string,
   timeoutMs: number,
@@ -92,15 +92,15 @@
   while (performance.now() < endMs) {
     const value = await check();
     if (value !== null) return value;
-    await new Promise(resolve => setTimeout(resolve, POLL_MS));
+    await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
   }
-  throw new TypedError('deadline-exceeded', `Waited too long for ${what}.`);
+  throw new TypedError('deadline-exceeded', `Timed out waiting for ${what}.`);
 }
 
-const POLL_MS = 50;
+const POLL_INTERVAL_MS = 50;
 
-function readStreamText(raw: string): string {
-  return raw
+function readStreamText(responseText: string): string {
+  return responseText
     .split('\n')
     .filter(line => line.startsWith('data: ') && line !== 'data: [DONE]')
     .map(line => JSON.parse(line.slice('data: '.length)) as StreamChunk)
--- a/packages/demo/src/cluster.ts
+++ b/packages/demo/src/cluster.ts
@@ -1,25 +1,23 @@
-/** Starts the stand-ins and the nodes of a demo. */
+/** Starts the processes of a demo: stand-ins and nodes. */
 import {createHash, randomBytes} from 'node:crypto';
 import {fileURLToPath} from 'node:url';
 import {type Deployment} from './deployment.js';
 import {type ProcessGroup, type RunningProgram} from './process_group.js';
 
-/** Where a node listens, from its ready line. */
+/** Addresses that a node listens on, from its READY line. */
 export interface NodeAddresses {
   callerBaseUrl: string;
   adminBaseUrl: string;
   peerAddress: string;
 }
 
-/** A node that runs. */
 export interface RunningNode extends RunningProgram, NodeAddresses {}
 
-/** A stand-in that runs. */
 export interface RunningStandIn extends RunningProgram {
   baseUrl: string;
 }
 
-/** All that was started. */
+/** The running processes and the tokens that they accept. */
 export interface Cluster {
   platform: RunningStandIn;
   engines: RunningStandIn[];
@@ -29,20 +27,19 @@
   callerToken: string;
 }
 
-const scriptOf = (specifier: string) =>
+const resolveScript = (specifier: string) =>
   fileURLToPath(new URL(`../../${specifier}`, import.meta.url));
 
 const SCRIPTS = {
-  platform: scriptOf('stand-ins/dist/platform_main.js'),
-  engine: scriptOf('stand-ins/dist/engine_main.js'),
-  service: scriptOf('stand-ins/dist/service_main.js'),
-  daemon: scriptOf('daemon/dist/main.js'),
+  platform: resolveScript('stand-ins/dist/platform_main.js'),
+  engine: resolveScript('stand-ins/dist/engine_main.js'),
+  service: resolveScript('stand-ins/dist/service_main.js'),
+  daemon: resolveScript('daemon/dist/main.js'),
 };
 
-/** The command-line tool's script. */
-export const CLI_SCRIPT = scriptOf('cli/dist/main.js');
+export const CLI_SCRIPT = resolveScript('cli/dist/main.js');
 
-/** Starts everything; resolves when all say that they are ready. */
+/** Starts all processes and resolves once each one reports readiness. */
 export async function startCluster(
   group: ProcessGroup,
   deployment: Deployment,
@@ -63,7 +60,7 @@
   for (let index = 0; index < nodeCount; index += 1) {
     const spec = {
       nodeName: `node-${index + 1}`,
-      failureDomain: pickDomain(deployment, index),
+      failureDomain: pickFailureDomain(deployment, index),
       seed: nodes[0]?.peerAddress ?? '',
       platformUrl: platform.baseUrl,
       adminToken,
@@ -75,7 +72,6 @@
   return {platform, engines, services, nodes, adminToken, callerToken};
 }
 
-/** What one node is started with. */
 export interface NodeSpec {
   nodeName: string;
   failureDomain: string;
@@ -86,7 +82,6 @@
   deployment: Deployment;
 }
 
-/** Starts one node. */
 export async function startNode(
   group: ProcessGroup,
   spec: NodeSpec,
@@ -120,7 +115,7 @@
   return {...program, ...(program.ready as NodeAddresses)};
 }
 
-/** The form in which tokens are stored. */
+/** SHA-256 in hexadecimal, the form in which tokens are stored. */
 export function hashToken(token: string): string {
   return createHash('sha256').update(token).digest('hex');
 }
@@ -141,7 +136,7 @@
         'backend-server-id': id,
         'host-id': id,
         pool,
-        'failure-domain': pickDomain(deployment, index),
+        'failure-domain': pickFailureDomain(deployment, index),
         region: deployment.region,
         platform: platformUrl,
       });
@@ -171,7 +166,7 @@
     .flatMap(([name, value]) => [`--${name}`, value]);
 }
 
-function pickDomain(deployment: Deployment, index: number): string {
+function pickFailureDomain(deployment: Deployment, index: number): string {
   const {failureDomains} = deployment;
   return failureDomains[index % failureDomains.length] as string;
 }
--- a/packages/demo/src/deployment.ts
+++ b/packages/demo/src/deployment.ts
@@ -1,10 +1,8 @@
-/** The two deployments that the stand-ins are sized after. */
+/** Sizes of the two deployments that the demo can run. */
 
-/** The names of the deployments. */
 export const DEPLOYMENT_NAMES = ['prairie', 'zorza'] as const;
 export type DeploymentName = (typeof DEPLOYMENT_NAMES)[number];
 
-/** Sizes and names of one deployment. */
 export interface Deployment {
   region: string;
   failureDomains: string[];
@@ -60,7 +58,7 @@
   },
 };
 
-/** Looks a deployment up; undefined for an unknown name. */
+/** Returns undefined for an unknown name. */
 export function findDeployment(name: string): Deployment | undefined {
   return DEPLOYMENT_NAMES.some(known => known === name)
     ? DEPLOYMENTS[name as DeploymentName]
--- a/packages/demo/src/main.ts
+++ b/packages/demo/src/main.ts
@@ -1,4 +1,4 @@
-/** Program: the main job with embedded stand-ins, on one machine. */
+/** Program: runs nodes against stand-ins on one machine and checks them. */
 import {parseArgs} from 'node:util';
 import {toTypedError} from '@mimosatack/errors';
 import {request} from 'undici';
@@ -15,7 +15,7 @@
 
 interface TableRow {
   step: string;
-  isRight: boolean;
+  passed: boolean;
   detail: string;
 }
 
@@ -35,9 +35,9 @@
   const group = new ProcessGroup();
   try {
     const cluster = await startCluster(group, deployment, NODE_COUNT);
-    await prepare(cluster, deployment);
-    if (values.hold) await hold(cluster, deployment);
-    else await runMainJob(cluster, deployment);
+    await publishAndWarm(cluster, deployment);
+    if (values.hold) await printAddressesAndWait(cluster, deployment);
+    else await runSteps(cluster, deployment);
   } catch (thrown) {
     process.stderr.write(`${toTypedError(thrown).message}\n`);
     process.exitCode = 1;
@@ -46,25 +46,25 @@
   }
 }
 
-function tell(progress: string): void {
+function printProgress(progress: string): void {
   process.stderr.write(`… ${progress}\n`);
 }
 
-/** Publishes the documents and waits until the event's models are warm. */
-async function prepare(
+/** Publishes the documents and waits until the event's replicas are warm. */
+async function publishAndWarm(
   cluster: Cluster,
   deployment: Deployment,
 ): Promise<void> {
-  tell('waiting until all backend servers are registered');
+  printProgress('waiting until all backend servers are registered');
   await waitFor('the backend servers', WARM_TIMEOUT_MS, async () => {
     const listed = await readItems<unknown>(cluster, 'backend-server');
     const expected = deployment.runners + deployment.services;
     return listed.length === expected ? listed : null;
   });
-  tell('publishing documents and an event');
+  printProgress('publishing documents and an event');
   const startsAtMs = Date.now() + EVENT_LEAD_MS;
   await publishDocuments(cluster, deployment, startsAtMs);
-  tell('waiting until the replicas of the event are warm');
+  printProgress('waiting until the replicas of the event are warm');
   await waitFor('warm replicas', WARM_TIMEOUT_MS, async () => {
     const slots = await readItems<{replicaStatus: string}>(cluster, 'replica');
     const isWarm =
@@ -79,7 +79,10 @@
   return answer.items;
 }
 
-async function hold(cluster: Cluster, deployment: Deployment): Promise<void> {
+async function printAddressesAndWait(
+  cluster: Cluster,
+  deployment: Deployment,
+): Promise<void> {
   const programs = [
     cluster.platform,
     ...cluster.engines,
@@ -106,31 +109,31 @@
   });
 }
 
-async function runMainJob(
+async function runSteps(
   cluster: Cluster,
   deployment: Deployment,
 ): Promise<void> {
   const rows: TableRow[] = [
-    await streamMany(cluster, deployment, 'chat at the start'),
+    await streamConcurrently(cluster, deployment, 'chat at the start'),
     await callPlain(cluster, deployment),
-    await callTwice(cluster, deployment),
+    await repeatUnrepeatableCall(cluster, deployment),
     await killOneNode(cluster, deployment),
   ];
-  rows.forEach(({step, isRight, detail}) =>
+  rows.forEach(({step, passed, detail}) =>
     process.stdout.write(
-      `${isRight ? 'ok  ' : 'FAIL'}  ${step.padEnd(34)} ${detail}\n`,
+      `${passed ? 'ok  ' : 'FAIL'}  ${step.padEnd(34)} ${detail}\n`,
     ),
   );
-  if (rows.some(row => !row.isRight)) process.exitCode = 1;
+  if (rows.some(row => !row.passed)) process.exitCode = 1;
 }
 
-async function streamMany(
+async function streamConcurrently(
   cluster: Cluster,
   deployment: Deployment,
   step: string,
 ): Promise<TableRow> {
-  const live = cluster.nodes.at(-1);
-  const entries = await listEntries(live?.callerBaseUrl ?? '');
+  const survivingNode = cluster.nodes.at(-1);
+  const entries = await listEntries(survivingNode?.callerBaseUrl ?? '');
   const models = [
     ...deployment.models,
     `${deployment.models[0]}:${deployment.adapter}`,
@@ -146,14 +149,14 @@
     ),
   );
   const slowestMs = Math.max(...results.map(result => result.firstTokenMs));
-  const wrong = results.filter(result => !result.isRight);
+  const wrong = results.filter(result => !result.isCorrect);
   return {
     step,
-    isRight: wrong.length === 0,
+    passed: wrong.length === 0,
     detail:
       `${results.length - wrong.length} of ${results.length} whole, ` +
       `slowest first token ${Math.round(slowestMs)} ms` +
-      (wrong[0] ? `; first fault: ${wrong[0].detail}` : ''),
+      (wrong[0] ? `; first failure: ${wrong[0].detail}` : ''),
   };
 }
 
@@ -171,13 +174,13 @@
   );
   return {
     step: 'plain service call',
-    isRight: answer.statusCode === 200,
+    passed: answer.statusCode === 200,
     detail: `status ${answer.statusCode}`,
   };
 }
 
-/** One unrepeatable call sent twice; the stand-ins say how often it ran. */
-async function callTwice(
+/** Sends an unrepeatable call twice and counts its runs on the stand-ins. */
+async function repeatUnrepeatableCall(
   cluster: Cluster,
   deployment: Deployment,
 ): Promise<TableRow> {
@@ -195,7 +198,7 @@
   const runs = await countRuns(cluster, key);
   return {
     step: 'unrepeatable call sent twice',
-    isRight: runs === 1 && answers.every(answer => answer.statusCode === 200),
+    passed: runs === 1 && answers.every(answer => answer.statusCode === 200),
     detail: `ran ${runs} time(s), answered ${answers.length} times`,
   };
 }
@@ -218,18 +221,22 @@
   cluster: Cluster,
   deployment: Deployment,
 ): Promise<TableRow> {
-  const [victim] = cluster.nodes;
-  victim?.signal('SIGKILL');
-  await victim?.ended;
-  const survivor = cluster.nodes.at(-1)?.callerBaseUrl ?? '';
+  const [killedNode] = cluster.nodes;
+  killedNode?.signal('SIGKILL');
+  await killedNode?.ended;
+  const survivorUrl = cluster.nodes.at(-1)?.callerBaseUrl ?? '';
   await waitFor('the entry list without the dead node', WARM_TIMEOUT_MS, () =>
-    listEntries(survivor).then(entries =>
-      entries.some(entry => entry.nodeName === victim?.processName)
+    listEntries(survivorUrl).then(entries =>
+      entries.some(entry => entry.nodeName === killedNode?.processName)
         ? null
         : entries,
     ),
   );
-  return streamMany(cluster, deployment, 'chat after a node was killed');
+  return streamConcurrently(
+    cluster,
+    deployment,
+    'chat after a node was killed',
+  );
 }
 
 await main();
--- a/packages/demo/src/operator_steps.ts
+++ b/packages/demo/src/operator_steps.ts
@@ -1,4 +1,4 @@
-/** What the operator of the demo does, through the command-line tool. */
+/** Operator steps of the demo, run through the command-line tool. */
 import {execFile} from 'node:child_process';
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
@@ -10,7 +10,7 @@
 
 const run = promisify(execFile);
 
-/** Publishes the documents of a deployment and an event from its template. */
+/** Publishes a deployment's documents and an event made from its template. */
 export async function publishDocuments(
   cluster: Cluster,
   deployment: Deployment,
@@ -22,7 +22,7 @@
   }
 }
 
-/** Runs one command of the tool and parses what it prints. */
+/** Runs one CLI command with `--json` and parses its output. */
 export async function runCli(
   cluster: Cluster,
   args: readonly string[],
@@ -38,12 +38,15 @@
       },
     },
   ).catch((thrown: unknown) => {
-    throw describeFailure(thrown, args);
+    throw makeCommandError(thrown, args);
   });
   return JSON.parse(stdout);
 }
 
-function describeFailure(thrown: unknown, args: readonly string[]): TypedError {
+function makeCommandError(
+  thrown: unknown,
+  args: readonly string[],
+): TypedError {
   const {stderr} = thrown as {stderr?: string};
   return new TypedError(
     'internal',
--- a/packages/demo/src/process_group.ts
+++ b/packages/demo/src/process_group.ts
@@ -1,37 +1,35 @@
-/** Child processes of the demo and the scenarios; they end with it. */
+/** Child processes that are started and stopped together. */
 import {type ChildProcess, spawn} from 'node:child_process';
 import {createInterface} from 'node:readline';
 import {TypedError} from '@mimosatack/errors';
 
-/** A program to start. */
 export interface ProgramSpec {
   processName: string;
-  /** The script, run by the same Node. */
+  /** Path of the script, run with the current Node.js executable. */
   script: string;
   args: readonly string[];
   env?: Readonly<Record<string, string>>;
-  /** Recognises the line that says the program is ready. */
+  /** Parses the line that reports readiness; null for any other line. */
   readReady(line: string): unknown;
 }
 
-/** A program that runs. */
 export interface RunningProgram {
   processName: string;
   pid: number;
-  /** What the ready line said. */
+  /** The value that `readReady` returned. */
   ready: unknown;
   signal(signal: NodeJS.Signals): void;
-  /** Resolves with the exit code once the process has ended. */
+  /** Resolves with the exit code, or null after a signal. */
   ended: Promise<number | null>;
 }
 
-const KEPT_LINES = 20;
+/** Output lines quoted when a program exits before it is ready. */
+const MAX_QUOTED_LINES = 20;
 
-/** Starts programs and ends those it started. */
 export class ProcessGroup {
   private readonly children = new Set<ChildProcess>();
 
-  /** Resolves once the program says that it is ready. */
+  /** Resolves once the program reports readiness; rejects if it exits first. */
   async start(spec: ProgramSpec): Promise<RunningProgram> {
     const child = spawn(process.execPath, [spec.script, ...spec.args], {
       stdio: ['ignore', 'pipe', 'pipe'],
@@ -54,9 +52,9 @@
     };
   }
 
-  /** Ends all that still run. */
+  /** Kills the programs that are still running. */
   async stopAll(): Promise<void> {
-    const ends = [...this.children].map(
+    const exits = [...this.children].map(
       child =>
         new Promise<void>(resolve => {
           child.once('exit', () => resolve());
@@ -64,7 +62,7 @@
           child.kill('SIGKILL');
         }),
     );
-    await Promise.all(ends);
+    await Promise.all(exits);
   }
 }
 
@@ -76,23 +74,23 @@
   const lines: string[] = [];
   const keep = (line: string) => {
     lines.push(line);
-    if (lines.length > KEPT_LINES) lines.shift();
+    if (lines.length > MAX_QUOTED_LINES) lines.shift();
   };
   const ready = new Promise<unknown>(resolve => {
-    const watch = (line: string) => {
+    const check = (line: string) => {
       keep(line);
       const value = spec.readReady(line);
       if (value !== null) resolve(value);
     };
-    if (child.stdout) createInterface({input: child.stdout}).on('line', watch);
+    if (child.stdout) createInterface({input: child.stdout}).on('line', check);
     if (child.stderr) createInterface({input: child.stderr}).on('line', keep);
   });
-  const died = ended.then(code => {
+  const exitedEarly = ended.then(code => {
     throw new TypedError(
       'internal',
-      `${spec.processName} ended with code ${code}:\n${lines.join('\n')}`,
+      `${spec.processName} exited with code ${code} before it was ready:\n${lines.join('\n')}`,
     );
   });
-  died.catch(() => undefined);
-  return Promise.race([ready, died]);
+  exitedEarly.catch(() => undefined);
+  return Promise.race([ready, exitedEarly]);
 }
