--- a/packages/run-experiments/src/commands/compare/compare_command.ts
+++ b/packages/run-experiments/src/commands/compare/compare_command.ts
@@ -5,7 +5,7 @@
 import {type Scenario} from '../../scenario.js';
 import {ScenarioCommand} from '../scenario_command.js';
 
-/** Plays each file with every policy, on the same requests and faults. */
+/** Simulates each file with every policy, on the same requests and faults. */
 export class CompareCommand extends ScenarioCommand {
   static override paths = [['compare']];
   static override usage = Command.Usage({
@@ -15,18 +15,18 @@
     ],
   });
 
-  protected play(
+  protected simulate(
     scenarios: readonly Scenario[],
     seeds: readonly number[],
   ): void {
     scenarios.forEach(scenario => {
-      const plays = POLICY_NAMES.map(policy => ({
+      const results = POLICY_NAMES.map(policy => ({
         policy,
         outcomes: seeds.map(seed =>
           playScenario(scenario, makePolicy(policy), seed),
         ),
       }));
-      this.context.stdout.write(formatComparison(scenario.name, plays));
+      this.context.stdout.write(formatComparison(scenario.name, results));
     });
   }
 }
--- a/packages/run-experiments/src/commands/run/run_command.ts
+++ b/packages/run-experiments/src/commands/run/run_command.ts
@@ -5,17 +5,18 @@
 import {type Scenario} from '../../scenario.js';
 import {ScenarioCommand} from '../scenario_command.js';
 
-/** Plays each file with the policy in use. */
+/** Simulates each file with the policy that the scheduling node uses. */
 export class RunCommand extends ScenarioCommand {
   static override paths = [['run']];
   static override usage = Command.Usage({
-    description: 'Play scenarios and tell how each kind of request fares.',
+    description:
+      'Simulate scenarios and print the outcome of each kind of request.',
     examples: [
       ['With six seeds', 'mimosatack-experiment run crew.toml --seeds 6'],
     ],
   });
 
-  protected play(
+  protected simulate(
     scenarios: readonly Scenario[],
     seeds: readonly number[],
   ): void {
--- a/packages/run-experiments/src/commands/scenario_command.ts
+++ b/packages/run-experiments/src/commands/scenario_command.ts
@@ -1,21 +1,21 @@
-/** What all commands on scenario files have in common. */
+/** Base class of the commands that simulate scenario files. */
 import {readFileSync} from 'node:fs';
 import {TypedError} from '@mimosatack/errors';
 import {Command, Option} from 'clipanion';
 import {type Scenario, readScenario} from '../scenario.js';
 
 const MAX_SEEDS = 200;
-/** For files or options that can not be used. */
+/** Exit code for an invalid file or option. */
 const EXIT_USAGE = 2;
 
-/** Reads all files before anything is played. */
+/** Validates all files before the first simulation starts. */
 export abstract class ScenarioCommand extends Command {
   files = Option.Rest({required: 1, name: 'file'});
   seedCount = Option.String('--seeds', '3', {
-    description: `How many seeds are played, from 1 on; ${MAX_SEEDS} at most.`,
+    description: `Number of seeds, counted from 1; at most ${MAX_SEEDS}.`,
   });
 
-  protected abstract play(
+  protected abstract simulate(
     scenarios: readonly Scenario[],
     seeds: readonly number[],
   ): void;
@@ -23,7 +23,7 @@
   async execute(): Promise<number> {
     try {
       const seeds = readSeeds(this.seedCount);
-      this.play(this.files.map(readFile), seeds);
+      this.simulate(this.files.map(readFile), seeds);
       return 0;
     } catch (thrown) {
       if (!(thrown instanceof TypedError)) throw thrown;
@@ -36,7 +36,7 @@
 function readSeeds(text: string): number[] {
   const length = Number(text);
   if (!Number.isInteger(length) || length < 1 || length > MAX_SEEDS) {
-    throw new TypedError('bad-request', `--seeds is ${text}.`, {
+    throw new TypedError('bad-request', `Invalid value for --seeds: ${text}.`, {
       remedy: `Give a whole number from 1 to ${MAX_SEEDS}.`,
     });
   }
--- a/packages/run-experiments/src/main.ts
+++ b/packages/run-experiments/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Program: plays scenarios of load and faults. */
+/** Program: simulates scenarios of load and faults. */
 import {Builtins, Cli} from 'clipanion';
 import {CompareCommand} from './commands/compare/compare_command.js';
 import {RunCommand} from './commands/run/run_command.js';
--- a/packages/run-experiments/src/play_scenario.test.ts
+++ b/packages/run-experiments/src/play_scenario.test.ts
@@ -6,7 +6,7 @@
 import {makePolicy} from './policy_names.js';
 import {type Scenario, readScenario} from './scenario.js';
 
-const test = suite('plays of scenarios');
+const test = suite('scenario simulation');
 
 function readShort(name: string): Scenario {
   const path = new URL(`../scenarios/${name}.toml`, import.meta.url);
@@ -17,13 +17,13 @@
   return {...scenario, traffic: {...scenario.traffic, durationMs: 12_000}};
 }
 
-test('the same seed gives the same play', () => {
+test('the same seed gives the same outcome', () => {
   const scenario = readShort('crew');
-  const play = () => playScenario(scenario, makePolicy('batch-worth'), 7);
-  assert.equal(play(), play());
+  const run = () => playScenario(scenario, makePolicy('batch-worth'), 7);
+  assert.equal(run(), run());
 });
 
-test('every policy is asked the same', () => {
+test('every policy gets the same requests', () => {
   const scenario = readShort('crew');
   const [first, second] = (['first-come', 'batch-worth'] as const).map(name =>
     playScenario(scenario, makePolicy(name), 3),
@@ -32,16 +32,20 @@
   assert.is(first?.kinds.draft.asked, second?.kinds.draft.asked);
 });
 
-/* Two of eight engines are lost; what they held must be served elsewhere. */
-test('the loss of engines costs little where others have the weights', () => {
-  const whole = playScenario(readShort('crew'), makePolicy('batch-worth'), 5);
-  const losing = playScenario(
+/* Guards against dropped requests after two of eight engines fail. */
+test('requests of failed engines are served by other engines', () => {
+  const withoutLosses = playScenario(
+    readShort('crew'),
+    makePolicy('batch-worth'),
+    5,
+  );
+  const withLosses = playScenario(
     readShort('crew_losing_engines'),
     makePolicy('batch-worth'),
     5,
   );
-  assert.ok(losing.worthShare < whole.worthShare);
-  assert.ok(losing.worthShare > 0.7, `${losing.worthShare}`);
+  assert.ok(withLosses.worthShare < withoutLosses.worthShare);
+  assert.ok(withLosses.worthShare > 0.7, `${withLosses.worthShare}`);
 });
 
 test.run();
--- a/packages/run-experiments/src/play_scenario.ts
+++ b/packages/run-experiments/src/play_scenario.ts
@@ -1,4 +1,4 @@
-/** Plays a scenario once. */
+/** Simulates a scenario with one policy and one seed. */
 import {
   type Arrival,
   type KindName,
@@ -10,17 +10,17 @@
 import {type SwapPolicy} from '@mimosatack/schedule-models';
 import {type Scenario} from './scenario.js';
 
-/** How the requests of one kind fared. */
+/** Request counts of one kind. */
 export interface KindOutcome {
   asked: number;
   onTime: number;
   late: number;
 }
 
-/** One play of one seed. */
+/** Result of one simulation run. */
 export interface Outcome {
   seed: number;
-  /** Worth of what was served, of the worth of all that was asked. */
+  /** Worth of the served requests as a share of the worth of all requests. */
   worthShare: number;
   kinds: Readonly<Record<KindName, KindOutcome>>;
   refused: number;
@@ -30,7 +30,7 @@
 
 const KINDS: readonly KindName[] = ['chat', 'draft', 'tag'];
 
-/** The same seed gives the same requests and faults to every policy. */
+/** The same seed generates the same requests and faults for every policy. */
 export function playScenario(
   scenario: Scenario,
   policy: SwapPolicy,
@@ -69,13 +69,15 @@
 }
 
 function findWorthShare({worths}: Scenario, kinds: Outcome['kinds']): number {
-  const sum = (worthOf: (kind: KindName) => number) =>
+  const sumOverKinds = (worthOf: (kind: KindName) => number) =>
     KINDS.reduce((total, kind) => total + worthOf(kind), 0);
-  const earned = sum(
+  const achievedWorth = sumOverKinds(
     kind =>
       kinds[kind].onTime * worths[kind].onTime +
       kinds[kind].late * worths[kind].late,
   );
-  const owed = sum(kind => kinds[kind].asked * worths[kind].onTime);
-  return owed === 0 ? 0 : earned / owed;
+  const maxWorth = sumOverKinds(
+    kind => kinds[kind].asked * worths[kind].onTime,
+  );
+  return maxWorth === 0 ? 0 : achievedWorth / maxWorth;
 }
--- a/packages/run-experiments/src/policy_names.ts
+++ b/packages/run-experiments/src/policy_names.ts
@@ -1,4 +1,4 @@
-/** The policies that experiments know by name. */
+/** Names of the scheduling policies that experiments can use. */
 import {
   BatchWorthPolicy,
   FirstComePolicy,
--- a/packages/run-experiments/src/print_outcomes.ts
+++ b/packages/run-experiments/src/print_outcomes.ts
@@ -1,4 +1,4 @@
-/** Tables for a terminal. */
+/** Formats simulation results as tables for a terminal. */
 import Table from 'cli-table3';
 import {type KindOutcome, type Outcome} from './play_scenario.js';
 import {type PolicyName} from './policy_names.js';
@@ -6,7 +6,7 @@
 
 const DIGITS = 3;
 
-/** The plays of one policy. */
+/** Outcomes of one policy, one for each seed. */
 export interface PolicyPlays {
   policy: PolicyName;
   outcomes: readonly Outcome[];
@@ -35,7 +35,7 @@
   return `${name}: ${summary}\n${table.toString()}\n`;
 }
 
-/** Each policy against the one before it in the list. */
+/** Compares each policy with the one before it in the list. */
 export function formatComparison(
   name: string,
   plays: readonly PolicyPlays[],
--- a/packages/run-experiments/src/scenario.test.ts
+++ b/packages/run-experiments/src/scenario.test.ts
@@ -19,7 +19,7 @@
   names.forEach(name => readScenario(readExample(name), name));
 });
 
-test('all faults of a file are told at once', () => {
+test('all errors of a file are reported at once', () => {
   const text = readExample('crew_losing_engines.toml')
     .replace('engines = 8', 'engines = -8')
     .replace('slots = 64', 'slot = 64')
@@ -35,7 +35,7 @@
   );
 });
 
-test('figures that can not be are refused', () => {
+test('inconsistent values are rejected', () => {
   const read = (from: string, to: string) => () =>
     readScenario(
       readExample('crew_losing_engines.toml').replace(from, to),
--- a/packages/run-experiments/src/scenario.ts
+++ b/packages/run-experiments/src/scenario.ts
@@ -1,4 +1,4 @@
-/** Scenarios: a deployment, its traffic and what fails, from a TOML file. */
+/** Reads scenarios from TOML: a deployment, its traffic and its faults. */
 import {
   type DeploymentSpec,
   type KindName,
@@ -10,13 +10,13 @@
 import {parse} from 'smol-toml';
 import * as z from 'zod';
 
-/** What an answer of one kind is worth to its users. */
+/** Worth of one answer, in the same unit for all kinds of requests. */
 export interface KindWorth {
   onTime: number;
   late: number;
 }
 
-/** One file, checked. */
+/** A validated scenario file. */
 export interface Scenario {
   name: string;
   deployment: DeploymentSpec;
@@ -25,57 +25,57 @@
   faults: PlayFaults;
 }
 
-const count = z.number().int().positive();
-const span = z.number().positive();
-const share = z.number().min(0).max(1);
+const positiveInteger = z.number().int().positive();
+const positiveNumber = z.number().positive();
+const fraction = z.number().min(0).max(1);
 
 const kindSchema = z.strictObject({
   priority: z.number().int().nonnegative(),
-  due_ms: span,
-  patience_ms: span,
-  gap_ms: span,
-  prompt_tokens: count,
-  output_tokens: count,
+  due_ms: positiveNumber,
+  patience_ms: positiveNumber,
+  gap_ms: positiveNumber,
+  prompt_tokens: positiveInteger,
+  output_tokens: positiveInteger,
   worth: z.number().nonnegative(),
   late_worth: z.number().nonnegative(),
 });
 
 const deploymentSchema = z.strictObject({
-  engines: count,
-  slots: count,
-  memory_mb: span,
-  models: count,
+  engines: positiveInteger,
+  slots: positiveInteger,
+  memory_mb: positiveNumber,
+  models: positiveInteger,
   adapters_per_hot_model: z.number().int().nonnegative(),
-  models_on_disk: count,
-  step_ms: span,
+  models_on_disk: positiveInteger,
+  step_ms: positiveNumber,
   step_ms_per_request: z.number().nonnegative(),
-  prompt_tokens_per_ms: span,
-  store_loads_per_second: span,
-  tokens_per_event: count,
-  small_disk_load_ms: span,
-  large_disk_load_ms: span,
+  prompt_tokens_per_ms: positiveNumber,
+  store_loads_per_second: positiveNumber,
+  tokens_per_event: positiveInteger,
+  small_disk_load_ms: positiveNumber,
+  large_disk_load_ms: positiveNumber,
 });
 
 const trafficSchema = z.strictObject({
-  duration_ms: span,
+  duration_ms: positiveNumber,
   chats_per_second: z.number().nonnegative(),
   drafts_per_second: z.number().nonnegative(),
   tags_per_second: z.number().nonnegative(),
   draft_burst: z.number().min(1),
-  hot_models: count,
-  shift_every_ms: span,
+  hot_models: positiveInteger,
+  shift_every_ms: positiveNumber,
 });
 
 const faultsSchema = z.strictObject({
-  lost_answers: share.default(0),
-  late_orders: share.default(0),
+  lost_answers: fraction.default(0),
+  late_orders: fraction.default(0),
   takeovers_at_ms: z.array(z.number().nonnegative()).default([]),
   losses: z
     .array(
       z.strictObject({
         engine: z.number().int().nonnegative(),
         at_ms: z.number().nonnegative(),
-        for_ms: span,
+        for_ms: positiveNumber,
       }),
     )
     .default([]),
@@ -94,35 +94,41 @@
     faults: faultsSchema.optional(),
   })
   .superRefine(({deployment, traffic, faults}, context) => {
-    const say = (path: string[], message: string) =>
+    const reportIssue = (path: string[], message: string) =>
       context.addIssue({code: 'custom', path, message});
     if (traffic.hot_models > deployment.models) {
-      say(['traffic', 'hot_models'], 'more than there are models');
+      reportIssue(['traffic', 'hot_models'], 'exceeds the number of models');
     }
     if (deployment.models_on_disk > deployment.models) {
-      say(['deployment', 'models_on_disk'], 'more than there are models');
+      reportIssue(
+        ['deployment', 'models_on_disk'],
+        'exceeds the number of models',
+      );
     }
     faults?.losses.forEach(({engine}, at) => {
       if (engine < deployment.engines) return;
-      say(['faults', 'losses', `${at}`, 'engine'], 'there is no such engine');
+      reportIssue(
+        ['faults', 'losses', `${at}`, 'engine'],
+        'there is no such engine',
+      );
     });
   });
 
 type KindFields = z.infer<typeof kindSchema>;
 
 /**
- * Reads a scenario.
+ * Parses and validates a scenario.
  *
- * @param source names the text in errors.
- * @throws TypedError of kind `bad-request` that tells all faults at once.
+ * @param source file name for error messages.
+ * @throws TypedError of kind `bad-request` that lists all errors of the file.
  */
 export function readScenario(text: string, source: string): Scenario {
   const parsed = scenarioSchema.safeParse(parseToml(text, source));
   if (!parsed.success) {
-    const faults = parsed.error.issues.map(
+    const messages = parsed.error.issues.map(
       ({path, message}) => `${path.join('.') || 'file'}: ${message}`,
     );
-    throw makeFaulty(source, faults.join('; '));
+    throw makeScenarioError(source, messages.join('; '));
   }
   const {name, deployment, kinds, traffic, faults} = parsed.data;
   return {
@@ -142,13 +148,17 @@
   try {
     return parse(text);
   } catch (thrown) {
-    throw makeFaulty(source, thrown instanceof Error ? thrown.message : '');
+    throw makeScenarioError(
+      source,
+      thrown instanceof Error ? thrown.message : '',
+    );
   }
 }
 
-function makeFaulty(source: string, faults: string): TypedError {
-  return new TypedError('bad-request', `${source}: ${faults}`, {
-    remedy: 'Correct the file; the scenarios of run-experiments are examples.',
+function makeScenarioError(source: string, problem: string): TypedError {
+  return new TypedError('bad-request', `${source}: ${problem}`, {
+    remedy:
+      'Correct the file; packages/run-experiments/scenarios has examples.',
   });
 }
 
--- a/packages/run-experiments/src/summarize_outcomes.test.ts
+++ b/packages/run-experiments/src/summarize_outcomes.test.ts
@@ -3,7 +3,7 @@
 import {type Outcome} from './play_scenario.js';
 import {compareWorth, summarizeWorth} from './summarize_outcomes.js';
 
-const test = suite('summaries of plays');
+const test = suite('summaries of outcomes');
 
 const NONE = {asked: 0, onTime: 0, late: 0};
 
@@ -22,10 +22,10 @@
 });
 
 /*
- * Seeds differ more than policies do. Two means of 0.80 and 0.82 with a deviation
- * of 0.1 each show nothing; the same gain at every seed does.
+ * Guards against an unpaired comparison: the variance between seeds would hide
+ * a gain that is the same for every seed.
  */
-test('differences are taken seed by seed', () => {
+test('outcomes are compared pairwise by seed', () => {
   const first = makeOutcomes(0.7, 0.8, 0.9);
   const second = makeOutcomes(0.72, 0.82, 0.92);
   const {mean, from, to} = compareWorth(first, second);
