--- a/packages/bench-scheduling/src/compare_policies.ts
+++ b/packages/bench-scheduling/src/compare_policies.ts
@@ -1,4 +1,4 @@
-/** Plays the same requests with each policy. */
+/** Simulates the same requests with each scheduling policy. */
 import {SeededRandom} from '@mimosatack/random';
 import {
   BatchWorthPolicy,
@@ -22,7 +22,7 @@
   result: PlayResult;
 }
 
-/** The rates of the users' sheets, with the burst of a busy day. */
+/** Request rates by kind; `draftBurst` is the burst of a busy day. */
 export const PANTRY_TRAFFIC: TrafficSpec = {
   kinds: LONG_ANSWERS,
   durationMs: 34_000,
@@ -62,33 +62,36 @@
   () => new BatchWorthPolicy(),
 ];
 
-/** A deployment with its traffic. */
-interface Setting {
+interface DeploymentTraffic {
   deployment: DeploymentSpec;
   traffic: TrafficSpec;
 }
 
-const SETTINGS: readonly Setting[] = [
+const DEPLOYMENT_TRAFFIC: readonly DeploymentTraffic[] = [
   {deployment: PANTRY, traffic: PANTRY_TRAFFIC},
   {deployment: SKY, traffic: SKY_TRAFFIC},
   {deployment: CREW, traffic: CREW_TRAFFIC},
 ];
 
 /**
- * All policies on the same requests.
+ * Simulates every policy on the same requests.
  *
- * @param names of the deployments to play; all when not given.
+ * @param names deployments to simulate; all of them by default.
  */
 export function comparePolicies(
   seed: number,
-  names: readonly string[] = SETTINGS.map(({deployment}) => deployment.name),
+  names: readonly string[] = DEPLOYMENT_TRAFFIC.map(
+    ({deployment}) => deployment.name,
+  ),
 ): PolicyResult[] {
-  return SETTINGS.filter(({deployment}) =>
+  return DEPLOYMENT_TRAFFIC.filter(({deployment}) =>
     names.includes(deployment.name),
-  ).flatMap(({deployment, traffic}) => compareIn(deployment, traffic, seed));
+  ).flatMap(({deployment, traffic}) =>
+    compareInDeployment(deployment, traffic, seed),
+  );
 }
 
-function compareIn(
+function compareInDeployment(
   deployment: DeploymentSpec,
   traffic: TrafficSpec,
   seed: number,
--- a/packages/bench-scheduling/src/deployment.ts
+++ b/packages/bench-scheduling/src/deployment.ts
@@ -1,11 +1,11 @@
-/** Deployments of the size that the users run. */
+/** Deployments of the sizes that the customers run. */
 import {
   type EngineSpec,
   type ModelSpec,
   type ServiceSpec,
 } from '@mimosatack/types';
 
-/** Engines and models of one service. */
+/** Engines and models of one simulated service. */
 export interface DeploymentSpec {
   name: string;
   engineCount: number;
@@ -13,20 +13,21 @@
   memoryMb: number;
   modelCount: number;
   adaptersPerHotModel: number;
-  /** Models whose weights lie on one engine's disk at the start. */
+  /** Models with weights on each engine's disk at the start. */
   modelsOnDisk: number;
-  /** Time of one step of a batch, and what each request adds to it. */
+  /** Base time of one decoding step of a batch. */
   stepMs: number;
+  /** Time that each request of the batch adds to a step. */
   stepMsPerRequest: number;
   promptTokensPerMs: number;
   storeLoadsPerSecond: number;
-  /** Tokens in one event of a stream. */
+  /** Tokens in one event of a response stream. */
   tokensPerEvent: number;
-  /** Loads from the engine's own disk, of a small and a large model. */
+  /** Time to load a small and a large model from the engine's disk. */
   diskLoadMs: {small: number; large: number};
 }
 
-/** Figures of the pantry's sheet: many models, short steps. */
+/** Many models, short steps. */
 export const PANTRY: DeploymentSpec = {
   name: 'pantry',
   engineCount: 13,
@@ -43,7 +44,7 @@
   diskLoadMs: {small: 590, large: 640},
 };
 
-/** Figures of the sky watchers' sheet: few engines, large batches. */
+/** Few engines, large batches. */
 export const SKY: DeploymentSpec = {
   name: 'sky',
   engineCount: 6,
@@ -60,7 +61,7 @@
   diskLoadMs: {small: 590, large: 640},
 };
 
-/** Figures of the rostering's sheet: short notes, and briefs on rare models. */
+/** Short answers, slow loads from disk. */
 export const CREW: DeploymentSpec = {
   name: 'crew',
   engineCount: 8,
@@ -79,9 +80,9 @@
 
 export const SERVICE_NAME = 'writers';
 const ADAPTER_SLOTS = 8;
-const LARGE_MB = 72_700;
-const SMALL_MB = 65_100;
-const CACHE_TOKENS = 106_000;
+const LARGE_MODEL_MB = 72_700;
+const SMALL_MODEL_MB = 65_100;
+const CACHE_CAPACITY_TOKENS = 106_000;
 
 export function listServices(deployment: DeploymentSpec): ServiceSpec[] {
   return [
@@ -94,7 +95,7 @@
   ];
 }
 
-/** Names are m0, m1 and so on; the first ones are the most wanted. */
+/** Names are m0, m1 and so on; the first ones get the most requests. */
 export function nameModel(number: number): string {
   return `m${number}`;
 }
@@ -102,7 +103,7 @@
 function makeEngineSpec(deployment: DeploymentSpec): EngineSpec {
   return {
     slots: deployment.slots,
-    cacheCapacityTokens: CACHE_TOKENS,
+    cacheCapacityTokens: CACHE_CAPACITY_TOKENS,
     memoryMb: deployment.memoryMb,
     adapterSlots: ADAPTER_SLOTS,
     hostMemoryMb: 150_000,
@@ -121,7 +122,7 @@
   const isLarge = number % 2 === 1;
   return {
     model: nameModel(number),
-    memoryMb: isLarge ? LARGE_MB : SMALL_MB,
+    memoryMb: isLarge ? LARGE_MODEL_MB : SMALL_MODEL_MB,
     storeLoadMs: 6_000,
     diskLoadMs: isLarge
       ? deployment.diskLoadMs.large
--- a/packages/bench-scheduling/src/engine_batch.test.ts
+++ b/packages/bench-scheduling/src/engine_batch.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import {type EndedRun, EngineBatch} from './engine_batch.js';
 
-const test = suite('requests on a virtual engine');
+const test = suite('batching on a virtual engine');
 
 const SPEED = {
   ...{stepMs: 5, stepMsPerRequest: 0, promptTokensPerMs: 30},
@@ -24,8 +24,8 @@
   };
 }
 
-/** Begins each request at its time and runs until all have ended. */
-function play(
+/** Starts each request at its time and runs until all of them finish. */
+function simulate(
   starts: ReadonlyArray<[atMs: number, request: ScheduledRequest]>,
 ) {
   const batch = new EngineBatch(SPEED);
@@ -41,23 +41,22 @@
   return ended;
 }
 
-test('a request alone is read, then makes its tokens', () => {
-  const run = play([[0, makeRequest('r1', 900)]]).get('r1');
+test('a single request runs prefill, then decoding', () => {
+  const run = simulate([[0, makeRequest('r1', 900)]]).get('r1');
   assert.is(run?.firstEventAtMs, 60);
   assert.ok(Math.abs((run?.endedAtMs ?? 0) - 330) <= 10);
   assert.is(run?.longestGapMs, 30);
 });
 
-/*
- * Ten users' prompts are sent to an engine in one moment while another user's
- * stream runs there. The stream stands still until the last one is read.
- */
-test('prompts that come together hold up the streams that run', () => {
-  const others = Array.from(
+/* Guards against a simulation in which prefill does not stall running streams. */
+test('simultaneous prompts stall the running streams', () => {
+  const laterRequests = Array.from(
     {length: 10},
     (_, at): [number, ScheduledRequest] => [100, makeRequest(`o${at}`, 900)],
   );
-  const run = play([[0, makeRequest('r1', 900)], ...others]).get('r1');
+  const run = simulate([[0, makeRequest('r1', 900)], ...laterRequests]).get(
+    'r1',
+  );
   assert.ok((run?.longestGapMs ?? 0) >= 300);
 });
 
--- a/packages/bench-scheduling/src/engine_batch.ts
+++ b/packages/bench-scheduling/src/engine_batch.ts
@@ -1,92 +1,95 @@
-/** The requests that run together on one virtual engine. */
+/** Continuous batching of requests on one virtual engine. */
 import {type ScheduledRequest} from '@mimosatack/schedule-models';
 
-/** How fast an engine reads prompts and makes tokens. */
+/** Prefill and decoding speed of an engine. */
 export interface EngineSpeed {
-  /** Time of one step of a batch, and what each request adds to it. */
+  /** Base time of one decoding step of a batch. */
   stepMs: number;
+  /** Time that each request of the batch adds to a step. */
   stepMsPerRequest: number;
   promptTokensPerMs: number;
-  /** Tokens that each event of a stream holds. */
+  /** Tokens in one event of a response stream. */
   tokensPerEvent: number;
 }
 
-/** A run that is over. */
+/** A finished run and its timing. */
 export interface EndedRun {
   request: ScheduledRequest;
-  /** From its begin until its prompt was read. */
+  /** Time from the start of the run to the end of its prefill. */
   headMs: number;
   firstEventAtMs: number;
-  /** The longest time between two of its events. */
+  /** The longest pause between two consecutive events. */
   longestGapMs: number;
 }
 
 interface Run {
   request: ScheduledRequest;
   beganAtMs: number;
-  promptReadAtMs: number;
+  prefilledAtMs: number;
   tokensLeft: number;
-  tokensOfEvent: number;
+  tokensInEvent: number;
   firstEventAtMs: number | null;
   lastEventAtMs: number;
   longestGapMs: number;
 }
 
 /**
- * Reads prompts one after the other and makes tokens for all requests in
- * between. A prompt that is read holds up the streams that run: that is what
- * requests sent to one engine at the same moment cost its other users.
+ * Prefills prompts one after another and decodes all running requests between
+ * prefills. Each prefill stalls the running streams.
  */
 export class EngineBatch {
   private runs: Run[] = [];
-  private readingUntilMs = 0;
-  private atMs = 0;
+  private prefillUntilMs = 0;
+  private advancedToMs = 0;
 
   constructor(private readonly speed: EngineSpeed) {}
 
   begin(request: ScheduledRequest, nowMs: number): void {
-    const readingMs = request.promptTokens / this.speed.promptTokensPerMs;
-    this.readingUntilMs = Math.max(this.readingUntilMs, nowMs) + readingMs;
+    const prefillMs = request.promptTokens / this.speed.promptTokensPerMs;
+    this.prefillUntilMs = Math.max(this.prefillUntilMs, nowMs) + prefillMs;
     this.runs.push({
       request,
       beganAtMs: nowMs,
-      promptReadAtMs: this.readingUntilMs,
+      prefilledAtMs: this.prefillUntilMs,
       tokensLeft: request.outputTokens,
-      tokensOfEvent: 0,
+      tokensInEvent: 0,
       firstEventAtMs: null,
       lastEventAtMs: nowMs,
       longestGapMs: 0,
     });
   }
 
-  /** Runs on until `nowMs` and hands over what has ended. */
+  /** Simulates up to `nowMs` and returns the runs that have finished. */
   advance(nowMs: number): EndedRun[] {
-    const fromMs = Math.min(nowMs, Math.max(this.atMs, this.readingUntilMs));
-    const tokens = (nowMs - fromMs) / this.findStepMs();
-    this.atMs = nowMs;
-    const reading = this.runs.filter(run => run.promptReadAtMs <= nowMs);
-    reading.forEach(run => this.makeTokens(run, tokens, nowMs));
-    const ended = this.runs.filter(({tokensLeft}) => tokensLeft <= 0);
+    const fromMs = Math.min(
+      nowMs,
+      Math.max(this.advancedToMs, this.prefillUntilMs),
+    );
+    const tokens = (nowMs - fromMs) / this.computeStepMs();
+    this.advancedToMs = nowMs;
+    const decoding = this.runs.filter(run => run.prefilledAtMs <= nowMs);
+    decoding.forEach(run => this.decode(run, tokens, nowMs));
+    const finished = this.runs.filter(({tokensLeft}) => tokensLeft <= 0);
     this.runs = this.runs.filter(({tokensLeft}) => tokensLeft > 0);
-    return ended.map(run => ({
+    return finished.map(run => ({
       request: run.request,
-      headMs: run.promptReadAtMs - run.beganAtMs,
+      headMs: run.prefilledAtMs - run.beganAtMs,
       firstEventAtMs: run.firstEventAtMs ?? nowMs,
       longestGapMs: run.longestGapMs,
     }));
   }
 
-  private findStepMs(): number {
+  private computeStepMs(): number {
     const {stepMs, stepMsPerRequest} = this.speed;
     return stepMs + stepMsPerRequest * this.runs.length;
   }
 
-  private makeTokens(run: Run, tokens: number, nowMs: number): void {
+  private decode(run: Run, tokens: number, nowMs: number): void {
     run.tokensLeft -= tokens;
-    run.tokensOfEvent += tokens;
-    const isWhole = run.tokensOfEvent >= this.speed.tokensPerEvent;
-    if (!isWhole && run.tokensLeft > 0) return;
-    run.tokensOfEvent = 0;
+    run.tokensInEvent += tokens;
+    const isEventFull = run.tokensInEvent >= this.speed.tokensPerEvent;
+    if (!isEventFull && run.tokensLeft > 0) return;
+    run.tokensInEvent = 0;
     if (run.firstEventAtMs === null) run.firstEventAtMs = nowMs;
     else {
       const gapMs = nowMs - run.lastEventAtMs;
--- a/packages/bench-scheduling/src/main.ts
+++ b/packages/bench-scheduling/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Program: compares the policies for swaps and prints a table. */
+/** Program: compares the scheduling policies and prints a table. */
 import {comparePolicies} from './compare_policies.js';
 
 const SEEDS = [1, 2, 3];
--- a/packages/bench-scheduling/src/play_requests.ts
+++ b/packages/bench-scheduling/src/play_requests.ts
@@ -1,4 +1,4 @@
-/** Plays requests against virtual engines, with the scheduler between them. */
+/** Simulates the scheduler with requests, virtual engines and faults. */
 import {type RandomSource} from '@mimosatack/random';
 import {
   type Decision,
@@ -14,15 +14,15 @@
 import {type Arrival} from './traffic.js';
 import {VirtualEngine} from './virtual_engine.js';
 
-/** What goes wrong, as shares of the orders and times of losses. */
+/** Faults to inject; shares are fractions of the orders sent. */
 export interface PlayFaults {
-  /** Orders that are carried out and not answered. */
+  /** Share of orders that are executed but whose response is lost. */
   lostAnswers: number;
-  /** Orders that are not answered and carried out 2 to 12 s later. */
+  /** Share of orders that get no response and are executed 2 to 12 s later. */
   lateOrders: number;
-  /** When engines are down; each is back, empty of models, after a while. */
+  /** Times at which an engine becomes unreachable, and for how long. */
   losses: ReadonlyArray<{engine: number; atMs: number; forMs: number}>;
-  /** When another node takes over, which knows what runs and what waits. */
+  /** Times at which another node takes over with the known requests. */
   takeoversAtMs: readonly number[];
 }
 
@@ -33,7 +33,6 @@
   takeoversAtMs: [],
 };
 
-/** What is played. */
 export interface PlayOptions {
   deployment: DeploymentSpec;
   arrivals: readonly Arrival[];
@@ -42,27 +41,27 @@
   faults: PlayFaults;
 }
 
-/** How a request has ended. */
 export type RequestEnd = 'onTime' | 'late' | 'refused';
 
-/** What came of it. */
+/** Result of one simulation. */
 export interface PlayResult {
   asked: number;
   onTime: number;
   late: number;
   refused: number;
-  /** Neither served nor refused; a request that is forgotten. */
+  /** Requests that were neither served nor refused. */
   forgotten: number;
-  /** How each request has ended. */
+  /** Final status of each request, by its id. */
   ends: ReadonlyMap<string, RequestEnd>;
-  /** Worth of what was served, late ones at a fifth, of what was asked. */
+  /** Worth of the served requests, late ones at 20 percent, per worth asked. */
   worthShare: number;
   orders: number;
   storeLoads: number[];
+  /** Violations of engine limits, as messages. */
   breaches: string[];
   servedByPriority: ReadonlyMap<number, number>;
   askedByPriority: ReadonlyMap<number, number>;
-  /** Never served, though they were asked for over a longer time than this. */
+  /** Models never served although requested over a span longer than `forMs`. */
   starvedModels: (forMs: number) => string[];
 }
 
@@ -74,24 +73,24 @@
 const LATE_MAX_MS = 12_000;
 const LATE_WORTH = 0.2;
 
-interface Timed {
+interface TimedAction {
   atMs: number;
   action: () => void;
 }
 
-/** Plays until all requests have ended. */
+/** Simulates until 15 s after the last arrival. */
 export function playRequests(options: PlayOptions): PlayResult {
-  return new Play(options).run();
+  return new Simulation(options).run();
 }
 
-class Play {
+class Simulation {
   private scheduler: ModelScheduler;
   private readonly engines: VirtualEngine[];
   private readonly requests = new Map<string, ScheduledRequest>();
   private readonly ends = new Map<string, RequestEnd>();
-  /** The engine of each request that runs. */
+  /** Engine id by the id of the running request. */
   private readonly running = new Map<string, string>();
-  private timed: Timed[] = [];
+  private pendingActions: TimedAction[] = [];
   private orders = 0;
   private nowMs = 0;
 
@@ -99,20 +98,20 @@
     this.engines = makeEngines(options.deployment, options.random);
     this.scheduler = this.makeScheduler();
     options.faults.takeoversAtMs.forEach(atMs =>
-      this.at(atMs, () => this.takeOver()),
+      this.schedule(atMs, () => this.takeOver()),
     );
     options.faults.losses.forEach(({engine, atMs, forMs}) => {
-      const lost = this.engines[engine % this.engines.length];
-      if (!lost) return;
-      this.at(atMs, () => (lost.isDown = true));
-      this.at(atMs + forMs, () => (lost.isDown = false));
+      const lostEngine = this.engines[engine % this.engines.length];
+      if (!lostEngine) return;
+      this.schedule(atMs, () => (lostEngine.isDown = true));
+      this.schedule(atMs + forMs, () => (lostEngine.isDown = false));
     });
   }
 
   run(): PlayResult {
     const {arrivals} = this.options;
     arrivals.forEach(({atMs, request}) =>
-      this.at(atMs, () => {
+      this.schedule(atMs, () => {
         this.requests.set(request.askId, request);
         this.scheduler.enqueue(request, this.nowMs);
       }),
@@ -120,14 +119,16 @@
     const endMs = (arrivals[arrivals.length - 1]?.atMs ?? 0) + SETTLE_MS;
     while (this.nowMs < endMs) {
       this.nowMs += STEP_MS;
-      this.runDue();
-      this.engines.forEach(engine => this.endRuns(engine));
-      this.scheduler.decide(this.nowMs).forEach(one => this.carryOut(one));
+      this.runDueActions();
+      this.engines.forEach(engine => this.finishRuns(engine));
+      this.scheduler
+        .decide(this.nowMs)
+        .forEach(decision => this.applyDecision(decision));
       this.scheduler
         .listEnginesToQuery(this.nowMs)
-        .forEach(id => this.tellReport(id));
+        .forEach(id => this.deliverReport(id));
     }
-    return this.sumUp();
+    return this.makeResult();
   }
 
   private makeScheduler(): ModelScheduler {
@@ -140,7 +141,7 @@
     return scheduler;
   }
 
-  /** Orders of the node before may still be on their way. */
+  /** Replaces the scheduler; delayed orders of the old one may still execute. */
   private takeOver(): void {
     this.scheduler = this.makeScheduler();
     this.requests.forEach((request, askId) => {
@@ -153,7 +154,7 @@
     });
   }
 
-  private carryOut(decision: Decision): void {
+  private applyDecision(decision: Decision): void {
     switch (decision.kind) {
       case 'assign':
         return this.startRun(decision.askId, decision.engineId);
@@ -181,7 +182,7 @@
     this.running.set(askId, engineId);
   }
 
-  private endRuns(engine: VirtualEngine): void {
+  private finishRuns(engine: VirtualEngine): void {
     engine.advance(this.nowMs).forEach(run => {
       const {askId} = run.request;
       this.running.delete(askId);
@@ -200,26 +201,28 @@
     const engine = this.findEngine(order.engineId);
     if (!engine) return;
     const {lostAnswers, lateOrders} = this.options.faults;
-    const chance = this.options.random.nextFraction();
+    const draw = this.options.random.nextFraction();
     const {scheduler} = this;
-    const answer = (outcome: OrderOutcome, afterMs: number) =>
-      this.at(this.nowMs + afterMs, () =>
+    const deliverOutcome = (outcome: OrderOutcome, afterMs: number) =>
+      this.schedule(this.nowMs + afterMs, () =>
         scheduler.recordOrderOutcome(order, outcome, this.nowMs),
       );
-    if (engine.isDown) return answer('unknown', LOST_ANSWER_MS);
-    if (chance < lateOrders) {
+    if (engine.isDown) return deliverOutcome('unknown', LOST_ANSWER_MS);
+    if (draw < lateOrders) {
       const delayMs = this.options.random.nextInt(LATE_MIN_MS, LATE_MAX_MS);
-      this.at(this.nowMs + delayMs, () => engine.order(order, this.nowMs));
-      return answer('unknown', LOST_ANSWER_MS);
+      this.schedule(this.nowMs + delayMs, () =>
+        engine.order(order, this.nowMs),
+      );
+      return deliverOutcome('unknown', LOST_ANSWER_MS);
     }
     const outcome = engine.order(order, this.nowMs);
-    if (chance < lateOrders + lostAnswers) {
-      return answer('unknown', LOST_ANSWER_MS);
+    if (draw < lateOrders + lostAnswers) {
+      return deliverOutcome('unknown', LOST_ANSWER_MS);
     }
-    return answer(outcome, ORDER_ANSWER_MS);
+    return deliverOutcome(outcome, ORDER_ANSWER_MS);
   }
 
-  private tellReport(id: string): void {
+  private deliverReport(id: string): void {
     const engine = this.findEngine(id);
     if (!engine || engine.isDown) {
       return this.scheduler.recordReportFailed(id, this.nowMs);
@@ -228,20 +231,20 @@
     this.scheduler.putEngine(engine.describe(), this.nowMs);
   }
 
-  private sumUp(): PlayResult {
+  private makeResult(): PlayResult {
     const asked = [...this.requests.values()];
-    const listBy = (end: RequestEnd) =>
+    const listByEnd = (end: RequestEnd) =>
       asked.filter(({askId}) => this.ends.get(askId) === end);
-    const served = [...listBy('onTime'), ...listBy('late')];
-    const earned =
-      sumWorth(listBy('onTime')) + LATE_WORTH * sumWorth(listBy('late'));
+    const served = [...listByEnd('onTime'), ...listByEnd('late')];
+    const servedWorth =
+      sumWorth(listByEnd('onTime')) + LATE_WORTH * sumWorth(listByEnd('late'));
     return {
       asked: asked.length,
-      onTime: listBy('onTime').length,
-      late: listBy('late').length,
-      refused: listBy('refused').length,
-      forgotten: asked.length - served.length - listBy('refused').length,
-      worthShare: earned / sumWorth(asked),
+      onTime: listByEnd('onTime').length,
+      late: listByEnd('late').length,
+      refused: listByEnd('refused').length,
+      forgotten: asked.length - served.length - listByEnd('refused').length,
+      worthShare: servedWorth / sumWorth(asked),
       ends: this.ends,
       orders: this.orders,
       storeLoads: this.engines
@@ -258,22 +261,24 @@
     return this.engines.find(engine => engine.id === id);
   }
 
-  private at(atMs: number, action: () => void): void {
-    this.timed.push({atMs, action});
+  private schedule(atMs: number, action: () => void): void {
+    this.pendingActions.push({atMs, action});
   }
 
-  private runDue(): void {
-    const due = this.timed
+  private runDueActions(): void {
+    const due = this.pendingActions
       .filter(({atMs}) => atMs <= this.nowMs)
       .sort((a, b) => a.atMs - b.atMs);
-    this.timed = this.timed.filter(({atMs}) => atMs > this.nowMs);
+    this.pendingActions = this.pendingActions.filter(
+      ({atMs}) => atMs > this.nowMs,
+    );
     due.forEach(({action}) => action());
   }
 }
 
-const HELD_AT_START = 3;
+const LOADED_AT_START = 3;
 
-/** Each engine begins with one wanted model and two others from its disk. */
+/** Each engine starts with one popular model and two others from its disk. */
 function makeEngines(
   deployment: DeploymentSpec,
   random: RandomSource,
@@ -291,8 +296,10 @@
     while (onDisk.size < modelsOnDisk) {
       onDisk.add(nameModel(random.nextInt(0, modelCount - 1)));
     }
-    const held = [...onDisk].slice(0, HELD_AT_START);
-    return new VirtualEngine(`e${index}`, spec, speed, held, [...onDisk]);
+    const loadedModels = [...onDisk].slice(0, LOADED_AT_START);
+    return new VirtualEngine(`e${index}`, spec, speed, loadedModels, [
+      ...onDisk,
+    ]);
   });
 }
 
--- a/packages/bench-scheduling/src/scheduling.test.ts
+++ b/packages/bench-scheduling/src/scheduling.test.ts
@@ -21,7 +21,7 @@
 
 const SEED = 20_261_202;
 
-function play(
+function simulate(
   deployment: DeploymentSpec,
   traffic: TrafficSpec,
   faults: PlayFaults = NO_FAULTS,
@@ -47,17 +47,16 @@
 const POLICY_SEEDS = [1, 2, 3, 4];
 const POLICY_DEPLOYMENTS = ['pantry', 'sky'];
 
-/*
- * Two thirds of the models are not loaded, and half of all worth is asked of
- * them. Users of a model that is not loaded would always be refused.
- */
-test('swapping by worth serves more than what is loaded and first come', () => {
+/* Guards against refusing every request for a model that is not loaded. */
+test('swapping by worth beats the resident-only and first-come policies', () => {
   const results = POLICY_SEEDS.flatMap(seed =>
     comparePolicies(seed, POLICY_DEPLOYMENTS),
   );
   const worthOf = (deployment: string, policy: string) =>
     results
-      .filter(one => one.deployment === deployment && one.policy === policy)
+      .filter(
+        entry => entry.deployment === deployment && entry.policy === policy,
+      )
       .reduce(
         (sum, {result}) => sum + result.worthShare / POLICY_SEEDS.length,
         0,
@@ -71,19 +70,18 @@
   });
 });
 
-/** A request for a rare model waits for less than this in the bench. */
+/** Upper limit of the wait for a rarely used model. */
 const LONGEST_WAIT_MS = 4_800;
 const BURST_SEEDS = [SEED, 1, 2, 3, 4, 5, 6, 7];
 
 /*
- * Three times as many drafts as usual come, nearly each for another model:
- * more swaps than the engines can make. Some are refused and come back. A model
- * that few ask for must not be refused each time behind those that more ask for.
+ * Guards against starvation of models with few requests when a burst needs more
+ * swaps than the engines can make.
  */
-test('a burst of rare models starves no model and forgets no request', () => {
+test('a burst for rarely used models starves no model and loses no request', () => {
   const burst = {...PANTRY_TRAFFIC, draftBurst: 3};
   BURST_SEEDS.forEach(seed => {
-    const result = play(PANTRY, burst, NO_FAULTS, seed);
+    const result = simulate(PANTRY, burst, NO_FAULTS, seed);
     assert.is(result.forgotten, 0);
     assert.equal(result.starvedModels(LONGEST_WAIT_MS), [], `seed ${seed}`);
     assert.ok(result.refused / result.asked < 0.05, `${result.refused}`);
@@ -91,35 +89,32 @@
   });
 });
 
-/*
- * Many more chats come than usual. The drafts are more urgent and rarer; they
- * must not be served clearly less often than the chats.
- */
+/* Guards against urgent, rare drafts losing to a high load of chats. */
 test('urgent requests are not served less often than others', () => {
-  const result = play(SKY, {...SKY_TRAFFIC, chatsPerSecond: 60});
+  const result = simulate(SKY, {...SKY_TRAFFIC, chatsPerSecond: 60});
   assert.ok(findShare(result, 0) > findShare(result, 1) - 0.05);
   assert.ok(findShare(result, 1) > findShare(result, 2) - 0.05);
 });
 
-test('demand that moves to other models is followed', () => {
-  const result = play(PANTRY, {...PANTRY_TRAFFIC, shiftEveryMs: 4_000});
+test('swaps follow demand that shifts to other models', () => {
+  const result = simulate(PANTRY, {...PANTRY_TRAFFIC, shiftEveryMs: 4_000});
   assert.ok(result.onTime / result.asked > 0.8, `${result.onTime}`);
 });
 
 /*
- * The engine with the most wanted model dies, and its entry still stands in the
- * list. Requests must go to a copy elsewhere and not wait for it.
+ * Guards against requests that wait for a failed engine which is still listed,
+ * although another engine has the model loaded.
  */
-test('the loss of an engine costs what ran there and little more', () => {
+test('requests avoid lost engines', () => {
   const losses = [0, 1, 2, 3].map(engine => ({
     ...{engine, atMs: 8_000 + 1_000 * engine, forMs: 4_000},
   }));
-  const result = play(PANTRY, PANTRY_TRAFFIC, {...NO_FAULTS, losses});
+  const result = simulate(PANTRY, PANTRY_TRAFFIC, {...NO_FAULTS, losses});
   assert.is(result.forgotten, 0);
   assert.ok(result.onTime / result.asked > 0.75, `${result.onTime}`);
 });
 
-/** A long run takes more runs by this variable; CI has a fixed seed. */
+/** Number of random fault plans; the variable raises it for long runs. */
 const RUNS = Number(process.env['MIMOSATACK_PROPERTY_RUNS'] ?? 12);
 const SMALL: DeploymentSpec = {...SKY, engineCount: 3, modelCount: 20};
 const SHORT: TrafficSpec = {
@@ -146,15 +141,13 @@
 });
 
 /*
- * Orders are lost, answered and not carried out, or carried out many seconds
- * later, behind newer ones, also by a node from which another one has taken
- * over meanwhile. An engine that is ordered to load more than its
- * memory holds crashes with all that runs on it.
+ * Guards against overcommitted engine memory, which crashes the engine, after
+ * lost responses, delayed orders and takeovers by another node.
  */
-test('no order ever asks an engine for more than it holds', () => {
+test('no order exceeds the limits of an engine', () => {
   fc.assert(
-    fc.property(faults, fc.nat(), (plan, seed) => {
-      const {breaches, forgotten} = play(SMALL, SHORT, plan, seed);
+    fc.property(faults, fc.nat(), (faultPlan, seed) => {
+      const {breaches, forgotten} = simulate(SMALL, SHORT, faultPlan, seed);
       assert.equal(breaches, []);
       assert.is(forgotten, 0);
     }),
@@ -162,15 +155,15 @@
   );
 });
 
-test('loads from the store stay within its rate', () => {
+test('loads from the weight store stay within its rate limit', () => {
   const spread = {...SMALL, modelsOnDisk: 3, modelCount: 40};
-  const {storeLoads} = play(spread, {...SHORT, draftsPerSecond: 12});
-  const most = SMALL.storeLoadsPerSecond * 5 * 1.1 + 3;
+  const {storeLoads} = simulate(spread, {...SHORT, draftsPerSecond: 12});
+  const maxInWindow = SMALL.storeLoadsPerSecond * 5 * 1.1 + 3;
   storeLoads.forEach(atMs => {
     const inWindow = storeLoads.filter(
       other => other >= atMs && other < atMs + 5_000,
     );
-    assert.ok(inWindow.length <= most, `${inWindow.length} at ${atMs}`);
+    assert.ok(inWindow.length <= maxInWindow, `${inWindow.length} at ${atMs}`);
   });
   assert.ok(storeLoads.length > 0);
 });
--- a/packages/bench-scheduling/src/traffic.ts
+++ b/packages/bench-scheduling/src/traffic.ts
@@ -1,45 +1,43 @@
-/** Requests as the users' sheets describe them. */
+/** Generates request arrivals from rates and kinds of requests. */
 import {type RandomSource} from '@mimosatack/random';
 import {type ScheduledRequest} from '@mimosatack/schedule-models';
 import {type DeploymentSpec, SERVICE_NAME, nameModel} from './deployment.js';
 
-/** What requests of one kind ask for and bear. */
+/** Sizes and time limits of one kind of request. */
 export interface KindSpec {
   /** 0 is the most urgent. */
   priority: number;
-  /** Within this time the first event is on time. */
+  /** Limit for the first event of the response. */
   dueMs: number;
-  /** The caller leaves a silent stream after this time. */
+  /** The caller disconnects after this time without an event. */
   patienceMs: number;
-  /** The longest pause between events that is on time. */
+  /** Limit for the pause between two events. */
   gapMs: number;
   promptTokens: number;
   outputTokens: number;
 }
 
-/** How much of which kind comes when. */
+/** Request rates by kind, and how they change over time. */
 export interface TrafficSpec {
   durationMs: number;
-  /** Interactive requests, long drafts and short tags. */
   kinds: Readonly<Record<KindName, KindSpec>>;
-  /** Interactive requests, for a few models that are asked for much. */
+  /** Interactive requests for a few popular models. */
   chatsPerSecond: number;
-  /** Long drafts, for all other models nearly evenly. */
+  /** Long drafts, spread evenly over all other models. */
   draftsPerSecond: number;
-  /** Short tags, half of them for an adapter. */
+  /** Short tagging requests, half of them for an adapter. */
   tagsPerSecond: number;
-  /** Drafts come this many times as often in the middle third. */
+  /** Factor on the rate of drafts in the middle third of the duration. */
   draftBurst: number;
-  /** Models that chats and tags are for at a time. */
+  /** Number of models that receive chats and tags at a time. */
   hotModels: number;
-  /** After this time they are for the next models in the list. */
+  /** Interval after which chats and tags move to the next model in the list. */
   shiftEveryMs: number;
 }
 
-/** The kinds of requests. */
 export type KindName = 'chat' | 'draft' | 'tag';
 
-/** A request with what it takes to run. */
+/** A request with its kind and arrival time. */
 export interface Arrival {
   kind: KindName;
   atMs: number;
@@ -47,8 +45,8 @@
 }
 
 const MS_PER_SECOND = 1_000;
-const HOT_LIST = 10;
-/** Kinds of the first customers' sheets. */
+const HOT_MODEL_COUNT = 10;
+/** Kinds of the deployments `pantry` and `sky`. */
 export const LONG_ANSWERS: TrafficSpec['kinds'] = {
   chat: {
     ...{priority: 1, dueMs: 600, patienceMs: 2_400, gapMs: 300},
@@ -64,7 +62,7 @@
   },
 };
 
-/** Kinds of the rostering's sheet. */
+/** Kinds of the deployment `crew`. */
 export const SHORT_ANSWERS: TrafficSpec['kinds'] = {
   chat: {
     ...{priority: 0, dueMs: 500, patienceMs: 4_800, gapMs: 600},
@@ -80,14 +78,14 @@
   },
 };
 
-/** All arrivals of one play, in the order of their times. */
+/** Generates all arrivals, sorted by time. */
 export function makeTraffic(
   spec: TrafficSpec,
   deployment: DeploymentSpec,
   random: RandomSource,
 ): Arrival[] {
-  const numbers = {next: 0};
-  const add = (
+  const requestCounter = {next: 0};
+  const makeArrival = (
     atMs: number,
     kindName: KindName,
     model: number,
@@ -98,7 +96,7 @@
       kind: kindName,
       atMs,
       request: {
-        askId: `r${(numbers.next += 1)}`,
+        askId: `r${(requestCounter.next += 1)}`,
         service: SERVICE_NAME,
         model: nameModel(model),
         adapter,
@@ -117,22 +115,31 @@
       },
     };
   };
-  const hotAt = (atMs: number) => {
+  const pickHotModel = (atMs: number) => {
     const shift = Math.floor(atMs / spec.shiftEveryMs);
     const skewed = Math.floor(spec.hotModels * random.nextFraction() ** 1.5);
-    return (shift + skewed) % HOT_LIST;
+    return (shift + skewed) % HOT_MODEL_COUNT;
   };
   const chats = listTimes(spec.chatsPerSecond, spec.durationMs, random).map(
-    atMs => add(atMs, 'chat', hotAt(atMs)),
+    atMs => makeArrival(atMs, 'chat', pickHotModel(atMs)),
   );
   const drafts = listDraftTimes(spec, random).map(atMs =>
-    add(atMs, 'draft', random.nextInt(HOT_LIST, deployment.modelCount - 1)),
+    makeArrival(
+      atMs,
+      'draft',
+      random.nextInt(HOT_MODEL_COUNT, deployment.modelCount - 1),
+    ),
   );
   const tags = listTimes(spec.tagsPerSecond, spec.durationMs, random).map(
     atMs => {
       const isPlain = random.nextFraction() < 0.5;
       const number = random.nextInt(1, deployment.adaptersPerHotModel);
-      return add(atMs, 'tag', hotAt(atMs), isPlain ? null : `a${number}`);
+      return makeArrival(
+        atMs,
+        'tag',
+        pickHotModel(atMs),
+        isPlain ? null : `a${number}`,
+      );
     },
   );
   return [...chats, ...drafts, ...tags].sort((a, b) => a.atMs - b.atMs);
@@ -140,16 +147,16 @@
 
 function listDraftTimes(spec: TrafficSpec, random: RandomSource): number[] {
   const third = spec.durationMs / 3;
-  const calm = listTimes(spec.draftsPerSecond, spec.durationMs, random);
-  const extra = listTimes(
+  const baseline = listTimes(spec.draftsPerSecond, spec.durationMs, random);
+  const burst = listTimes(
     spec.draftsPerSecond * (spec.draftBurst - 1),
     third,
     random,
   ).map(atMs => atMs + third);
-  return [...calm, ...extra];
+  return [...baseline, ...burst];
 }
 
-/** Independent arrivals at a rate. */
+/** Arrival times of a Poisson process. */
 function listTimes(
   perSecond: number,
   durationMs: number,
--- a/packages/bench-scheduling/src/virtual_engine.ts
+++ b/packages/bench-scheduling/src/virtual_engine.ts
@@ -1,4 +1,4 @@
-/** An engine that keeps its own rules, and notes when an order breaks one. */
+/** A simulated engine that records orders which exceed its limits. */
 import {
   type EngineReport,
   type PlannedOrder,
@@ -12,11 +12,11 @@
 import {SERVICE_NAME} from './deployment.js';
 import {type EndedRun, EngineBatch, type EngineSpeed} from './engine_batch.js';
 
-/** What an engine answers to an order. */
+/** Response of an engine to an order; `holds`: already in that state. */
 export type OrderAnswer = 'accepted' | 'holds' | 'conflict' | 'refused';
 
-/** A model in the engine's memory. */
-interface Held {
+/** A model that is loading or loaded in the engine's memory. */
+interface HeldModel {
   readyAtMs: number;
   adapters: Set<string>;
   runs: number;
@@ -28,22 +28,21 @@
 }
 
 const UNLOAD_MS = 50;
-/** A report tells the state of this long ago. */
+/** Age of the state in a report. */
 const REPORT_LAG_MS = 200;
-const HOST_MEMORY_MODELS = 2;
+const MAX_HOST_MEMORY_MODELS = 2;
 
-/** One engine. */
 export class VirtualEngine {
-  readonly held = new Map<string, Held>();
-  /** Breaches of its limits, in words. */
+  readonly held = new Map<string, HeldModel>();
+  /** Violations of the memory and adapter limits, as messages. */
   readonly breaches: string[] = [];
   storeLoads: number[] = [];
   orderCount = 0;
   isDown = false;
   private busyUntilMs = 0;
-  private unloading: {model: string; endsAtMs: number} | null = null;
-  private readonly nearHost: string[] = [];
-  private readonly nearDisk: string[];
+  private unloading: {model: string; unloadedAtMs: number} | null = null;
+  private readonly hostMemoryModels: string[] = [];
+  private readonly diskModels: string[];
   private snapshots: Snapshot[] = [];
   private readonly batch: EngineBatch;
 
@@ -55,7 +54,7 @@
     onDisk: readonly string[],
   ) {
     this.batch = new EngineBatch(speed);
-    this.nearDisk = [...onDisk];
+    this.diskModels = [...onDisk];
     heldModels.forEach(model =>
       this.held.set(model, {readyAtMs: 0, adapters: new Set(), runs: 0}),
     );
@@ -75,35 +74,38 @@
         ...{model, version: 1},
         adapters: [...adapters],
       })),
-      near: {inHostMemory: [...this.nearHost], onDisk: [...this.nearDisk]},
+      near: {
+        inHostMemory: [...this.hostMemoryModels],
+        onDisk: [...this.diskModels],
+      },
     };
   }
 
-  /** Carries an order out, or says why not. */
+  /** Executes an order or returns the reason for rejecting it. */
   order(order: PlannedOrder, nowMs: number): OrderAnswer {
-    this.finish(nowMs);
+    this.finishUnload(nowMs);
     if (order.expectedCount !== this.orderCount) return 'conflict';
     const answer =
       order.adapter === null
         ? this.orderModel(order, nowMs)
         : this.orderAdapter(order, nowMs);
     if (answer === 'accepted') this.orderCount += 1;
-    this.note(nowMs);
+    this.recordSnapshot(nowMs);
     return answer;
   }
 
-  /** The state of a while ago. */
+  /** Returns the state of `REPORT_LAG_MS` ago. */
   report(nowMs: number): EngineReport {
-    this.note(nowMs);
-    const old = this.snapshots.findLast(
+    this.recordSnapshot(nowMs);
+    const snapshot = this.snapshots.findLast(
       ({atMs}) => atMs <= nowMs - REPORT_LAG_MS,
     );
-    return (old ?? this.snapshots[0] ?? {report: this.tell(nowMs)}).report;
+    return (snapshot ?? this.snapshots[0] ?? {report: this.buildReport(nowMs)})
+      .report;
   }
 
-  /** Whether a request would run now. */
   canRun(model: string, adapter: string | null, nowMs: number): boolean {
-    this.finish(nowMs);
+    this.finishUnload(nowMs);
     const held = this.held.get(model);
     if (this.isDown || !held || held.readyAtMs > nowMs) return false;
     if (this.unloading?.model === model) return false;
@@ -116,7 +118,7 @@
     this.batch.begin(request, nowMs);
   }
 
-  /** Runs on until `nowMs` and hands over what has ended. */
+  /** Simulates up to `nowMs` and returns the runs that have finished. */
   advance(nowMs: number): EndedRun[] {
     const ended = this.batch.advance(nowMs);
     ended.forEach(({request}) => {
@@ -134,7 +136,7 @@
     const isHeld = this.held.has(model);
     if (operation === 'unload') {
       if (!isHeld) return 'holds';
-      this.unloading = {model, endsAtMs: nowMs + UNLOAD_MS};
+      this.unloading = {model, unloadedAtMs: nowMs + UNLOAD_MS};
       return 'accepted';
     }
     if (isHeld) return 'holds';
@@ -145,7 +147,7 @@
       runs: 0,
     });
     this.busyUntilMs = nowMs + loadMs;
-    this.keepNear(model);
+    this.cacheWeights(model);
     this.checkMemory(model);
     return 'accepted';
   }
@@ -166,28 +168,36 @@
     return 'accepted';
   }
 
-  private finish(nowMs: number): void {
+  private finishUnload(nowMs: number): void {
     const {unloading} = this;
-    if (!unloading || nowMs < unloading.endsAtMs) return;
+    if (!unloading || nowMs < unloading.unloadedAtMs) return;
     if ((this.held.get(unloading.model)?.runs ?? 0) > 0) return;
     this.held.delete(unloading.model);
     this.unloading = null;
-    this.note(nowMs);
+    this.recordSnapshot(nowMs);
   }
 
   private findLoadMs(model: string, nowMs: number): number {
     const spec = this.findSpec(model);
-    if (this.nearHost.includes(model)) return spec.hostMemoryLoadMs;
-    if (this.nearDisk.includes(model)) return spec.diskLoadMs;
+    if (this.hostMemoryModels.includes(model)) return spec.hostMemoryLoadMs;
+    if (this.diskModels.includes(model)) return spec.diskLoadMs;
     this.storeLoads.push(nowMs);
     return spec.storeLoadMs;
   }
 
-  private keepNear(model: string): void {
-    const others = this.nearHost.filter(other => other !== model);
-    this.nearHost.splice(0, this.nearHost.length, model, ...others);
-    this.nearHost.length = Math.min(this.nearHost.length, HOST_MEMORY_MODELS);
-    if (!this.nearDisk.includes(model)) this.nearDisk.push(model);
+  private cacheWeights(model: string): void {
+    const others = this.hostMemoryModels.filter(other => other !== model);
+    this.hostMemoryModels.splice(
+      0,
+      this.hostMemoryModels.length,
+      model,
+      ...others,
+    );
+    this.hostMemoryModels.length = Math.min(
+      this.hostMemoryModels.length,
+      MAX_HOST_MEMORY_MODELS,
+    );
+    if (!this.diskModels.includes(model)) this.diskModels.push(model);
   }
 
   private checkMemory(model: string): void {
@@ -203,27 +213,29 @@
       0,
     );
     if (usedMb > this.spec.memoryMb) {
-      this.breaches.push(`${this.id} has no memory for ${model}`);
+      this.breaches.push(`${this.id} exceeds its memory with ${model}`);
     }
     if (adapters > this.spec.adapterSlots) {
-      this.breaches.push(`${this.id} has no place for an adapter of ${model}`);
+      this.breaches.push(
+        `${this.id} exceeds its adapter slots with an adapter of ${model}`,
+      );
     }
   }
 
   private findSpec(model: string): ModelSpec {
     const spec = this.spec.models.find(other => other.model === model);
-    if (!spec) throw new Error(`No model ${model}.`);
+    if (!spec) throw new Error(`Unknown model ${model}.`);
     return spec;
   }
 
-  private note(nowMs: number): void {
-    this.snapshots.push({atMs: nowMs, report: this.tell(nowMs)});
+  private recordSnapshot(nowMs: number): void {
+    this.snapshots.push({atMs: nowMs, report: this.buildReport(nowMs)});
     const oldestMs = nowMs - 2 * REPORT_LAG_MS;
     const firstKept = this.snapshots.findLastIndex(({atMs}) => atMs < oldestMs);
     this.snapshots = this.snapshots.slice(Math.max(0, firstKept));
   }
 
-  private tell(nowMs: number): EngineReport {
+  private buildReport(nowMs: number): EngineReport {
     return {
       startedAtMs: null,
       orderCount: this.orderCount,
