--- a/packages/bench-warming/src/bench.ts
+++ b/packages/bench-warming/src/bench.ts
@@ -1,4 +1,4 @@
-/** All runs of the benchmark, and what they come to. */
+/** Runs the benchmark and aggregates the results of its runs. */
 import {
   FixedLeadPolicy,
   LoadOnFirstRequestPolicy,
@@ -16,7 +16,7 @@
 import {FAULT_NAMES, type FaultName, listFaults} from './fault.js';
 import {type RunResult, measureRun} from './measure_run.js';
 
-/** One line of the result: a policy in a scenario under a fault. */
+/** Result of one policy in one scenario under one fault. */
 export interface BenchRow {
   deployment: DeploymentName;
   scenario: ScenarioName;
@@ -28,34 +28,32 @@
   coldP95Ms: number;
   coldP99Ms: number;
   coldMaxMs: number;
-  /** Held before the start, loading included, for one run. */
+  /** Hours held before the start, loading included, mean per run. */
   heldBeforeAcceleratorHours: number;
-  /** Of that, warm and at rest. */
+  /** Part of those hours in which replicas were warm and idle. */
   restBeforeAcceleratorHours: number;
-  /** Loading or at rest, before and after the start, for one run. */
+  /** Hours loading or idle, before and after the start, mean per run. */
   idleAcceleratorHours: number;
   overcommits: number;
   cutOffRequests: number;
 }
 
-/** Which fixed leads were tried and which were taken as baselines. */
+/** Candidate fixed leads and those chosen as baselines. */
 export interface LeadChoice {
   deployment: DeploymentName;
   triedLeadsMs: number[];
-  /** The least lead without a cold start when nothing fails. */
+  /** Shortest lead without a cold start in runs without faults. */
   leastLeadMs: number;
-  /** The least lead with the best tail over all faults. */
+  /** Shortest lead with the shortest worst cold start over `SAFE_LEAD_FAULTS`. */
   safeLeadMs: number;
 }
 
-/** The whole result. */
 export interface BenchResult {
   seeds: number[];
   leads: LeadChoice[];
   rows: BenchRow[];
 }
 
-/** What to run. */
 export interface BenchOptions {
   deployments: readonly DeploymentName[];
   seeds: readonly number[];
@@ -64,11 +62,11 @@
 
 const SECOND_MS = 1_000;
 const HOUR_MS = 3_600_000;
-const TRIED_LEADS_S = [
+const CANDIDATE_LEADS_S = [
   5, 6, 7, 8, 9, 10, 12, 15, 20, 30, 45, 60, 75, 90, 120, 180, 300, 600,
 ];
-/** Faults that the safe lead is chosen by; dear ones are left to the end. */
-const SWEPT_FAULTS: readonly FaultName[] = [
+/** Faults that the safe lead is chosen by, the slowest to simulate last. */
+const SAFE_LEAD_FAULTS: readonly FaultName[] = [
   'store slow from 2 min before',
   'store slow from 20 min before',
   'steward killed',
@@ -83,7 +81,6 @@
   seeds: readonly number[];
 }
 
-/** Runs everything. */
 export function runBench(options: BenchOptions): BenchResult {
   const results = options.deployments.map(name =>
     benchDeployment(DEPLOYMENTS[name], options),
@@ -121,24 +118,24 @@
   deployment: Deployment,
   {leastLeadMs, safeLeadMs}: LeadChoice,
 ): {label: string; policy: WarmingPolicy}[] {
-  const makeFixed = (leadMs: number) => ({
+  const makeFixedLead = (leadMs: number) => ({
     label: `fixed lead ${leadMs / SECOND_MS} s`,
     policy: new FixedLeadPolicy(leadMs),
   });
   return [
     {label: 'load on first request', policy: new LoadOnFirstRequestPolicy()},
-    makeFixed(leastLeadMs),
-    makeFixed(safeLeadMs),
+    makeFixedLead(leastLeadMs),
+    makeFixedLead(safeLeadMs),
     {label: 'timetable', policy: new TimetablePolicy(deployment.weights)},
   ];
 }
 
-/** Idle time grows with the lead, so the least of equal tails is cheapest. */
+/** Chooses the shortest lead of equal tails: idle time grows with the lead. */
 function chooseLeads(
   deployment: Deployment,
   seeds: readonly number[],
 ): LeadChoice {
-  const leads = TRIED_LEADS_S.map(leadS => leadS * SECOND_MS);
+  const leads = CANDIDATE_LEADS_S.map(leadS => leadS * SECOND_MS);
   const findTailMs = (leadMs: number, faults: readonly FaultName[]) =>
     Math.max(
       ...faults.map(
@@ -168,7 +165,7 @@
   const leastLeadMs = findLeast(leads, ['none']);
   const safeLeadMs = findLeast(
     leads.filter(leadMs => leadMs >= leastLeadMs),
-    SWEPT_FAULTS,
+    SAFE_LEAD_FAULTS,
   );
   return {
     deployment: deployment.deploymentName,
@@ -207,10 +204,10 @@
   const waits = runs.flatMap(run => run.coldStartMs).toSorted((a, b) => a - b);
   const quantile = (fraction: number) =>
     Math.round(waits[Math.ceil(fraction * waits.length) - 1] ?? 0);
-  const sum = (pick: (run: RunResult) => number) =>
+  const sumOverRuns = (pick: (run: RunResult) => number) =>
     runs.reduce((total, run) => total + pick(run), 0);
   const hoursPerRun = (pick: (run: RunResult) => number) =>
-    Number((sum(pick) / runs.length / HOUR_MS).toFixed(4));
+    Number((sumOverRuns(pick) / runs.length / HOUR_MS).toFixed(4));
   return {
     coldStarts: waits.filter(waitMs => waitMs > 0).length,
     firstRequests: waits.length,
@@ -221,7 +218,7 @@
     heldBeforeAcceleratorHours: hoursPerRun(run => run.heldBeforeMs),
     restBeforeAcceleratorHours: hoursPerRun(run => run.restBeforeMs),
     idleAcceleratorHours: hoursPerRun(run => run.idleMs),
-    overcommits: sum(run => run.overcommits),
-    cutOffRequests: sum(run => run.cutOffRequests),
+    overcommits: sumOverRuns(run => run.overcommits),
+    cutOffRequests: sumOverRuns(run => run.cutOffRequests),
   };
 }
--- a/packages/bench-warming/src/deployment.ts
+++ b/packages/bench-warming/src/deployment.ts
@@ -1,23 +1,23 @@
-/** The two deployments and the events that are measured on them. */
+/** The two simulated deployments and the events of each scenario. */
 import {type WarmingWeights} from '@mimosatack/plan-warming';
 import {type WeightStoreLimits} from '@mimosatack/platform';
 
 export const DEPLOYMENT_NAMES = ['prairie', 'zorza'] as const;
 export type DeploymentName = (typeof DEPLOYMENT_NAMES)[number];
 
-/** The sizes of one deployment, as the brief gives them. */
 export interface Deployment {
   deploymentName: DeploymentName;
   failureDomains: number;
   runners: number;
   nodes: number;
   models: number;
-  /** Models that have an adapter; the first ones. */
+  /** The first this many models have an adapter. */
   adapters: number;
   limits: WeightStoreLimits;
   weights: WarmingWeights;
-  /** Models of the single big event, the first ones with two replicas. */
+  /** Models that the single big event needs. */
   bigEventModels: number;
+  /** The first this many of them need two replicas. */
   bigEventPairs: number;
 }
 
@@ -55,7 +55,6 @@
   replicas: number;
 }
 
-/** One event of a scenario. */
 export interface MeasuredEvent {
   eventId: string;
   startsAtMs: number;
@@ -70,7 +69,7 @@
 export const ADAPTER_MIB = 512;
 export const RUNNER_MIB = 65_536;
 export const ACCELERATORS = 8;
-/** Models of this size and their adapters that fit on one runner. */
+/** Replicas with their adapters that fit in the memory of one runner. */
 export const REPLICAS_PER_RUNNER = 5;
 /** The start of the first measured event. */
 export const START_MS = 30 * 60_000;
@@ -78,17 +77,16 @@
 const EVENT_MS = 60_000;
 const GAP_MS = 10_000;
 const OVERLAP_AFTER_MS = 30_000;
-/** Adapters are asked for on every other model of an event. */
+/** Every second model of an event needs its adapter. */
 const ADAPTER_EVERY = 2;
 
-/** The events of a scenario. */
 export function listEvents(
   deployment: Deployment,
   scenario: ScenarioName,
 ): MeasuredEvent[] {
   const {bigEventModels, bigEventPairs, runners} = deployment;
-  const all = runners * REPLICAS_PER_RUNNER;
-  const half = Math.floor(all / 3);
+  const capacity = runners * REPLICAS_PER_RUNNER;
+  const modelsPerEvent = Math.floor(capacity / 3);
   const makeEvent = (
     eventId: string,
     afterMs: number,
@@ -103,8 +101,8 @@
     case 'big':
       return [makeEvent('big', 0, makeNeeds(0, bigEventModels, bigEventPairs))];
     case 'back-to-back': {
-      const models = Math.floor(all * 0.4);
-      const pairs = Math.floor(all * 0.9) - models;
+      const models = Math.floor(capacity * 0.4);
+      const pairs = Math.floor(capacity * 0.9) - models;
       const afterMs = EVENT_MS + GAP_MS;
       return [
         makeEvent('first', 0, makeNeeds(0, models, pairs)),
@@ -113,8 +111,12 @@
     }
     case 'overlapping':
       return [
-        makeEvent('first', 0, makeNeeds(0, half, 0)),
-        makeEvent('second', OVERLAP_AFTER_MS, makeNeeds(half - 4, half, 0)),
+        makeEvent('first', 0, makeNeeds(0, modelsPerEvent, 0)),
+        makeEvent(
+          'second',
+          OVERLAP_AFTER_MS,
+          makeNeeds(modelsPerEvent - 4, modelsPerEvent, 0),
+        ),
       ];
   }
 }
--- a/packages/bench-warming/src/draw_svg.ts
+++ b/packages/bench-warming/src/draw_svg.ts
@@ -1,4 +1,4 @@
-/** Draws cold-start tail against idle time as plain SVG. */
+/** Draws the longest cold start over the accelerator time held, as SVG. */
 import {type BenchRow} from './bench.js';
 import {type DeploymentName} from './deployment.js';
 
@@ -7,9 +7,9 @@
 const MARGIN = {left: 70, right: 260, top: 40, bottom: 50};
 const MARK_RADIUS = 5;
 const COLOURS = ['#b2182b', '#ef8a62', '#67a9cf', '#2166ac'];
-/** Points at nothing are drawn at the lower end of a logarithmic axis. */
-const LEAST_HOURS = 0.01;
-const LEAST_TAIL_MS = 100;
+/** Lower ends of the logarithmic axes; smaller values are drawn there. */
+const MIN_HOURS = 0.01;
+const MIN_TAIL_MS = 100;
 const FONT = 'font-family="sans-serif" font-size="11"';
 
 interface Axis {
@@ -19,7 +19,7 @@
   toPx: number;
 }
 
-/** One point for each policy and fault of the single big event. */
+/** Draws one point per policy and fault of the single big event. */
 export function drawTailAgainstIdle(
   deployment: DeploymentName,
   rows: readonly BenchRow[],
@@ -29,13 +29,13 @@
   );
   const policies = [...new Set(shown.map(row => row.policy))];
   const x: Axis = {
-    min: LEAST_HOURS,
+    min: MIN_HOURS,
     max: Math.max(1, ...shown.map(row => row.heldBeforeAcceleratorHours)),
     fromPx: MARGIN.left,
     toPx: WIDTH - MARGIN.right,
   };
   const y: Axis = {
-    min: LEAST_TAIL_MS,
+    min: MIN_TAIL_MS,
     max: Math.max(1_000, ...shown.map(row => row.coldMaxMs)),
     fromPx: HEIGHT - MARGIN.bottom,
     toPx: MARGIN.top,
@@ -56,11 +56,11 @@
 }
 
 function drawMark(row: BenchRow, index: number, x: Axis, y: Axis): string {
-  const cx = place(row.heldBeforeAcceleratorHours, x);
-  const cy = place(row.coldMaxMs, y);
+  const cx = toPixels(row.heldBeforeAcceleratorHours, x);
+  const cy = toPixels(row.coldMaxMs, y);
   const title = `${row.policy}, ${row.fault}: ${row.coldMaxMs} ms`;
   return (
-    `<circle cx="${cx}" cy="${cy}" r="${MARK_RADIUS}" fill="${colourOf(index)}"` +
+    `<circle cx="${cx}" cy="${cy}" r="${MARK_RADIUS}" fill="${pickColour(index)}"` +
     ` fill-opacity="0.7"><title>${title}</title></circle>`
   );
 }
@@ -74,10 +74,10 @@
     drawLine(x.fromPx, y.fromPx, x.toPx, y.fromPx),
     drawLine(x.fromPx, y.fromPx, x.fromPx, y.toPx),
     ...decades(x).map(value =>
-      drawText(place(value, x) - 10, y.fromPx + 18, formatNumber(value)),
+      drawText(toPixels(value, x) - 10, y.fromPx + 18, formatNumber(value)),
     ),
     ...decades(y).map(value =>
-      drawText(8, place(value, y) + 4, `${formatNumber(value)} ms`),
+      drawText(8, toPixels(value, y) + 4, `${formatNumber(value)} ms`),
     ),
     drawText(
       x.fromPx,
@@ -92,7 +92,7 @@
   const top = MARGIN.top + 20 * index;
   const left = WIDTH - MARGIN.right + 30;
   return (
-    `<circle cx="${left}" cy="${top}" r="${MARK_RADIUS}" fill="${colourOf(index)}"/>` +
+    `<circle cx="${left}" cy="${top}" r="${MARK_RADIUS}" fill="${pickColour(index)}"/>` +
     drawText(left + 12, top + 4, policy)
   );
 }
@@ -105,8 +105,8 @@
   return `<text x="${x}" y="${y}" ${FONT}>${text}</text>`;
 }
 
-/** Where a value lies on a logarithmic axis, in pixels. */
-function place(value: number, axis: Axis): number {
+/** Maps a value to pixels on a logarithmic axis. */
+function toPixels(value: number, axis: Axis): number {
   const bounded = Math.max(axis.min, value);
   const share = Math.log(bounded / axis.min) / Math.log(axis.max / axis.min);
   const px = axis.fromPx + share * (axis.toPx - axis.fromPx);
@@ -117,6 +117,6 @@
   return String(Number(value.toPrecision(2)));
 }
 
-function colourOf(index: number): string {
+function pickColour(index: number): string {
   return COLOURS[index % COLOURS.length] ?? 'black';
 }
--- a/packages/bench-warming/src/fault.ts
+++ b/packages/bench-warming/src/fault.ts
@@ -1,20 +1,20 @@
-/** The faults that a run can meet. */
+/** Faults that a run can inject. */
 import {START_MS} from './deployment.js';
 
-/** What happens to the deployment during one run. */
+/** Faults of one run; times are in virtual time. */
 export interface Fault {
   faultName: FaultName;
-  /** The weight store is this many times slower from then on. */
+  /** Slows the weight store down by a factor from `fromMs` on. */
   slowStore?: {fromMs: number; factor: number};
-  /** The log service answers nothing in this time. */
+  /** Outage of the log service. */
   logDown?: {fromMs: number; untilMs: number};
-  /** This node dies; others notice and claim its runners after the wait. */
+  /** One node crashes; others claim its runners after `takeoverMs`. */
   nodeDies?: {atMs: number; takeoverMs: number};
-  /** Whether successors look at engines whose loads are due. */
+  /** Whether successors check engines for overdue loads. */
   hasWatch?: boolean;
-  /** A runner's host vanishes. */
+  /** A runner's host fails. */
   runnerDies?: {atMs: number};
-  /** A failure domain is cut off from all others for good. */
+  /** A failure domain is partitioned from all others until the end of the run. */
   domainCut?: {atMs: number; takeoverMs: number};
 }
 
@@ -35,17 +35,17 @@
 const SLOW_FACTOR = 10;
 const MINUTE_MS = 60_000;
 /**
- * A dead node among eight counts as gone after 3 s (see membership); the claim
- * and the first order, which only raises the fencing number, come after it.
+ * Failure detection takes 3 s in a cluster of eight nodes; the claim and the
+ * first order, which only raises the fencing number, take the rest.
  */
 const TAKEOVER_MS = 3_600;
-/** How long before the start a process may die in the runs of one fault. */
-const DEATH_LEADS_MS = [1_000, 2_000, 3_000, 5_000, 10_000, 20_000];
+/** Times before the start at which a process fails, one run for each. */
+const FAILURE_LEADS_MS = [1_000, 2_000, 3_000, 5_000, 10_000, 20_000];
 
-/** One or more runs for a fault: those of processes at several moments. */
+/** Lists one fault per run; process failures get a run for each lead time. */
 export function listFaults(faultName: FaultName): Fault[] {
-  const atEach = (make: (atMs: number) => Omit<Fault, 'faultName'>) =>
-    DEATH_LEADS_MS.map(leadMs => ({faultName, ...make(START_MS - leadMs)}));
+  const atEachLead = (make: (atMs: number) => Omit<Fault, 'faultName'>) =>
+    FAILURE_LEADS_MS.map(leadMs => ({faultName, ...make(START_MS - leadMs)}));
   const slowFrom = (fromMs: number) => [
     {faultName, slowStore: {fromMs, factor: SLOW_FACTOR}},
   ];
@@ -70,15 +70,15 @@
       ];
     case 'steward killed':
     case 'steward killed, successors watch':
-      return atEach(atMs => ({
+      return atEachLead(atMs => ({
         nodeDies: {atMs, takeoverMs: TAKEOVER_MS},
         hasWatch: faultName !== 'steward killed',
       }));
     case 'runner lost':
-      return atEach(atMs => ({runnerDies: {atMs}}));
+      return atEachLead(atMs => ({runnerDies: {atMs}}));
     case 'domain cut off':
     case 'domain cut off, successors watch':
-      return atEach(atMs => ({
+      return atEachLead(atMs => ({
         domainCut: {atMs, takeoverMs: TAKEOVER_MS},
         hasWatch: faultName !== 'domain cut off',
       }));
--- a/packages/bench-warming/src/main.ts
+++ b/packages/bench-warming/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * Program: cold starts and idle accelerator time of the warming policies.
+ * Program: measures cold starts and idle accelerator time of warming policies.
  *
  *     node packages/bench-warming/dist/main.js [--json] [--svg DIR]
  *         [--deployment prairie|zorza] [--seeds N]
--- a/packages/bench-warming/src/measure_run.test.ts
+++ b/packages/bench-warming/src/measure_run.test.ts
@@ -14,8 +14,8 @@
 
 const test = suite('warming of a deployment');
 
-/** A fixed lead that stands every fault holds this many times more. */
-const IDLE_GOAL = 5;
+/** Minimum ratio of the time held by `SAFE_LEAD_MS` to that of the timetable. */
+const MIN_HELD_RATIO = 5;
 const SAFE_LEAD_MS = 75_000;
 
 function run(
@@ -30,7 +30,7 @@
   return measureRun({deployment, events, policy, fault, seed: 3, fencing});
 }
 
-function longest(waits: readonly number[]): number {
+function findLongest(waits: readonly number[]): number {
   return Math.max(...waits);
 }
 
@@ -38,12 +38,12 @@
   SCENARIO_NAMES.forEach(scenario =>
     test(`starts warm: ${name}, ${scenario}`, () => {
       const result = run(name, scenario, {faultName: 'none'});
-      assert.is(longest(result.coldStartMs), 0);
+      assert.is(findLongest(result.coldStartMs), 0);
     }),
   ),
 );
 
-test('holds far less before the start than a lead with the same tail', () => {
+test('holds less accelerator time than a fixed lead with the same tail', () => {
   const fault: Fault = {faultName: 'none'};
   const timetable = run('prairie', 'big', fault);
   const deployment = DEPLOYMENTS.prairie;
@@ -55,13 +55,13 @@
     seed: 3,
     fencing: 'refuses-old',
   });
-  assert.ok(fixed.heldBeforeMs > IDLE_GOAL * timetable.heldBeforeMs);
+  assert.ok(fixed.heldBeforeMs > MIN_HELD_RATIO * timetable.heldBeforeMs);
 });
 
 FAULT_NAMES.forEach(faultName =>
-  test(`overcommits nothing and cuts nothing off: ${faultName}`, () => {
-    // Whatever fails, an engine that takes every order must never be told to
-    // hold more than it has, nor to unload what still runs.
+  test(`neither overcommits memory nor cuts off requests: ${faultName}`, () => {
+    // The engine accepts every order, so the orders alone must prevent
+    // overcommitted memory and unloading of running requests.
     const [fault = {faultName}] = listFaults(faultName);
     const result = run('zorza', 'big', fault);
     assert.is(result.overcommits, 0);
@@ -69,12 +69,11 @@
   }),
 );
 
-test('starts warm though the store turned ten times slower', () => {
-  // The weight store slows down two minutes before the start. Whoever loads
-  // then makes the first callers wait for a minute.
+test('starts warm after the weight store slows down tenfold', () => {
+  // Guards against loads that start only after the store has slowed down.
   const [fault] = listFaults('store slow from 2 min before');
-  if (!fault) throw new Error('There is no such fault.');
-  assert.is(longest(run('zorza', 'big', fault).coldStartMs), 0);
+  if (!fault) throw new Error('Fault is not listed.');
+  assert.is(findLongest(run('zorza', 'big', fault).coldStartMs), 0);
 });
 
 test.run();
--- a/packages/bench-warming/src/measure_run.ts
+++ b/packages/bench-warming/src/measure_run.ts
@@ -1,4 +1,4 @@
-/** Runs one deployment through one scenario and measures it. */
+/** Simulates one scenario on one deployment and measures it. */
 import {SeededRandom} from '@mimosatack/random';
 import {isInServingWindow} from '@mimosatack/agreed-state';
 import {type ReplicaObservation} from '@mimosatack/stand-ins';
@@ -6,35 +6,33 @@
 import {ACCELERATORS, type MeasuredEvent, RUNNER_MIB} from './deployment.js';
 import {type RunSpec, VirtualCluster} from './virtual_cluster.js';
 
-/** What one run came to. */
 export interface RunResult {
-  /** Of the first request of each model and adapter at its event's start. */
+  /** Wait of the first request for each model and adapter of each event. */
   coldStartMs: number[];
-  /** Accelerator time held before the events' starts, loading included. */
+  /** Accelerator time held before the events start, loading included. */
   heldBeforeMs: number;
-  /** Of that, with a replica warm and at rest. */
+  /** Part of that time in which the replica was warm. */
   restBeforeMs: number;
-  /** Accelerator time of replicas that loaded or were at rest, ever. */
+  /** Accelerator time of loading or idle replicas over the whole run. */
   idleMs: number;
   overcommits: number;
   cutOffRequests: number;
 }
 
-/** The first requests of an event come within this time. */
+/** The first requests arrive within this time after the event's start. */
 const BURST_MS = 200;
-/** A wait that has not ended by then counts as this long. */
+/** Upper limit of a measured wait. */
 const MAX_WAIT_MS = 120_000;
-const LOOK_MS = 20;
-/** Long waits are looked at less often, by this part of their length. */
-const LOOK_FRACTION = 0.01;
-/** From the end of the last event until all is unloaded. */
+const MIN_POLL_MS = 20;
+/** Poll interval of long waits, as a fraction of the time waited. */
+const POLL_FRACTION = 0.01;
+/** Time to unload all replicas after the last event. */
 const DRAIN_MS = 10_000;
-const TRAFFIC_MS = 2_000;
+const REQUEST_INTERVAL_MS = 2_000;
 const REQUEST_TOKENS = 8;
-/** A router tells the planner of a cold model within this time. */
+/** Time until a router reports a cold model to the planner. */
 const DEMAND_MS = 20;
 
-/** Runs until all events are over. */
 export function measureRun(spec: RunSpec): RunResult {
   const cluster = new VirtualCluster(spec);
   const random = new SeededRandom(spec.seed + 1);
@@ -54,15 +52,15 @@
     ...spec.events.map(event => event.startsAtMs + event.durationMs),
   );
   cluster.clock.advance(endMs + DRAIN_MS);
-  const isOpen = waits.some(wait => wait.waitedMs === MAX_WAIT_MS);
-  if (isOpen) cluster.clock.advance(MAX_WAIT_MS - DRAIN_MS);
+  const hasUnservedRequest = waits.some(wait => wait.waitedMs === MAX_WAIT_MS);
+  if (hasUnservedRequest) cluster.clock.advance(MAX_WAIT_MS - DRAIN_MS);
   return {
     coldStartMs: waits.map(wait => wait.waitedMs),
     heldBeforeMs: sumBefore(cluster, spec.events, each => each.loadingMs),
     restBeforeMs: sumBefore(cluster, spec.events, each => each.warmMs),
     idleMs: sumIdle(cluster),
-    overcommits: sumOver(cluster, engine => engine.overcommits.length),
-    cutOffRequests: sumOver(
+    overcommits: sumOverRunners(cluster, engine => engine.overcommits.length),
+    cutOffRequests: sumOverRunners(
       cluster,
       engine =>
         engine.requests.filter(each => each.outcome === 'cut-off').length,
@@ -79,7 +77,7 @@
   waitedMs: number;
 }
 
-/** The first request waits until a replica serves; then others follow. */
+/** Polls until a replica serves the first request, then repeats the request. */
 function scheduleFirstRequest(
   cluster: VirtualCluster,
   event: MeasuredEvent,
@@ -89,21 +87,23 @@
   const {clock, planner} = cluster;
   const arrivalMs = event.startsAtMs + jitterMs;
   const wait = {waitedMs: MAX_WAIT_MS};
-  const look = () => {
+  const poll = () => {
     const waitedMs = clock.wallMs() - arrivalMs;
     if (sendRequest(cluster, requested)) {
       wait.waitedMs = waitedMs;
-      clock.setTimer(TRAFFIC_MS, () => sendOn(cluster, event, requested));
+      clock.setTimer(REQUEST_INTERVAL_MS, () =>
+        sendRepeatedly(cluster, event, requested),
+      );
     } else if (waitedMs < MAX_WAIT_MS) {
-      clock.setTimer(Math.max(LOOK_MS, waitedMs * LOOK_FRACTION), look);
+      clock.setTimer(Math.max(MIN_POLL_MS, waitedMs * POLL_FRACTION), poll);
     }
-    if (waitedMs >= DEMAND_MS) planner.demanded.add(requested.model);
+    if (waitedMs >= DEMAND_MS) planner.requestedModels.add(requested.model);
   };
-  clock.setTimer(arrivalMs, look);
+  clock.setTimer(arrivalMs, poll);
   return wait;
 }
 
-function sendOn(
+function sendRepeatedly(
   cluster: VirtualCluster,
   event: MeasuredEvent,
   requested: RequestedModel,
@@ -111,10 +111,12 @@
   const {clock} = cluster;
   if (clock.wallMs() >= event.startsAtMs + event.durationMs) return;
   sendRequest(cluster, requested);
-  clock.setTimer(TRAFFIC_MS, () => sendOn(cluster, event, requested));
+  clock.setTimer(REQUEST_INTERVAL_MS, () =>
+    sendRepeatedly(cluster, event, requested),
+  );
 }
 
-/** Whether a runner that can be reached has it warm in a serving slot. */
+/** Returns whether a reachable runner has the model warm in a serving slot. */
 function sendRequest(
   cluster: VirtualCluster,
   {model, adapter}: RequestedModel,
@@ -124,7 +126,7 @@
     .list()
     .filter(slot => slot.model === model && isInServingWindow(slot, nowMs))
     .map(slot => ({slot, runner: cluster.findRunner(slot.backendServerId)}));
-  const found = serving.find(({slot, runner}) => {
+  const match = serving.find(({slot, runner}) => {
     if (!runner || runner.lostAtMs <= nowMs) return false;
     const {replicas} = runner.parts.engine.readState();
     return replicas.some(
@@ -134,7 +136,7 @@
         replica.status === 'warm',
     );
   });
-  const runner = found?.runner;
+  const runner = match?.runner;
   const name = adapter === null ? model : `${model}:${adapter}`;
   runner?.parts.engine.submit({
     header: {kind: 'text', model: name, requestId: `${name}-${nowMs}`},
@@ -145,17 +147,17 @@
   return runner !== undefined;
 }
 
-/** Time of each replica from a moment in its life until its event starts. */
+/** Sums the accelerator time of replicas from `findFromMs` to the event start. */
 function sumBefore(
   cluster: VirtualCluster,
   events: readonly MeasuredEvent[],
   findFromMs: (replica: ReplicaObservation) => number | null,
 ): number {
   const starts = new Map(events.map(e => [e.eventId, e.startsAtMs]));
-  return sumOver(cluster, engine =>
+  return sumOverRunners(cluster, engine =>
     engine.replicas.reduce((sumMs, replica) => {
       const slotId = readBaseSlotId(replica.slotId);
-      const purpose = cluster.planner.decided.get(slotId)?.purpose;
+      const purpose = cluster.planner.decidedSlots.get(slotId)?.purpose;
       const fromMs = findFromMs(replica);
       if (purpose?.for !== 'event' || fromMs === null) return sumMs;
       const startMs = starts.get(purpose.eventId) ?? 0;
@@ -167,7 +169,7 @@
 }
 
 function sumIdle(cluster: VirtualCluster): number {
-  return sumOver(
+  return sumOverRunners(
     cluster,
     engine =>
       engine.idleAcceleratorMs +
@@ -187,7 +189,7 @@
   VirtualCluster['runners'][number]['parts']['engine']['observe']
 >;
 
-function sumOver(
+function sumOverRunners(
   cluster: VirtualCluster,
   count: (engine: Observation) => number,
 ): number {
--- a/packages/bench-warming/src/virtual_cluster.ts
+++ b/packages/bench-warming/src/virtual_cluster.ts
@@ -1,4 +1,4 @@
-/** A whole deployment in one process and in virtual time. */
+/** Simulates a deployment in one process in virtual time. */
 import {ManualClock} from '@mimosatack/clock';
 import {
   LoadTimeEstimates,
@@ -21,7 +21,7 @@
 import {VirtualPlanner} from './virtual_planner.js';
 import {VirtualRunner} from './virtual_runner.js';
 
-/** What one run is made of. */
+/** Input of one simulation run. */
 export interface RunSpec {
   deployment: Deployment;
   events: readonly MeasuredEvent[];
@@ -31,12 +31,12 @@
   fencing: FencingSupport;
 }
 
-/** Checkpoints that lie on a runner's disk from earlier days. */
-const OLD_CHECKPOINTS = 6;
-/** The node that dies, and the domain that is cut off. */
-const VICTIM_NODE = 0;
-const VICTIM_DOMAIN = 0;
-const VICTIM_RUNNER = 0;
+/** Checkpoints cached on each runner's disk at the start. */
+const CACHED_CHECKPOINTS = 6;
+/** Targets of the injected faults. */
+const FAILED_NODE = 0;
+const CUT_DOMAIN = 0;
+const LOST_RUNNER = 0;
 
 /** Engines, their stewards, a planner, a log and a weight store. */
 export class VirtualCluster {
@@ -89,7 +89,7 @@
       {fetch: (_ref, size, onDone) => this.store.start(size, onDone)},
     );
     engine.cacheCheckpoints(
-      Array.from({length: OLD_CHECKPOINTS}, () => ({
+      Array.from({length: CACHED_CHECKPOINTS}, () => ({
         model: `m${this.random.nextInt(0, deployment.models - 1)}`,
         adapter: null,
         version: 'v1',
@@ -102,17 +102,19 @@
       engine,
       backendServerId,
       failureDomain,
-      outlook: slot => {
+      findLoadTimes: slot => {
         const {configuration} = this.log.state;
         const nowMs = this.clock.wallMs();
-        const outlook = estimateSlotLoad(
+        const expected = estimateSlotLoad(
           slot,
           this.loadTimes,
           configuration,
           nowMs,
         );
-        // The baselines begin their loads when they were planned to.
-        return isAdaptive ? outlook : {...outlook, slowdown: 1, storeLoadMs: 0};
+        // Baselines start loads at the planned time, whatever the store speed is.
+        return isAdaptive
+          ? expected
+          : {...expected, slowdown: 1, storeLoadMs: 0};
       },
       onReport: state => this.loadTimes.observe(state, this.clock.wallMs()),
       canReach: node => this.canReach(node, index),
@@ -180,46 +182,52 @@
     const {slowStore, logDown, nodeDies, runnerDies, domainCut} =
       this.spec.fault;
     if (slowStore) {
-      this.at(slowStore.fromMs, () => this.store.setSlowdown(slowStore.factor));
+      this.scheduleAt(slowStore.fromMs, () =>
+        this.store.setSlowdown(slowStore.factor),
+      );
     }
     if (logDown) {
-      this.at(logDown.fromMs, () => (this.log.isDown = true));
-      this.at(logDown.untilMs, () => this.log.restore());
+      this.scheduleAt(logDown.fromMs, () => (this.log.isDown = true));
+      this.scheduleAt(logDown.untilMs, () => this.log.restore());
     }
     if (nodeDies) {
-      this.at(nodeDies.atMs, () => this.killNode());
-      this.at(nodeDies.atMs + nodeDies.takeoverMs, () => this.takeOver());
+      this.scheduleAt(nodeDies.atMs, () => this.killNode());
+      this.scheduleAt(nodeDies.atMs + nodeDies.takeoverMs, () =>
+        this.takeOver(),
+      );
     }
     if (runnerDies) {
-      this.at(runnerDies.atMs, () => this.loseRunner(VICTIM_RUNNER));
+      this.scheduleAt(runnerDies.atMs, () => this.loseRunner(LOST_RUNNER));
     }
     if (domainCut) {
-      this.at(domainCut.atMs, () => this.cutOff());
-      this.at(domainCut.atMs + domainCut.takeoverMs, () => this.takeOver());
+      this.scheduleAt(domainCut.atMs, () => this.cutOff());
+      this.scheduleAt(domainCut.atMs + domainCut.takeoverMs, () =>
+        this.takeOver(),
+      );
     }
   }
 
-  private at(atMs: number, action: () => void): void {
+  private scheduleAt(atMs: number, action: () => void): void {
     this.clock.setTimer(atMs - this.clock.wallMs(), action);
   }
 
   private killNode(): void {
-    this.deadNode = VICTIM_NODE;
-    this.haltStewards();
+    this.deadNode = FAILED_NODE;
+    this.stopUnreachableStewards();
   }
 
-  /** Stops the stewards of nodes that are gone; successors may look. */
-  private haltStewards(): void {
+  /** Stops the stewards of unreachable nodes and lets successors check loads. */
+  private stopUnreachableStewards(): void {
     const {fault} = this.spec;
     this.runners
       .filter(runner => !this.isAlive(runner.holder))
       .forEach(runner => {
-        runner.halt();
+        runner.stopSteward();
         if (fault.hasWatch) runner.watch(this.findSuccessor(runner));
       });
   }
 
-  /** The next node in turn that is there. */
+  /** Returns the next reachable node after the holder. */
   private findSuccessor(runner: VirtualRunner): number {
     const {nodes} = this.spec.deployment;
     const turns = Array.from(
@@ -236,18 +244,18 @@
     runner.parts.engine.stop();
   }
 
-  /** Runners inside are out of reach; stewards inside reach no log. */
+  /** Makes runners in the domain unreachable and stops the stewards in it. */
   private cutOff(): void {
-    this.cutDomain = VICTIM_DOMAIN;
+    this.cutDomain = CUT_DOMAIN;
     this.runners.forEach(runner => {
-      if (runner.parts.failureDomain === VICTIM_DOMAIN) {
+      if (runner.parts.failureDomain === CUT_DOMAIN) {
         runner.lostAtMs = this.clock.wallMs();
       }
     });
-    this.haltStewards();
+    this.stopUnreachableStewards();
   }
 
-  /** Others claim what dead or cut-off nodes held. */
+  /** Successors claim the runners of failed or partitioned nodes. */
   private takeOver(): void {
     this.runners
       .filter(runner => !this.isAlive(runner.holder))
--- a/packages/bench-warming/src/virtual_log.ts
+++ b/packages/bench-warming/src/virtual_log.ts
@@ -1,21 +1,21 @@
-/** The log service and the fold of all nodes, in virtual time. */
+/** Simulates the log service and the state that all nodes derive from it. */
 import {AgreedState} from '@mimosatack/agreed-state';
 import {type Clock} from '@mimosatack/clock';
 import {type RecordBody, encodeBatch} from '@mimosatack/records';
 
-/** From a submission until all nodes have folded it. */
+/** Delay from a submission until all nodes have applied the record. */
 const APPEND_MS = 20;
 
-/** Records that take effect a little later, or when the log is up again. */
+/** Applies records after `APPEND_MS`, or at the end of an outage. */
 export class VirtualLog {
   readonly state = new AgreedState();
   isDown = false;
-  private waiting: (() => void)[] = [];
+  private pending: (() => void)[] = [];
   private recordCount = 0;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Writes before the run begins, at once. */
+  /** Applies a record immediately; throws if it is void. */
   writeNow(body: RecordBody, author = 'operator'): void {
     const outcome = this.fold(body, author);
     if (outcome?.status === 'void') throw new Error(outcome.message);
@@ -23,18 +23,18 @@
 
   submit(body: RecordBody, author: string): void {
     const append = () => {
-      if (this.isDown) this.waiting.push(append);
+      if (this.isDown) this.pending.push(append);
       else this.fold(body, author);
     };
     this.clock.setTimer(APPEND_MS, append);
   }
 
-  /** Lets in what nodes submitted again and again during the outage. */
+  /** Ends an outage and applies the records submitted during it. */
   restore(): void {
     this.isDown = false;
-    const waiting = this.waiting;
-    this.waiting = [];
-    waiting.forEach(append => append());
+    const pending = this.pending;
+    this.pending = [];
+    pending.forEach(append => append());
   }
 
   private fold(body: RecordBody, author: string) {
--- a/packages/bench-warming/src/virtual_planner.ts
+++ b/packages/bench-warming/src/virtual_planner.ts
@@ -1,4 +1,4 @@
-/** The planner of all events, in virtual time. */
+/** Plans all events in virtual time. */
 import {type Slot} from '@mimosatack/agreed-state';
 import {type ManualClock} from '@mimosatack/clock';
 import {
@@ -17,7 +17,6 @@
 import {type VirtualLog} from './virtual_log.js';
 import {type VirtualRunner} from './virtual_runner.js';
 
-/** What the planner works with. */
 export interface VirtualPlannerParts {
   clock: ManualClock;
   log: VirtualLog;
@@ -27,19 +26,19 @@
 }
 
 const TICK_MS = 500;
-/** Long before the start it looks less often. */
-const QUIET_TICK_MS = 2_000;
-const QUIET_UNTIL_MS = START_MS - 60_000;
-/** Three of four lanes; the rest is left for loads on demand. */
-const LANES = 3;
+/** Longer interval that applies until a minute before the first start. */
+const EARLY_TICK_MS = 2_000;
+const EARLY_UNTIL_MS = START_MS - 60_000;
+/** Three of the four full-speed loads; one is reserved for loads on demand. */
+const MAX_CONCURRENT_LOADS = 3;
 
-/** Plans all events every half second, as nodes do. */
+/** Plans each event that is due, at every tick. */
 export class VirtualPlanner {
-  /** Models that requests found cold. */
-  readonly demanded = new Set<string>();
-  /** Every slot that was ever decided. */
-  readonly decided = new Map<string, Slot>();
-  private readonly agenda = new PlanningSchedule({
+  /** Models that requests found cold, as reported by routers. */
+  readonly requestedModels = new Set<string>();
+  /** Every slot decided during the run, by slot id. */
+  readonly decidedSlots = new Map<string, Slot>();
+  private readonly schedule = new PlanningSchedule({
     firstRetryMs: 1_000,
     maxRetryMs: 30_000,
     patienceMs: 5_000,
@@ -50,11 +49,11 @@
 
   tick(): void {
     const {clock, log} = this.parts;
-    const isQuiet = clock.wallMs() < QUIET_UNTIL_MS;
-    clock.setTimer(isQuiet ? QUIET_TICK_MS : TICK_MS, () => this.tick());
+    const isEarly = clock.wallMs() < EARLY_UNTIL_MS;
+    clock.setTimer(isEarly ? EARLY_TICK_MS : TICK_MS, () => this.tick());
     log.state.placement
       .list()
-      .forEach(slot => this.decided.set(slot.slotId, {...slot}));
+      .forEach(slot => this.decidedSlots.set(slot.slotId, {...slot}));
     if (log.isDown) return;
     log.state.configuration.listEvents().forEach(({eventId}) => {
       this.planIfDue(eventId);
@@ -70,15 +69,15 @@
     const fingerprint = fingerprintEvent({
       event,
       held: log.state.placement.listForPurpose({for: 'event', eventId}),
-      requestedModels: this.demanded,
+      requestedModels: this.requestedModels,
       nowMs,
       formatServerStatus: slot =>
         byId.get(slot.backendServerId)?.isLost ? 'l' : '',
     });
-    if (!this.agenda.isDue(eventId, fingerprint, nowMs)) return;
+    if (!this.schedule.isDue(eventId, fingerprint, nowMs)) return;
     const bodies = this.plan(eventId, nowMs);
-    if (bodies.length === 0) this.agenda.recordSettled(eventId, fingerprint);
-    else this.agenda.recordUnsettled(eventId, fingerprint, nowMs);
+    if (bodies.length === 0) this.schedule.recordSettled(eventId, fingerprint);
+    else this.schedule.recordUnsettled(eventId, fingerprint, nowMs);
     bodies.forEach(body => log.submit(body, 'planner'));
   }
 
@@ -113,16 +112,16 @@
       }),
       policy,
       loadTimes,
-      maxConcurrentLoads: LANES,
+      maxConcurrentLoads: MAX_CONCURRENT_LOADS,
       timetable: new StoreTimetable(
-        LANES,
+        MAX_CONCURRENT_LOADS,
         placement
           .list()
           .map(findStoreUse)
           .filter(use => use.untilMs > nowMs),
       ),
       nowMs,
-      requestedModels: this.demanded,
+      requestedModels: this.requestedModels,
       makeSlotId: () => `s${(this.slotCount += 1)}`,
     });
     const decide: RecordBody = {
@@ -134,7 +133,10 @@
     };
     return [
       ...plan.end.map(ending => ({type: 'end-slots' as const, ...ending})),
-      ...plan.extend.map(more => ({type: 'extend-slots' as const, ...more})),
+      ...plan.extend.map(extension => ({
+        type: 'extend-slots' as const,
+        ...extension,
+      })),
       ...(plan.decide.length > 0 ? [decide] : []),
     ];
   }
--- a/packages/bench-warming/src/virtual_runner.ts
+++ b/packages/bench-warming/src/virtual_runner.ts
@@ -1,4 +1,4 @@
-/** One runner, and the steward that whichever node holds it runs for it. */
+/** One runner and the steward of the node that holds its claim. */
 import {type Slot} from '@mimosatack/agreed-state';
 import {type ManualClock} from '@mimosatack/clock';
 import {type EngineStandIn} from '@mimosatack/stand-ins';
@@ -15,32 +15,29 @@
 import {ADAPTER_MIB, START_MS} from './deployment.js';
 import {type VirtualLog} from './virtual_log.js';
 
-/** What a virtual runner works with. */
 export interface VirtualRunnerParts {
   clock: ManualClock;
   log: VirtualLog;
   engine: EngineStandIn;
   backendServerId: string;
   failureDomain: number;
-  outlook(slot: Slot): ExpectedLoadTimes;
+  findLoadTimes(slot: Slot): ExpectedLoadTimes;
   onReport(engine: EngineState): void;
-  /** Whether a node and the runner reach each other. */
   canReach(nodeIndex: number): boolean;
 }
 
 const POLL_MS = 500;
-/** Long before the start a steward that has nothing to do looks less often. */
-const QUIET_POLL_MS = 10_000;
-const QUIET_UNTIL_MS = START_MS - 60_000;
+/** Longer interval that applies until a minute before the first start. */
+const EARLY_POLL_MS = 10_000;
+const EARLY_UNTIL_MS = START_MS - 60_000;
 const READ_TIMEOUT_MS = 1_000;
 const RETRY_READ_MS = 50;
 const MAX_FAILED_READS = 3;
 const FIRST_SUCCESSOR = 1;
 const DRAIN = {clockSkewMs: 500, foldLagMs: 4_000, maxRequestMs: 120_000};
 
-/** A runner under one steward after another. */
 export class VirtualRunner {
-  /** What the planner has heard last. */
+  /** The last report to the planner. */
   report: EngineState | null = null;
   isLost = false;
   lostAtMs = Infinity;
@@ -57,7 +54,7 @@
     return this.nodeIndex;
   }
 
-  /** Claims the runner for a node, whose steward begins afresh. */
+  /** Claims the runner for a node and starts a new steward. */
   claim(nodeIndex: number): void {
     const {log, backendServerId} = this.parts;
     this.nodeIndex = nodeIndex;
@@ -71,51 +68,50 @@
       },
       `node-${nodeIndex}`,
     );
-    this.begin();
+    this.startSteward();
   }
 
-  /** Lets a successor look at the engine whenever a load is due. */
+  /** Lets a successor check the engine each time a load is due. */
   watch(nodeIndex: number): void {
     const {clock, log, backendServerId, engine} = this.parts;
     const holder = this.nodeIndex;
-    const look = (unfinishedBefore: ReadonlySet<string>) => {
+    const check = (incompleteBefore: ReadonlySet<string>) => {
       if (this.nodeIndex !== holder || !this.parts.canReach(nodeIndex)) return;
       const slots = log.state.placement.listOnBackendServer(backendServerId);
       const nowMs = clock.wallMs();
-      const {shouldTakeOver: isNeglected, incomplete: unfinished} =
-        checkForTakeover({
-          slots,
-          engine: engine.readState(),
-          rank: FIRST_SUCCESSOR,
-          nowMs,
-          incompleteBefore: unfinishedBefore,
-        });
-      if (isNeglected) return this.stepIn(nodeIndex);
+      const {shouldTakeOver, incomplete} = checkForTakeover({
+        slots,
+        engine: engine.readState(),
+        rank: FIRST_SUCCESSOR,
+        nowMs,
+        incompleteBefore,
+      });
+      if (shouldTakeOver) return this.actAsSuccessor(nodeIndex);
       const nextMs = findNextCheckMs(slots, FIRST_SUCCESSOR, nowMs);
       if (nextMs !== null) {
-        clock.setTimer(nextMs - nowMs, () => look(unfinished));
+        clock.setTimer(nextMs - nowMs, () => check(incomplete));
       }
     };
-    look(new Set());
+    check(new Set());
   }
 
-  /** Acts for the holder under its claim, with a higher rank. */
-  private stepIn(nodeIndex: number): void {
+  /** Sends orders under the holder's claim with a higher rank. */
+  private actAsSuccessor(nodeIndex: number): void {
     this.nodeIndex = nodeIndex;
     this.rank = FIRST_SUCCESSOR;
-    this.begin();
+    this.startSteward();
   }
 
-  private begin(): void {
+  private startSteward(): void {
     this.memory = EMPTY_STEWARD_MEMORY;
     this.orderCount = 0;
     this.failedReads = 0;
     this.generation += 1;
-    this.look(this.generation);
+    this.poll(this.generation);
   }
 
-  /** Stops the steward, as when its node dies. */
-  halt(): void {
+  /** Stops the steward, as after a crash of its node. */
+  stopSteward(): void {
     this.generation += 1;
   }
 
@@ -124,25 +120,25 @@
     return log.state.stewardship.findClaim(backendServerId)?.epoch ?? 0;
   }
 
-  private look(generation: number): void {
+  private poll(generation: number): void {
     if (generation !== this.generation) return;
     const {clock} = this.parts;
     if (this.parts.canReach(this.nodeIndex)) {
-      clock.setTimer(this.step(), () => this.look(generation));
+      clock.setTimer(this.step(), () => this.poll(generation));
     } else {
-      clock.setTimer(READ_TIMEOUT_MS, () => this.failRead(generation));
+      clock.setTimer(READ_TIMEOUT_MS, () => this.recordFailedRead(generation));
     }
   }
 
-  private failRead(generation: number): void {
+  private recordFailedRead(generation: number): void {
     if (generation !== this.generation) return;
     this.failedReads += 1;
     if (this.failedReads >= MAX_FAILED_READS) this.isLost = true;
     const delayMs = this.isLost ? POLL_MS : RETRY_READ_MS;
-    this.parts.clock.setTimer(delayMs, () => this.look(generation));
+    this.parts.clock.setTimer(delayMs, () => this.poll(generation));
   }
 
-  /** One decision; gives the wait until the next one. */
+  /** Makes one decision and returns the delay until the next one in ms. */
   private step(): number {
     const {clock, log, engine, backendServerId} = this.parts;
     const nowMs = clock.wallMs();
@@ -161,17 +157,17 @@
         log.state.stewardship.listInDoubtClaims(backendServerId).length > 0,
       memoryOfAdapter: () => ADAPTER_MIB,
       drain: DRAIN,
-      findLoadTimes: slot => this.parts.outlook(slot),
+      findLoadTimes: slot => this.parts.findLoadTimes(slot),
       nowMs,
     });
     this.memory = step.memory;
-    this.carryOut(step);
-    const pollMs = nowMs < QUIET_UNTIL_MS ? QUIET_POLL_MS : POLL_MS;
+    this.applyStep(step);
+    const pollMs = nowMs < EARLY_UNTIL_MS ? EARLY_POLL_MS : POLL_MS;
     const dueMs = (step.nextDecisionAtMs ?? Infinity) - nowMs;
     return Math.max(1, Math.min(pollMs, dueMs));
   }
 
-  private carryOut(step: StewardStep): void {
+  private applyStep(step: StewardStep): void {
     const {engine, log, backendServerId} = this.parts;
     const author = `node-${this.nodeIndex}`;
     step.orders.forEach(order => {
