--- a/packages/journal-report/src/draw_rounds.ts
+++ b/packages/journal-report/src/draw_rounds.ts
@@ -1,4 +1,4 @@
-/** Draws one figure of the standard days over the rounds as SVG. */
+/** Draws one metric of the standard days over all score runs as SVG. */
 import {scaleLinear} from 'd3-scale';
 import {line} from 'd3-shape';
 import {type DayFigures, type Round} from './read_rounds.js';
@@ -16,10 +16,10 @@
   '#a6761d',
 ];
 
-/** The figures that can be drawn. */
+/** Metrics that can be drawn. */
 export type FigureName = Exclude<keyof DayFigures, 'name'>;
 
-/** One line a day; rounds that lack a day leave a gap. */
+/** Draws one line per standard day; a score run without the day is a gap. */
 export function drawRounds(
   title: string,
   rounds: readonly Round[],
--- a/packages/journal-report/src/format_rounds.ts
+++ b/packages/journal-report/src/format_rounds.ts
@@ -1,7 +1,7 @@
-/** Prints rounds as a table. */
+/** Formats score runs as a text table. */
 import {type Round} from './read_rounds.js';
 
-const HEAD =
+const HEADER =
   'begun                 site          day        worth  served  prices';
 
 export function formatRounds(rounds: readonly Round[]): string {
@@ -17,5 +17,5 @@
       ].join('  '),
     ),
   );
-  return [HEAD, ...rows, ''].join('\n');
+  return [HEADER, ...rows, ''].join('\n');
 }
--- a/packages/journal-report/src/journal_report.test.ts
+++ b/packages/journal-report/src/journal_report.test.ts
@@ -25,7 +25,7 @@
   {name: 'cut.json', text: '{"cmd":"sco'},
 ];
 
-test('whole scores are read in their order, and a cut entry is named', () => {
+test('score runs are sorted by time, and a truncated entry is listed by name', () => {
   const {rounds, unreadable} = readRounds(FILES);
   assert.equal(
     rounds.map(({days}) => days.map(({name, worth}) => `${name} ${worth}`)),
@@ -35,7 +35,7 @@
   assert.equal(unreadable, ['cut.json']);
 });
 
-test('rounds are drawn as one line a day, and printed', () => {
+test('score runs are drawn as one line per day and formatted as a table', () => {
   const {rounds} = readRounds(FILES);
   const svg = drawRounds('pantry: worth', rounds, 'worth');
   assert.is(svg.match(/<path /g)?.length, 1);
--- a/packages/journal-report/src/read_rounds.ts
+++ b/packages/journal-report/src/read_rounds.ts
@@ -1,33 +1,33 @@
-/** Reads whole scores of the standard days out of journal entries. */
+/** Reads score runs of the standard days from journal entries. */
 import * as z from 'zod';
 
-/** A file of the journal. */
 export interface JournalFile {
   name: string;
   text: string;
 }
 
-/** One standard day of one score. All figures are shares of what was owed. */
+/** Metrics of one standard day, as shares of the maximum worth. */
 export interface DayFigures {
   name: string;
-  /** What users got, less prices. */
+  /** Worth delivered to users, less `prices`. */
   worth: number;
   served: number;
+  /** Deductions from the gross worth. */
   prices: number;
 }
 
-/** One score of one site. */
+/** One score run of one site. */
 export interface Round {
   site: string;
-  /** When it began, as ISO 8601. */
+  /** Start time in ISO 8601. */
   startedAt: string;
   days: DayFigures[];
 }
 
-/** Entries that can't be read are counted, not guessed. */
 export interface ReadRounds {
-  /** The oldest first. */
+  /** Sorted by start time, oldest first. */
   rounds: Round[];
+  /** Names of files that are not valid entries. */
   unreadable: string[];
 }
 
@@ -46,7 +46,7 @@
   days: z.array(daySchema).nullish(),
 });
 
-/** A day that was drawn at the run is another one each time, so it is left out. */
+/** Days that are generated anew for each run, so that runs are not comparable. */
 const FRESH_DAY = /^fresh-/;
 
 export function readRounds(files: readonly JournalFile[]): ReadRounds {
@@ -55,7 +55,7 @@
     try {
       return toRounds(entrySchema.parse(JSON.parse(text)));
     } catch {
-      // Told by name: a half-written entry must not hide the others.
+      // A partly written entry must not hide the other entries.
       unreadable.push(name);
       return [];
     }
