--- a/packages/tls-listeners/src/key_pair.ts
+++ b/packages/tls-listeners/src/key_pair.ts
@@ -1,24 +1,23 @@
-/** Reads a certificate with its key and checks that they belong together. */
+/** Reads a certificate and its private key and checks that they match. */
 import {X509Certificate} from 'node:crypto';
 import {readFile, stat} from 'node:fs/promises';
 import {createSecureContext} from 'node:tls';
 import {TypedError} from '@mimosatack/errors';
 
-/** Where a certificate and its key lie. */
 export interface KeyPairPaths {
   certPath: string;
   keyPath: string;
 }
 
-/** A certificate that fits its key. */
+/** A certificate and its matching private key, as PEM. */
 export interface KeyPair {
   cert: string;
   key: string;
-  /** When the certificate expires, as it says itself. */
+  /** The `notAfter` time of the certificate. */
   validTo: string;
 }
 
-/** Reads and checks a pair; rejects with `bad-request` and a remedy. */
+/** Rejects with `bad-request` if the files are unreadable or do not match. */
 export async function readKeyPair(paths: KeyPairPaths): Promise<KeyPair> {
   const [cert, key] = await Promise.all([
     readPem(paths.certPath),
@@ -30,16 +29,16 @@
   } catch (thrown) {
     throw new TypedError(
       'bad-request',
-      `${paths.certPath} and ${paths.keyPath} are no usable pair`,
+      `${paths.certPath} and ${paths.keyPath} are not a valid key pair`,
       {
-        remedy: 'Write a PEM certificate with its own private key.',
+        remedy: 'Provide a PEM certificate with its matching private key.',
         cause: toError(thrown),
       },
     );
   }
 }
 
-/** A text that changes whenever one of the files is written or replaced. */
+/** Returns a string that changes when one of the files is written or replaced. */
 export async function readFingerprint(paths: KeyPairPaths): Promise<string> {
   const stats = await Promise.all(
     [paths.certPath, paths.keyPath].map(path => stat(path)),
@@ -53,8 +52,8 @@
   try {
     return await readFile(path, 'utf8');
   } catch (thrown) {
-    throw new TypedError('bad-request', `${path} can't be read`, {
-      remedy: 'Check the path and who may read it.',
+    throw new TypedError('bad-request', `${path} cannot be read`, {
+      remedy: 'Check the path and the permissions of the file.',
       cause: toError(thrown),
     });
   }
--- a/packages/tls-listeners/src/tls_listener.test.ts
+++ b/packages/tls-listeners/src/tls_listener.test.ts
@@ -31,7 +31,7 @@
   });
 }
 
-/** An HTTPS server with a pair for `first`, in a folder of its own. */
+/** Starts an HTTPS server with a certificate for `first` in a temporary folder. */
 async function createFixture() {
   const folder = await mkdtemp(join(tmpdir(), 'mimosatack-tls-'));
   const paths = {
@@ -58,7 +58,7 @@
   return {paths, write, logger, listener, port, close};
 }
 
-/** The common name of the certificate that a new connection is shown. */
+/** Returns the common name that the server presents to a new connection. */
 function readCommonName(port: number): Promise<string> {
   return new Promise((resolve, reject) => {
     const socket = connect(
@@ -74,7 +74,7 @@
 
 const listeners = suite('TLS listener');
 
-listeners('a new pair is shown to new connections', async () => {
+listeners('a replaced key pair is used for new connections', async () => {
   const {write, logger, listener, port, close} = await createFixture();
   assert.is(await readCommonName(port), 'first');
   await write(await makePair('second'));
@@ -86,11 +86,10 @@
 });
 
 /**
- * A certificate is renewed, and the node looks when the new certificate is
- * there but the key is still the old one. If the node took the pair over, no
- * caller could connect any more; it must keep the old one and say so once.
+ * Guards against loading a renewed certificate before its key is written, which
+ * would break every new connection.
  */
-listeners('a pair that does not fit keeps the old one', async () => {
+listeners('a mismatched pair does not replace the old one', async () => {
   const {paths, write, logger, listener, port, close} = await createFixture();
   const second = await makePair('second');
   await writeFile(paths.certPath, second.cert);
@@ -104,11 +103,8 @@
   await close();
 });
 
-/**
- * The tool that renews certificates removes the files before it writes the
- * new ones. The node looks in between and must go on with what it has.
- */
-listeners('files that are gone keep the old pair', async () => {
+/** Guards against a renewal tool that deletes the files before it writes them. */
+listeners('the old pair stays in use while files are missing', async () => {
   const {paths, listener, logger, port, close} = await createFixture();
   await unlink(paths.keyPath);
   await listener.reload();
@@ -117,7 +113,7 @@
   await close();
 });
 
-listeners('a broken pair at the start is told with its remedy', async () => {
+listeners('an invalid pair at the start rejects with a remedy', async () => {
   const {paths, close} = await createFixture();
   await writeFile(paths.certPath, 'no certificate');
   const error = await createListener(paths)
--- a/packages/tls-listeners/src/tls_listener.ts
+++ b/packages/tls-listeners/src/tls_listener.ts
@@ -1,4 +1,4 @@
-/** An HTTPS server whose certificate is replaced without a restart. */
+/** HTTPS servers that reload their certificate without a restart. */
 import {type RequestListener} from 'node:http';
 import {type Server, createServer} from 'node:https';
 import {type Clock} from '@mimosatack/clock';
@@ -12,53 +12,51 @@
   readKeyPair,
 } from './key_pair.js';
 
-/** What a listener is built from. */
 export interface TlsListenerOptions {
   clock: Clock;
   logger: EventLogger;
-  /** Who connects to it, for the log. */
+  /** Clients of the listener, for log events. */
   listener: 'callers' | 'operators';
   paths: KeyPairPaths;
-  /** Time between two looks at the files. */
+  /** Interval between checks of the files. */
   pollIntervalMs: number;
 }
 
 const MIN_VERSION = 'TLSv1.2';
-/** Stands for files that are gone, so that it is told only once. */
+/** Fingerprint of missing files, so that they are logged only once. */
 const UNREADABLE = 'unreadable';
 
-/** Makes HTTPS servers and gives them each new certificate. */
+/** Creates HTTPS servers and passes each new certificate to them. */
 export class TlsListener {
   private readonly servers: Server[] = [];
   private fingerprint = '';
-  private polling: Periodic | null = null;
+  private poller: Periodic | null = null;
 
   constructor(private readonly options: TlsListenerOptions) {}
 
-  /** Makes a server, which has no certificate before `start`. */
+  /** Creates a server; it has no certificate until `start` resolves. */
   createServer(handler: RequestListener): Server {
     const server = createServer({minVersion: MIN_VERSION}, handler);
     this.servers.push(server);
     return server;
   }
 
-  /** Reads the first pair, or rejects, and begins to watch the files. */
+  /** Loads the pair and starts polling; rejects if the pair is invalid. */
   async start(): Promise<void> {
     const {clock, paths, pollIntervalMs} = this.options;
-    this.use(await readKeyPair(paths));
+    this.applyKeyPair(await readKeyPair(paths));
     this.fingerprint = await readFingerprint(paths);
-    this.polling = startPeriodic(clock, pollIntervalMs, () => this.reload());
+    this.poller = startPeriodic(clock, pollIntervalMs, () => this.reload());
   }
 
   stop(): void {
-    this.polling?.stop();
+    this.poller?.stop();
   }
 
   /**
-   * Takes the pair over if a file has changed. Guards against a pair that is
-   * half written or broken: its key would not fit, and every new connection
-   * would fail. The old pair is kept, and the files are looked at again when
-   * they next change.
+   * Loads the pair if a file has changed. An invalid or partly written pair
+   * would break every new connection, so the old pair stays in use until the
+   * files change again.
    */
   async reload(): Promise<void> {
     const {paths, listener, logger} = this.options;
@@ -67,7 +65,7 @@
       if (fingerprint === this.fingerprint) return;
       this.fingerprint = fingerprint;
       const pair = await readKeyPair(paths);
-      this.use(pair);
+      this.applyKeyPair(pair);
       const {certPath} = paths;
       const {validTo} = pair;
       logger.log('certificate-replaced', {listener, certPath, validTo});
@@ -76,7 +74,7 @@
     }
   }
 
-  private use({cert, key}: KeyPair): void {
+  private applyKeyPair({cert, key}: KeyPair): void {
     this.servers.forEach(server =>
       server.setSecureContext({cert, key, minVersion: MIN_VERSION}),
     );
