--- a/packages/measure-events/src/measuring_event_logger.test.ts
+++ b/packages/measure-events/src/measuring_event_logger.test.ts
@@ -4,9 +4,9 @@
 import * as assert from 'uvu/assert';
 import {MeasuringEventLogger} from './measuring_event_logger.js';
 
-const test = suite('measuring what is logged');
+const test = suite('metrics from log events');
 
-test('an event is logged as it was and measured', () => {
+test('an event is logged unchanged and updates its metrics', () => {
   const inner = new MemoryEventLogger();
   const metrics = new MemoryMetrics();
   new MeasuringEventLogger(inner, metrics).log('request-finished', {
@@ -26,7 +26,7 @@
   assert.is(inner.events.length, 1);
 });
 
-test('an event that nothing is counted of is only logged', () => {
+test('an event without a metric is only logged', () => {
   const inner = new MemoryEventLogger();
   const metrics = new MemoryMetrics();
   new MeasuringEventLogger(inner, metrics).log('duty-lost', {fencingToken: 4});
--- a/packages/measure-events/src/measuring_event_logger.ts
+++ b/packages/measure-events/src/measuring_event_logger.ts
@@ -1,4 +1,4 @@
-/** A logger that also measures what it is told. */
+/** Derives metrics from log events. */
 import {
   type EventFields,
   type EventLogger,
@@ -9,15 +9,17 @@
 
 type Fields = Readonly<Record<string, FieldValue>>;
 
-/** Takes the fields of one event into the metrics. */
-type Measure = (metrics: Metrics, fields: Fields) => void;
+type MetricsUpdate = (metrics: Metrics, fields: Fields) => void;
 
-/** What each event counts as; events that are not named count as nothing. */
-const MEASURES: ReadonlyMap<EventName, Measure> = new Map<EventName, Measure>([
-  ['request-finished', measureFinished],
-  ['attempt-ended', measureAttempt],
-  ['ask-decided', measureDecision],
-  ['engine-ordered', measureOrder],
+/** Metrics by event; an event without an entry updates no metric. */
+const UPDATES_BY_EVENT: ReadonlyMap<EventName, MetricsUpdate> = new Map<
+  EventName,
+  MetricsUpdate
+>([
+  ['request-finished', recordFinished],
+  ['attempt-ended', recordAttempt],
+  ['ask-decided', recordDecision],
+  ['engine-ordered', recordOrder],
   [
     'key-refused',
     (metrics, {kind}) => metrics.count('keys.refused', {kind: toTag(kind)}),
@@ -43,11 +45,11 @@
   ],
   [
     'lines-dropped',
-    (metrics, {count}) => metrics.count('logs.dropped', {}, toMs(count)),
+    (metrics, {count}) => metrics.count('logs.dropped', {}, toNumber(count)),
   ],
 ]);
 
-/** Measures each event, then logs it, whether or not the line is written. */
+/** Updates metrics also for events that the log level suppresses. */
 export class MeasuringEventLogger implements EventLogger {
   constructor(
     private readonly inner: EventLogger,
@@ -55,21 +57,21 @@
   ) {}
 
   log<N extends EventName>(name: N, fields: EventFields<N>): void {
-    MEASURES.get(name)?.(this.metrics, fields);
+    UPDATES_BY_EVENT.get(name)?.(this.metrics, fields);
     this.inner.log(name, fields);
   }
 }
 
-function measureFinished(
+function recordFinished(
   metrics: Metrics,
   {result, kind, tookMs}: Fields,
 ): void {
-  const named = toTag(result);
-  metrics.count('answers.finished', {result: named, kind: toTag(kind)});
-  metrics.timing('answers.duration', toMs(tookMs), {result: named});
+  const tag = toTag(result);
+  metrics.count('answers.finished', {result: tag, kind: toTag(kind)});
+  metrics.timing('answers.duration', toNumber(tookMs), {result: tag});
 }
 
-function measureAttempt(
+function recordAttempt(
   metrics: Metrics,
   {outcome, next, headMs}: Fields,
 ): void {
@@ -77,28 +79,28 @@
   if (typeof headMs === 'number') metrics.timing('attempts.head', headMs, {});
 }
 
-function measureDecision(
+function recordDecision(
   metrics: Metrics,
   {decision, reason, waitedMs}: Fields,
 ): void {
-  const named = toTag(decision);
-  metrics.count('schedule.decided', {decision: named, reason: toTag(reason)});
-  metrics.timing('schedule.waited', toMs(waitedMs), {decision: named});
+  const tag = toTag(decision);
+  metrics.count('schedule.decided', {decision: tag, reason: toTag(reason)});
+  metrics.timing('schedule.waited', toNumber(waitedMs), {decision: tag});
 }
 
-function measureOrder(
+function recordOrder(
   metrics: Metrics,
   {operation, outcome, tookMs}: Fields,
 ): void {
-  const named = toTag(operation);
-  metrics.count('orders.sent', {operation: named, outcome: toTag(outcome)});
-  metrics.timing('orders.duration', toMs(tookMs), {operation: named});
+  const tag = toTag(operation);
+  metrics.count('orders.sent', {operation: tag, outcome: toTag(outcome)});
+  metrics.timing('orders.duration', toNumber(tookMs), {operation: tag});
 }
 
 function toTag(value: FieldValue): string {
   return typeof value === 'string' ? value : '';
 }
 
-function toMs(value: FieldValue): number {
+function toNumber(value: FieldValue): number {
   return typeof value === 'number' ? value : 0;
 }
