--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Program: one node of the system. */
+/** Program: runs one node. */
 import {randomBytes} from 'node:crypto';
 import {SystemClock} from '@mimosatack/clock';
 import {toTypedError} from '@mimosatack/errors';
@@ -17,7 +17,7 @@
 const RELEASE = '0.1.0';
 const EXIT_BAD_SETTINGS = 2;
 const EXIT_FAILED = 1;
-const PRINT_FLAG = '--print-settings';
+const PRINT_SETTINGS_FLAG = '--print-settings';
 const HELP_FLAGS = ['--help', '-h'];
 const VERSION_FLAG = '--version';
 
@@ -30,9 +30,11 @@
     process.stdout.write(`${RELEASE}\n`);
     return;
   }
-  const settings = readSettings(argv.filter(flag => flag !== PRINT_FLAG));
+  const settings = readSettings(
+    argv.filter(flag => flag !== PRINT_SETTINGS_FLAG),
+  );
   if (!settings) return;
-  if (argv.includes(PRINT_FLAG)) {
+  if (argv.includes(PRINT_SETTINGS_FLAG)) {
     process.stdout.write(`${formatSettings(settings)}\n`);
     return;
   }
@@ -57,7 +59,7 @@
     level: settings.logLevel,
     destination: settings.logDestination,
   });
-  watchProcess(logger);
+  handleProcessErrors(logger);
   logger.log('settings-loaded', {settings: redactSettings(settings)});
   const node = new MimosatackNode({
     settings,
@@ -66,7 +68,7 @@
     random: new SeededRandom(randomBytes(4).readInt32LE()),
     release: RELEASE,
   });
-  // Before the start, so that a stop that comes during it is not lost.
+  // Registered before the start: a signal during the start must stop the node.
   process.on('SIGTERM', () => node.requestStop('SIGTERM'));
   process.on('SIGINT', () => node.requestStop('SIGINT'));
   void node.stopped.then(exitCode => process.exit(exitCode));
@@ -80,11 +82,10 @@
 }
 
 /**
- * A rejected promise that nobody handles concerns one request or message, so
- * the process goes on. After an error thrown outside all of them the state of
- * the process is unknown, so it ends, and its peers take over.
+ * Logs an unhandled rejection and continues, since it affects one request or
+ * message. Exits on an uncaught exception, after which the state is unknown.
  */
-function watchProcess(logger: EventLogger): void {
+function handleProcessErrors(logger: EventLogger): void {
   process.on('unhandledRejection', thrown =>
     logger.log('rejection-unhandled', {error: toTypedError(thrown)}),
   );
