--- a/packages/steward-claims/src/decide_role.ts
+++ b/packages/steward-claims/src/decide_role.ts
@@ -1,30 +1,29 @@
 /**
- * Whether this node may send orders to a model engine. Pure: it looks at the
- * agreed claim and at hints, and only the claim carries a promise.
+ * Decides whether this node may send orders to a model engine. Pure function of
+ * the agreed claim and of hints; only the claim is authoritative.
  */
 import {type StewardClaim} from '@mimosatack/agreed-state';
 import {type FencingSupport, type NodeIncarnation} from '@mimosatack/types';
 
-/** All that the decision looks at. */
 export interface RoleInput {
   self: NodeIncarnation;
   claim: StewardClaim | undefined;
   fencing: FencingSupport;
-  /** Place of this node among those that may claim; 0 is first. */
+  /** Position of this node among the candidates; 0 is first. */
   rank: number;
-  /** How long the backend server has had no steward, as this node sees it. */
+  /** Time for which this node has seen the backend server without a steward. */
   freeForMs: number;
-  /** How much longer each next node in rank waits. */
+  /** Additional wait per rank before a claim. */
   rankDelayMs: number;
   isLogReachable: boolean;
-  /** Whether a process is believed to be dead; a hint. */
+  /** Hint: whether membership considers the process dead. */
   isGone(incarnation: NodeIncarnation): boolean;
 }
 
 /**
- * `hold`: send orders under the claim. `claim`: write a new claim. `succeed`:
- * send orders under the claim of another, with a higher rank, because the log
- * is down. `wait`: neither.
+ * `hold`: send orders under the node's own claim. `claim`: write a new claim.
+ * `succeed`: send orders under another node's claim, with a higher rank, while
+ * the log is unreachable. `wait`: do nothing.
  */
 export type StewardRole =
   | {role: 'hold'}
@@ -34,7 +33,6 @@
 
 const WAIT: StewardRole = {role: 'wait'};
 
-/** Decides the role of this node for one engine. */
 export function decideRole(input: RoleInput): StewardRole {
   const {claim, self} = input;
   if (claim?.holder === self && !claim.isYielded) return {role: 'hold'};
@@ -42,7 +40,7 @@
   return input.isLogReachable ? decideClaim(input) : decideSuccession(input);
 }
 
-/** Whether a claim is over, or its holder is believed to be dead. */
+/** Whether no claim is in force or its holder is considered dead. */
 export function isFree(
   claim: StewardClaim | undefined,
   hints: Pick<RoleInput, 'isGone'>,
@@ -51,8 +49,8 @@
 }
 
 /**
- * The first in rank claims at once. Should it be unable to, each next node
- * waits longer; of two that claim, the first in the log holds.
+ * The first candidate claims at once and each further one waits longer. If two
+ * claim, the first claim in the log wins.
  */
 function decideClaim(input: RoleInput): StewardRole {
   const isTurn =
@@ -61,15 +59,16 @@
 }
 
 /**
- * With the log down no claim can be made, but the claim in force names
- * successors. The engine itself turns the holder away once it has seen a
- * successor's number, so this needs an engine that refuses old numbers.
+ * Without the log no claim can be written, so the successors named in the claim
+ * take over. Requires an engine that rejects lower fencing numbers, because only
+ * the engine can stop the old holder.
  */
 function decideSuccession(input: RoleInput): StewardRole {
   const {claim, self} = input;
   if (!claim || input.fencing !== 'refuses-old') return WAIT;
-  const place = claim.successors.indexOf(self);
-  const before = claim.successors.slice(0, Math.max(0, place));
-  const isTurn = place >= 0 && before.every(other => input.isGone(other));
-  return isTurn ? {role: 'succeed', rank: place + 1} : WAIT;
+  const position = claim.successors.indexOf(self);
+  const predecessors = claim.successors.slice(0, Math.max(0, position));
+  const isTurn =
+    position >= 0 && predecessors.every(other => input.isGone(other));
+  return isTurn ? {role: 'succeed', rank: position + 1} : WAIT;
 }
