--- a/packages/bench-scheduling/src/scheduling.test.ts
+++ b/packages/bench-scheduling/src/scheduling.test.ts
@@ -78,7 +78,7 @@
  * Guards against starvation of models with few requests when a burst needs more
  * swaps than the engines can make.
  */
-test('a burst for rarely used models starves no model and loses no request', () => {
+test('a burst of rare models starves no model and forgets no request', () => {
   const burst = {...PANTRY_TRAFFIC, draftBurst: 3};
   BURST_SEEDS.forEach(seed => {
     const result = simulate(PANTRY, burst, NO_FAULTS, seed);
@@ -144,7 +144,7 @@
  * Guards against overcommitted engine memory, which crashes the engine, after
  * lost responses, delayed orders and takeovers by another node.
  */
-test('no order exceeds the limits of an engine', () => {
+test('no order ever asks an engine for more than it holds', () => {
   fc.assert(
     fc.property(faults, fc.nat(), (faultPlan, seed) => {
       const {breaches, forgotten} = simulate(SMALL, SHORT, faultPlan, seed);
