--- a/packages/bench-warming/src/virtual_runner.ts
+++ b/packages/bench-warming/src/virtual_runner.ts
@@ -163,7 +163,7 @@
     this.memory = step.memory;
     this.applyStep(step);
     const pollMs = nowMs < EARLY_UNTIL_MS ? EARLY_POLL_MS : POLL_MS;
-    const dueMs = (step.nextDecisionAtMs ?? Infinity) - nowMs;
+    const dueMs = (step.nextStepAtMs ?? Infinity) - nowMs;
     return Math.max(1, Math.min(pollMs, dueMs));
   }
 
--- a/packages/journal-report/src/main.ts
+++ b/packages/journal-report/src/main.ts
@@ -11,7 +11,7 @@
 
 const [journalDir, outputDir] = process.argv.slice(2);
 if (!journalDir || !outputDir) {
-  process.stderr.write('usage: main.js JOURNAL_DIR OUTPUT_DIR\n');
+  process.stderr.write('Name the journal and the folder for the figures.\n');
   process.exit(EXIT_USAGE);
 }
 
@@ -29,7 +29,5 @@
 );
 process.stdout.write(formatRounds(rounds));
 if (unreadable.length > 0) {
-  process.stderr.write(
-    `Skipped unreadable entries: ${unreadable.join(', ')}\n`,
-  );
+  process.stderr.write(`Not read: ${unreadable.join(', ')}\n`);
 }
--- a/packages/logger/src/events/log_events.ts
+++ b/packages/logger/src/events/log_events.ts
@@ -5,29 +5,27 @@
   'log-unavailable': {
     number: 2000,
     level: 'warn',
-    message:
-      'The log service is unavailable; the node uses its in-memory state.',
+    message: 'The log service does not answer; the node works from memory.',
     fields: {
       stream: 'the stream that was read or appended to',
       error: 'what failed',
-      retryInMs: 'delay before the next attempt',
+      retryInMs: 'when it is tried again',
     },
     remedy: 'Check the log service and --log-url.',
   },
   'log-recovered': {
     number: 2001,
     level: 'info',
-    message: 'The log service is available again.',
+    message: 'The log service answers again.',
     fields: {
       stream: 'the stream that was read or appended to',
-      outageMs: 'time since the previous response',
+      outageMs: 'time since the last answer before this one',
     },
   },
   'append-outcome-unknown': {
     number: 2002,
     level: 'warn',
-    message:
-      'An append got no response; the stream is read to find its outcome.',
+    message: 'The answer to an append was lost; the stream is read to settle.',
     fields: {
       stream: 'the stream appended to',
       recordId: 'identifies the record that may have been appended',
@@ -37,11 +35,11 @@
   'append-outcome-settled': {
     number: 2003,
     level: 'info',
-    message: 'The outcome of an append without a response was found.',
+    message: 'The stream shows what became of an append without an answer.',
     fields: {
       stream: 'the stream appended to',
       recordId: 'identifies the record',
-      appended: 'whether the stream contains it',
+      appended: 'whether the stream holds it',
     },
   },
   'record-skipped': {
@@ -49,7 +47,7 @@
     level: 'error',
     message: 'A record could not be read and was skipped.',
     fields: {
-      stream: 'the stream that contains it',
+      stream: 'the stream that holds it',
       offset: 'its offset',
       error: 'why it could not be read',
     },
@@ -62,19 +60,19 @@
     fields: {
       stream: 'the stream',
       wantedOffset: 'the offset the node wanted to read',
-      firstOffset: 'the oldest retained offset',
+      firstOffset: 'the oldest offset still kept',
     },
-    remedy: 'Retain records longer, or lower --checkpoint-every-records.',
+    remedy: 'Keep records longer, or lower --checkpoint-every-records.',
   },
   'rules-unsupported': {
     number: 2006,
     level: 'error',
-    message: 'The active rules version is not supported; the node stops.',
+    message: 'Rules are in force that this release does not know; it stops.',
     fields: {
-      rulesVersion: 'the active rules version',
-      supportedVersion: 'the newest supported rules version',
+      rulesVersion: 'the rules in force',
+      supportedVersion: 'the newest rules that this release knows',
     },
-    remedy: 'Upgrade the node; it serves no requests until then.',
+    remedy: 'Upgrade the node; it serves nothing until then.',
   },
   'checkpoint-written': {
     number: 2100,
@@ -89,7 +87,7 @@
   'checkpoint-loaded': {
     number: 2101,
     level: 'info',
-    message: 'The node loaded a checkpoint.',
+    message: 'The node begins from a checkpoint.',
     fields: {
       stream: 'the stream of the checkpoint',
       coversOffset: 'the first offset that it does not cover',
--- a/packages/logger/src/events/operator_events.ts
+++ b/packages/logger/src/events/operator_events.ts
@@ -7,36 +7,35 @@
     level: 'info',
     message: "An operator's command was accepted.",
     fields: {
-      operator: 'the operator who sent it',
+      operator: 'who gave it',
       command: 'the command',
-      subject: 'the object that it changes',
+      subject: 'what it changes',
     },
   },
   'operator-command-refused': {
     number: 5001,
     level: 'info',
-    message: "An operator's command was rejected.",
+    message: "An operator's command was refused.",
     fields: {
-      operator: 'the operator who sent it',
+      operator: 'who gave it',
       command: 'the command',
-      subject: 'the object that it would have changed',
-      error: 'why it was rejected',
+      subject: 'what it would have changed',
+      error: 'why it was refused',
     },
   },
   'operator-unauthenticated': {
     number: 5002,
     level: 'warn',
     message: "A request to the operators' interface had no valid token.",
-    fields: {remoteAddress: 'address of the client', error: 'what was wrong'},
-    remedy: 'Check for a misconfigured client or an attack.',
+    fields: {remoteAddress: 'where it came from', error: 'what was wrong'},
+    remedy: 'Look for a misconfigured client, or for an attack.',
   },
   'operator-request-failed': {
     number: 5004,
     level: 'error',
-    message:
-      "A request to the operators' interface failed with an internal error.",
+    message: "A request to the operators' interface met an internal error.",
     fields: {
-      requestId: 'id of the request, also in the response',
+      requestId: 'the id that the answer carries',
       route: 'the method and the route',
       error: 'what failed',
     },
@@ -45,12 +44,12 @@
   'change-not-in-force': {
     number: 5003,
     level: 'warn',
-    message: 'A change did not take effect on all live nodes in time.',
+    message: 'A change was not in force on all live nodes in time.',
     fields: {
       offset: 'offset of the record that carried it',
-      missingNodes: 'nodes that had not applied it',
-      waitedMs: 'time spent waiting',
+      missingNodes: 'the nodes that had not folded it',
+      waitedMs: 'how long was waited',
     },
-    remedy: 'Check these nodes and their connection to the log service.',
+    remedy: 'Check these nodes, and whether they reach the log service.',
   },
 } as const satisfies Record<string, EventDefinition>;
--- a/packages/logger/src/events/process_events.ts
+++ b/packages/logger/src/events/process_events.ts
@@ -5,21 +5,21 @@
   'node-started': {
     number: 1000,
     level: 'info',
-    message: 'The node started; it is not ready yet.',
+    message: 'The node has started; it is not ready yet.',
     fields: {
       incarnation: 'identifies this run of the node',
-      callerPort: 'port that listens for callers',
-      adminPort: 'port that listens for operators',
-      peerPort: 'port that listens for other nodes',
+      callerPort: 'port bound for callers',
+      adminPort: 'port bound for operators',
+      peerPort: 'port bound for other nodes',
     },
   },
   'program-loaded': {
     number: 1011,
     level: 'info',
-    message: 'The program was loaded.',
+    message: 'The program has been loaded.',
     fields: {
       compiledCode:
-        'used; rejected if built for another release or other runtime flags, which slows the start; or none if the build has none',
+        'used, or rejected: it is of another release or of other flags of the runtime, so that starts are slower; none in a build without it',
     },
   },
   'node-ready': {
@@ -38,70 +38,70 @@
   'shutdown-started': {
     number: 1003,
     level: 'info',
-    message: 'A graceful shutdown started; callers are sent to other nodes.',
+    message: 'A graceful shutdown has begun; callers are sent to other nodes.',
     fields: {
-      signal: 'the signal that requested it',
-      requestsInFlight: 'number of requests in flight',
-      graceMs: 'time allowed for them to complete',
+      signal: 'the signal that asked for it',
+      requestsInFlight: 'requests that are still being served',
+      graceMs: 'how long they are given to end',
     },
   },
   'shutdown-finished': {
     number: 1004,
     level: 'info',
-    message: 'The shutdown completed; no request was aborted.',
-    fields: {durationMs: 'time since the shutdown started'},
+    message: 'The shutdown is complete; no request was cut off.',
+    fields: {durationMs: 'time since the shutdown began'},
   },
   'shutdown-cut-off': {
     number: 1005,
     level: 'error',
-    message: 'The shutdown ended early; the listed requests were aborted.',
+    message: 'The shutdown was ended early; what is listed was cut off.',
     fields: {
-      reason: 'what ended it: a second signal, or the grace period',
-      phase: 'the phase in which it ended',
-      requestsInFlight: 'number of aborted requests',
-      requests: 'id and age of each aborted request',
-      graceMs: 'the grace period',
+      reason: 'what ended it: a second signal, or the end of the grace',
+      phase: 'how far it had got',
+      requestsInFlight: 'how many requests were cut off',
+      requests: 'each of them, with its id and its age',
+      graceMs: 'the grace they were given',
     },
     remedy: 'Raise --shutdown-grace-ms above the longest deadline in use.',
   },
   'task-failed': {
     number: 1006,
     level: 'error',
-    message: 'A task failed and will be restarted.',
+    message: 'A task failed and will be started again.',
     fields: {
       task: 'name of the task',
       error: 'what failed',
-      restartInMs: 'delay before the restart',
+      restartInMs: 'when it starts again',
     },
     remedy: 'Report it with the log lines around it.',
   },
   'lines-dropped': {
     number: 1010,
     level: 'warn',
-    message: 'Log lines were dropped because the log reader was too slow.',
-    fields: {count: 'number of dropped lines'},
-    remedy: 'Check why the log reader stalls.',
+    message: 'Log lines were left out since nobody read the log in time.',
+    fields: {count: 'how many'},
+    remedy: 'Look why the reader of the log stalls.',
   },
   'unexpected-error': {
     number: 1007,
     level: 'fatal',
-    message: 'An uncaught error occurred; the process exits.',
+    message: 'An error reached the top of the process, which now exits.',
     fields: {error: 'what failed'},
     remedy: 'Report it with the log lines around it.',
   },
   'shutdown-phase': {
     number: 1009,
     level: 'info',
-    message: 'The shutdown entered its next phase.',
+    message: 'The shutdown has come to its next phase.',
     fields: {
       phase: 'the phase',
-      requestsInFlight: 'number of requests in flight',
+      requestsInFlight: 'requests that are still being served',
     },
   },
   'rejection-unhandled': {
     number: 1008,
     level: 'error',
-    message: 'A promise rejection was not handled; the process continues.',
+    message: 'A failure was handled by nobody; the process goes on.',
     fields: {error: 'what failed'},
     remedy: 'Report it with the log lines around it.',
   },
@@ -109,23 +109,22 @@
     number: 1100,
     level: 'info',
     message: 'The settings are valid.',
-    fields: {settings: 'all settings in effect; secrets are redacted'},
+    fields: {settings: 'every setting in force; secrets are redacted'},
   },
   'settings-reloaded': {
     number: 1102,
     level: 'info',
-    message: 'The settings file was reloaded.',
+    message: 'The settings file was read again.',
     fields: {
-      changed: 'settings whose new values are in effect',
-      atNextStart: 'changed settings that need a restart',
+      changed: 'settings that are in force with their new values now',
+      atNextStart: 'settings that have changed and need a restart',
     },
   },
   'settings-kept': {
     number: 1103,
     level: 'error',
-    message:
-      'The reloaded settings file is invalid; the settings are unchanged.',
-    fields: {error: 'the faults in the file'},
+    message: 'The settings file was read again and is faulty; nothing changes.',
+    fields: {error: 'the faults'},
     remedy: 'Correct all the faults listed, then send SIGHUP again.',
   },
   'settings-rejected': {
@@ -138,7 +137,7 @@
   'certificate-replaced': {
     number: 1200,
     level: 'info',
-    message: 'A new certificate is in use; open connections are unaffected.',
+    message: 'A new certificate is in use; connections that are open keep on.',
     fields: {
       listener: 'who connects to it: callers or operators',
       certPath: 'the file it was read from',
@@ -148,13 +147,13 @@
   'certificate-rejected': {
     number: 1201,
     level: 'error',
-    message: 'A new certificate or key is invalid; the old pair stays in use.',
+    message: 'A new certificate or key is not usable; the old pair is kept.',
     fields: {
       listener: 'who connects to it: callers or operators',
       certPath: 'the file of the certificate',
       error: 'what is wrong with the pair',
     },
-    remedy: 'Write a certificate and its matching key to the two files.',
+    remedy: 'Write a certificate with its own key to both files.',
   },
   'metrics-undeliverable': {
     number: 1210,
@@ -166,10 +165,10 @@
   'events-suppressed': {
     number: 1211,
     level: 'info',
-    message: 'Repeats of a rate-limited event were not logged.',
+    message: 'An event happened more often than it is logged.',
     fields: {
       suppressedEvent: 'name of the event',
-      count: 'number of suppressed log lines since it was last logged',
+      count: 'how many times it was left out since it was last logged',
     },
   },
 } as const satisfies Record<string, EventDefinition>;
--- a/packages/platform/src/http_exchange.ts
+++ b/packages/platform/src/http_exchange.ts
@@ -40,7 +40,7 @@
   if (parsed.success) return parsed.data;
   throw new TypedError(
     spec.unreachableKind,
-    `The ${spec.system} returned a malformed response: ` +
+    `The ${spec.system} gave a malformed answer: ` +
       (parsed.error.issues[0]?.message ?? 'not JSON'),
   );
 }
@@ -87,19 +87,15 @@
   if (!parsed.success) {
     return new TypedError(
       spec.unreachableKind,
-      `The ${spec.system} responded with status ${statusCode}.`,
+      `The ${spec.system} answered with status ${statusCode}.`,
     );
   }
   const {kind, message, info} = parsed.data.error;
   const known = ERROR_KINDS.find(other => other === kind);
   const usedKind: ErrorKind = known ?? spec.unreachableKind;
-  return new TypedError(
-    usedKind,
-    `The ${spec.system} returned an error: ${message}`,
-    {
-      info,
-    },
-  );
+  return new TypedError(usedKind, `The ${spec.system} says: ${message}`, {
+    info,
+  });
 }
 
 function parseJson(text: string): unknown {
--- a/packages/run-experiments/src/commands/run/run_command.ts
+++ b/packages/run-experiments/src/commands/run/run_command.ts
@@ -9,8 +9,7 @@
 export class RunCommand extends ScenarioCommand {
   static override paths = [['run']];
   static override usage = Command.Usage({
-    description:
-      'Simulate scenarios and print the outcome of each kind of request.',
+    description: 'Play scenarios and tell how each kind of request fares.',
     examples: [
       ['With six seeds', 'mimosatack-experiment run crew.toml --seeds 6'],
     ],
--- a/packages/run-experiments/src/commands/scenario_command.ts
+++ b/packages/run-experiments/src/commands/scenario_command.ts
@@ -12,7 +12,7 @@
 export abstract class ScenarioCommand extends Command {
   files = Option.Rest({required: 1, name: 'file'});
   seedCount = Option.String('--seeds', '3', {
-    description: `Number of seeds, counted from 1; at most ${MAX_SEEDS}.`,
+    description: `How many seeds are played, from 1 on; ${MAX_SEEDS} at most.`,
   });
 
   protected abstract simulate(
@@ -36,7 +36,7 @@
 function readSeeds(text: string): number[] {
   const length = Number(text);
   if (!Number.isInteger(length) || length < 1 || length > MAX_SEEDS) {
-    throw new TypedError('bad-request', `Invalid value for --seeds: ${text}.`, {
+    throw new TypedError('bad-request', `--seeds is ${text}.`, {
       remedy: `Give a whole number from 1 to ${MAX_SEEDS}.`,
     });
   }
--- a/packages/run-experiments/src/scenario.ts
+++ b/packages/run-experiments/src/scenario.ts
@@ -97,12 +97,12 @@
     const reportIssue = (path: string[], message: string) =>
       context.addIssue({code: 'custom', path, message});
     if (traffic.hot_models > deployment.models) {
-      reportIssue(['traffic', 'hot_models'], 'exceeds the number of models');
+      reportIssue(['traffic', 'hot_models'], 'more than there are models');
     }
     if (deployment.models_on_disk > deployment.models) {
       reportIssue(
         ['deployment', 'models_on_disk'],
-        'exceeds the number of models',
+        'more than there are models',
       );
     }
     faults?.losses.forEach(({engine}, at) => {
@@ -157,8 +157,7 @@
 
 function makeScenarioError(source: string, problem: string): TypedError {
   return new TypedError('bad-request', `${source}: ${problem}`, {
-    remedy:
-      'Correct the file; packages/run-experiments/scenarios has examples.',
+    remedy: 'Correct the file; the scenarios of run-experiments are examples.',
   });
 }
 
--- a/packages/settings/src/contradictions.ts
+++ b/packages/settings/src/contradictions.ts
@@ -37,13 +37,13 @@
   },
   {
     settings: ['advertise-host'],
-    message: 'The unspecified address cannot be advertised.',
+    message: 'Nobody can connect to the unspecified address.',
     remedy: 'Set --advertise-host to the address of this host.',
     isViolated: ({advertiseHost: host}) => host === '0.0.0.0' || host === '::',
   },
   {
     settings: ['advertise-host', 'listen-host'],
-    message: 'The advertised address is unreachable: only loopback listens.',
+    message: 'Nobody can reach the advertised address: only loopback listens.',
     remedy: 'Set --listen-host to the advertised address, or to 0.0.0.0.',
     isViolated: ({advertiseHost, listenHost}) =>
       advertiseHost !== undefined &&
@@ -59,7 +59,7 @@
   },
   {
     settings: ['shutdown-grace-ms', 'max-deadline-ms'],
-    message: 'A shutdown would abort requests before their deadlines.',
+    message: 'A shutdown would cut off requests that still have time.',
     remedy: 'Raise --shutdown-grace-ms to --max-deadline-ms at least.',
     isViolated: ({shutdownGraceMs, maxDeadlineMs}) =>
       isGreater(maxDeadlineMs, shutdownGraceMs),
@@ -73,7 +73,7 @@
   },
   {
     settings: ['shutdown-grace-ms', 'max-deadline-ms', 'entries-ttl-ms'],
-    message: 'A shutdown would abort the last requests to arrive.',
+    message: 'A shutdown would cut off the requests that arrive last.',
     remedy:
       'Raise --shutdown-grace-ms to the sum of --max-deadline-ms and --entries-ttl-ms.',
     isViolated: ({shutdownGraceMs: grace, maxDeadlineMs, entriesTtlMs}) =>
@@ -85,7 +85,7 @@
   },
   {
     settings: ['cold-start-weight', 'idle-weight'],
-    message: 'With both weights at 0, all decisions have the same cost.',
+    message: 'With both weights at 0 all decisions count the same.',
     remedy: 'Set --cold-start-weight or --idle-weight above 0.',
     isViolated: ({coldStartWeight, idleWeight}) =>
       coldStartWeight === 0 && idleWeight === 0,
--- a/packages/settings/src/sources.ts
+++ b/packages/settings/src/sources.ts
@@ -146,7 +146,7 @@
     .map(() => ({
       problem: 'unknown',
       settings: [],
-      message: 'There is an argument that does not belong to a flag.',
+      message: 'There is an argument that belongs to no flag.',
       remedy: 'Write each setting as --name value.',
     }));
 }
--- a/packages/settings/src/value_readers.ts
+++ b/packages/settings/src/value_readers.ts
@@ -134,7 +134,7 @@
       ? {value: text}
       : reject(
           'invalid',
-          'contains a user name or a password',
+          'holds a user name or a password',
           'Give the URL without them.',
         );
   }
--- a/packages/stand-ins/src/shared/lagging_value.ts
+++ b/packages/stand-ins/src/shared/lagging_value.ts
@@ -22,7 +22,7 @@
   read(): {value: T; ageMs: number} {
     this.dropExpired();
     const [oldest] = this.history;
-    if (!oldest) throw new Error('The history of a lagging value is empty.');
+    if (!oldest) throw new Error('The history always holds one value.');
     return {value: oldest.value, ageMs: this.lagMs};
   }
 
--- a/packages/tls-listeners/src/key_pair.ts
+++ b/packages/tls-listeners/src/key_pair.ts
@@ -29,9 +29,9 @@
   } catch (thrown) {
     throw new TypedError(
       'bad-request',
-      `${paths.certPath} and ${paths.keyPath} are not a valid key pair`,
+      `${paths.certPath} and ${paths.keyPath} are no usable pair`,
       {
-        remedy: 'Provide a PEM certificate with its matching private key.',
+        remedy: 'Write a PEM certificate with its own private key.',
         cause: toError(thrown),
       },
     );
@@ -52,8 +52,8 @@
   try {
     return await readFile(path, 'utf8');
   } catch (thrown) {
-    throw new TypedError('bad-request', `${path} cannot be read`, {
-      remedy: 'Check the path and the permissions of the file.',
+    throw new TypedError('bad-request', `${path} can't be read`, {
+      remedy: 'Check the path and who may read it.',
       cause: toError(thrown),
     });
   }
