--- a/packages/audit-trail/src/audit_trail.test.ts
+++ b/packages/audit-trail/src/audit_trail.test.ts
@@ -24,9 +24,9 @@
         log,
         incarnation,
         isResponsible: () => isResponsible,
-        settleGraceMs: 60_000,
+        missingEntryGraceMs: 60_000,
         copyAfterMs: 6 * HOUR_MS,
-        keepMs: 30 * DAY_MS,
+        retentionMs: 30 * DAY_MS,
       },
       error => taskErrors.push(error),
     );
@@ -48,10 +48,10 @@
       body,
     };
     const folded = state.foldAppend(state.nextOffset, encodeBatch([record]));
-    trails.forEach(trail => trail.note(folded));
+    trails.forEach(trail => trail.recordChanges(folded));
   };
   const waitForAppends = (count: number) =>
-    waitUntil('the append', () => log.count(STREAM) === count);
+    waitUntil('the append', () => log.countRecords(STREAM) === count);
   return {
     log,
     clock,
@@ -200,7 +200,7 @@
   await waitForAppends(2);
   maintainer.post({type: 'copy'});
   await maintainer.stop();
-  assert.is(log.count(STREAM), 2);
+  assert.is(log.countRecords(STREAM), 2);
   log.trim(STREAM, 1);
   const lateTrail = createTrail('entry-3.c', false);
   assert.equal(listSequences(await lateTrail.find({limit: 10})), [2, 1]);
@@ -214,7 +214,7 @@
   clock.advance(31 * DAY_MS);
   maintainer.post({type: 'copy'});
   await maintainer.stop();
-  assert.is(log.count(STREAM), 1);
+  assert.is(log.countRecords(STREAM), 1);
 });
 
 trail('invalid segments in the stream are skipped', async () => {
--- a/packages/audit-trail/src/audit_trail.ts
+++ b/packages/audit-trail/src/audit_trail.ts
@@ -24,9 +24,9 @@
   /** Whether this node maintains the stream on behalf of all nodes. */
   isResponsible(): boolean;
   /** Delay before the responsible node adds a missing entry. */
-  settleGraceMs: number;
+  missingEntryGraceMs: number;
   copyAfterMs: number;
-  keepMs: number;
+  retentionMs: number;
 }
 
 /** One page of entries, newest first. */
@@ -68,7 +68,7 @@
   }
 
   /** Records folded changes; must be called in fold order. */
-  note(folded: readonly FoldedRecord[]): void {
+  recordChanges(folded: readonly FoldedRecord[]): void {
     const nowMs = this.options.clock.monotonicMs();
     const entries = this.recorder.record(folded);
     entries.forEach(entry => this.recent.add(entry, nowMs));
@@ -159,7 +159,7 @@
       this.nextUnscannedOffset = segment.offset + 1;
     }
     const oldestMs =
-      this.options.clock.monotonicMs() - this.options.settleGraceMs;
+      this.options.clock.monotonicMs() - this.options.missingEntryGraceMs;
     const missing = new Set(
       this.recent
         .listUnstored()
@@ -171,11 +171,11 @@
 
   private async copy(): Promise<void> {
     if (!this.options.isResponsible()) return;
-    const {clock, copyAfterMs, keepMs} = this.options;
+    const {clock, copyAfterMs, retentionMs} = this.options;
     await copyForward(this.stream, {
       nowMs: clock.wallMs(),
       copyAfterMs,
-      keepMs,
+      keepMs: retentionMs,
     });
   }
 }
--- a/packages/authenticate/src/authenticate.ts
+++ b/packages/authenticate/src/authenticate.ts
@@ -1,7 +1,7 @@
 /** Authenticates callers and operators by bearer token. */
 import {type AgreedState, type TokenRole} from '@mimosatack/agreed-state';
 import {TypedError} from '@mimosatack/errors';
-import {mayDo, requireAction} from './permissions.js';
+import {hasPermission, requireAction} from './permissions.js';
 import {hashToken, isSameHash} from './key_index.js';
 import {getTokenIndex} from './token_index.js';
 
@@ -54,7 +54,7 @@
   return {
     operatorName: `${team}/${tokenName}`,
     role,
-    team: mayDo(role, 'act-for-all-teams') ? null : team,
+    team: hasPermission(role, 'act-for-all-teams') ? null : team,
   };
 }
 
--- a/packages/authenticate/src/index.ts
+++ b/packages/authenticate/src/index.ts
@@ -9,7 +9,7 @@
   PERMISSIONS,
   type Permission,
   formatPermissionsAsMarkdown,
-  mayDo,
+  hasPermission,
   requireAction,
 } from './permissions.js';
 export {hashToken} from './key_index.js';
--- a/packages/authenticate/src/permissions.ts
+++ b/packages/authenticate/src/permissions.ts
@@ -56,14 +56,14 @@
 /** An action that requires a permission. */
 export type Action = keyof typeof PERMISSIONS;
 
-export function mayDo(role: TokenRole, action: Action): boolean {
+export function hasPermission(role: TokenRole, action: Action): boolean {
   const {roles}: Permission = PERMISSIONS[action];
   return roles.includes(role);
 }
 
 /** Throws `forbidden` unless the role permits the action. */
 export function requireAction(role: TokenRole, action: Action): void {
-  if (mayDo(role, action)) return;
+  if (hasPermission(role, action)) return;
   const {description, roles}: Permission = PERMISSIONS[action];
   throw new TypedError(
     'forbidden',
--- a/packages/bench-scheduling/src/compare_policies.ts
+++ b/packages/bench-scheduling/src/compare_policies.ts
@@ -12,7 +12,7 @@
   LONG_ANSWERS,
   SHORT_ANSWERS,
   type TrafficSpec,
-  makeTraffic,
+  generateTraffic,
 } from './traffic.js';
 
 /** One policy's result in one deployment. */
@@ -99,7 +99,7 @@
   return POLICIES.map(makePolicy => {
     const policy = makePolicy();
     const random = new SeededRandom(seed);
-    const arrivals = makeTraffic(traffic, deployment, random);
+    const arrivals = generateTraffic(traffic, deployment, random);
     return {
       deployment: deployment.name,
       policy: policy.name,
--- a/packages/bench-scheduling/src/engine_batch.test.ts
+++ b/packages/bench-scheduling/src/engine_batch.test.ts
@@ -1,7 +1,7 @@
 import {type ScheduledRequest} from '@mimosatack/schedule-models';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {type EndedRun, EngineBatch} from './engine_batch.js';
+import {type FinishedRun, EngineBatch} from './engine_batch.js';
 
 const test = suite('batching on a virtual engine');
 
@@ -29,7 +29,7 @@
   starts: ReadonlyArray<[atMs: number, request: ScheduledRequest]>,
 ) {
   const batch = new EngineBatch(SPEED);
-  const ended = new Map<string, EndedRun & {endedAtMs: number}>();
+  const ended = new Map<string, FinishedRun & {endedAtMs: number}>();
   for (let nowMs = 0; nowMs < 5_000; nowMs += 5) {
     batch
       .advance(nowMs)
--- a/packages/bench-scheduling/src/engine_batch.ts
+++ b/packages/bench-scheduling/src/engine_batch.ts
@@ -13,7 +13,7 @@
 }
 
 /** A finished run and its timing. */
-export interface EndedRun {
+export interface FinishedRun {
   request: ScheduledRequest;
   /** Time from the start of the run to the end of its prefill. */
   headMs: number;
@@ -60,7 +60,7 @@
   }
 
   /** Simulates up to `nowMs` and returns the runs that have finished. */
-  advance(nowMs: number): EndedRun[] {
+  advance(nowMs: number): FinishedRun[] {
     const fromMs = Math.min(
       nowMs,
       Math.max(this.advancedToMs, this.prefillUntilMs),
--- a/packages/bench-scheduling/src/index.ts
+++ b/packages/bench-scheduling/src/index.ts
@@ -10,5 +10,5 @@
   type Arrival,
   type KindName,
   type TrafficSpec,
-  makeTraffic,
+  generateTraffic,
 } from './traffic.js';
--- a/packages/bench-scheduling/src/play_requests.ts
+++ b/packages/bench-scheduling/src/play_requests.ts
@@ -9,7 +9,7 @@
   type SwapPolicy,
   findWorth,
 } from '@mimosatack/schedule-models';
-import {type EndedRun} from './engine_batch.js';
+import {type FinishedRun} from './engine_batch.js';
 import {type DeploymentSpec, listServices, nameModel} from './deployment.js';
 import {type Arrival} from './traffic.js';
 import {VirtualEngine} from './virtual_engine.js';
@@ -41,7 +41,7 @@
   faults: PlayFaults;
 }
 
-export type RequestEnd = 'onTime' | 'late' | 'refused';
+export type RequestOutcome = 'onTime' | 'late' | 'refused';
 
 /** Result of one simulation. */
 export interface PlayResult {
@@ -52,7 +52,7 @@
   /** Requests that were neither served nor refused. */
   forgotten: number;
   /** Final status of each request, by its id. */
-  ends: ReadonlyMap<string, RequestEnd>;
+  ends: ReadonlyMap<string, RequestOutcome>;
   /** Worth of the served requests, late ones at 20 percent, per worth asked. */
   worthShare: number;
   orders: number;
@@ -87,7 +87,7 @@
   private scheduler: ModelScheduler;
   private readonly engines: VirtualEngine[];
   private readonly requests = new Map<string, ScheduledRequest>();
-  private readonly ends = new Map<string, RequestEnd>();
+  private readonly ends = new Map<string, RequestOutcome>();
   /** Engine id by the id of the running request. */
   private readonly running = new Map<string, string>();
   private pendingActions: TimedAction[] = [];
@@ -233,7 +233,7 @@
 
   private makeResult(): PlayResult {
     const asked = [...this.requests.values()];
-    const listByEnd = (end: RequestEnd) =>
+    const listByEnd = (end: RequestOutcome) =>
       asked.filter(({askId}) => this.ends.get(askId) === end);
     const served = [...listByEnd('onTime'), ...listByEnd('late')];
     const servedWorth =
@@ -303,7 +303,11 @@
   });
 }
 
-function isOnTime({request, firstEventAtMs, longestGapMs}: EndedRun): boolean {
+function isOnTime({
+  request,
+  firstEventAtMs,
+  longestGapMs,
+}: FinishedRun): boolean {
   return (
     firstEventAtMs <= request.dueAtMs &&
     longestGapMs <= (request.gapMs ?? Infinity)
--- a/packages/bench-scheduling/src/scheduling.test.ts
+++ b/packages/bench-scheduling/src/scheduling.test.ts
@@ -15,7 +15,7 @@
   type PlayResult,
   playRequests,
 } from './play_requests.js';
-import {type TrafficSpec, makeTraffic} from './traffic.js';
+import {type TrafficSpec, generateTraffic} from './traffic.js';
 
 const test = suite('scheduling under load');
 
@@ -30,7 +30,7 @@
   const random = new SeededRandom(seed);
   return playRequests({
     ...{deployment, faults, random},
-    arrivals: makeTraffic(traffic, deployment, random),
+    arrivals: generateTraffic(traffic, deployment, random),
     policy: new BatchWorthPolicy(),
   });
 }
--- a/packages/bench-scheduling/src/traffic.ts
+++ b/packages/bench-scheduling/src/traffic.ts
@@ -79,7 +79,7 @@
 };
 
 /** Generates all arrivals, sorted by time. */
-export function makeTraffic(
+export function generateTraffic(
   spec: TrafficSpec,
   deployment: DeploymentSpec,
   random: RandomSource,
--- a/packages/bench-scheduling/src/virtual_engine.ts
+++ b/packages/bench-scheduling/src/virtual_engine.ts
@@ -10,7 +10,11 @@
   type ModelSpec,
 } from '@mimosatack/types';
 import {SERVICE_NAME} from './deployment.js';
-import {type EndedRun, EngineBatch, type EngineSpeed} from './engine_batch.js';
+import {
+  type FinishedRun,
+  EngineBatch,
+  type EngineSpeed,
+} from './engine_batch.js';
 
 /** Response of an engine to an order; `holds`: already in that state. */
 export type OrderAnswer = 'accepted' | 'holds' | 'conflict' | 'refused';
@@ -119,7 +123,7 @@
   }
 
   /** Simulates up to `nowMs` and returns the runs that have finished. */
-  advance(nowMs: number): EndedRun[] {
+  advance(nowMs: number): FinishedRun[] {
     const ended = this.batch.advance(nowMs);
     ended.forEach(({request}) => {
       const held = this.held.get(request.model);
--- a/packages/caller-edge/src/caller_edge.ts
+++ b/packages/caller-edge/src/caller_edge.ts
@@ -26,7 +26,7 @@
   gate: DrainGate;
   dialect: EdgeDialect;
   /** Returns an error to reject a request before its body is read, or null. */
-  screen: (head: RequestHead) => TypedError | null;
+  checkHead: (head: RequestHead) => TypedError | null;
   serve: (request: CallerRequest, sink: AnswerSink) => Promise<void>;
   onFault: (error: TypedError) => void;
 }
@@ -137,7 +137,7 @@
     if (this.options.gate.state === 'refusing') {
       return sink.refuse(makeShutdownError());
     }
-    const rejection = this.options.screen(parsed);
+    const rejection = this.options.checkHead(parsed);
     if (rejection) return sink.refuse(rejection);
     const body = await this.readLimitedBody(incoming);
     if (body instanceof TypedError) return sink.refuse(body);
--- a/packages/cli/src/testing_fixture.ts
+++ b/packages/cli/src/testing_fixture.ts
@@ -77,13 +77,13 @@
       log,
       incarnation,
       isResponsible: () => true,
-      settleGraceMs: 60_000,
+      missingEntryGraceMs: 60_000,
       copyAfterMs: 3_600_000,
-      keepMs: 3_600_000,
+      retentionMs: 3_600_000,
     },
     () => undefined,
   );
-  follower.onFold(folded => audit.note(folded));
+  follower.onFold(folded => audit.recordChanges(folded));
   const nodes: NodeView[] = [];
   const server = buildOperatorServer({
     clock,
@@ -98,7 +98,7 @@
     maxBodyBytes: 65_536,
     state: () => follower.state,
     listNodes: () => nodes,
-    askNextOffset: () => Promise.resolve(null),
+    fetchNextOffset: () => Promise.resolve(null),
     makeRequestId: () => 'request-1',
     isStopping: () => false,
   });
--- a/packages/demo/src/caller_steps.ts
+++ b/packages/demo/src/caller_steps.ts
@@ -4,7 +4,7 @@
 import {request} from 'undici';
 
 /** A caller endpoint of a node, as listed by `/v1/entries`. */
-export interface Entry {
+export interface CallerEndpoint {
   nodeName: string;
   baseUrl: string;
   keyPrefix: string;
@@ -18,9 +18,9 @@
 }
 
 /** Lists the caller endpoints that the given node knows. */
-export async function listEntries(baseUrl: string): Promise<Entry[]> {
+export async function listEntries(baseUrl: string): Promise<CallerEndpoint[]> {
   const response = await request(`${baseUrl}/v1/entries`);
-  const answer = (await response.body.json()) as {entries: Entry[]};
+  const answer = (await response.body.json()) as {entries: CallerEndpoint[]};
   return answer.entries;
 }
 
--- a/packages/demo/src/index.ts
+++ b/packages/demo/src/index.ts
@@ -1,4 +1,4 @@
-export {type Entry, listEntries, waitFor} from './caller_steps.js';
+export {type CallerEndpoint, listEntries, waitFor} from './caller_steps.js';
 export {
   type Cluster,
   type NodeSpec,
--- a/packages/errors/src/errors.test.ts
+++ b/packages/errors/src/errors.test.ts
@@ -4,7 +4,7 @@
 import {
   ERROR_KINDS,
   TypedError,
-  describeKind,
+  findErrorKindInfo,
   formatErrorBody,
   formatKindsAsMarkdown,
   toTypedError,
@@ -14,7 +14,7 @@
 
 errors('every kind names a remedy and an HTTP error status', () => {
   ERROR_KINDS.forEach(kind => {
-    const {remedy, httpStatus} = describeKind(kind);
+    const {remedy, httpStatus} = findErrorKindInfo(kind);
     assert.match(remedy, /\.$/, kind);
     assert.ok(httpStatus >= 400 && httpStatus < 600, kind);
   });
@@ -23,7 +23,7 @@
 errors("the kind's remedy is used unless the error has its own", () => {
   const general = new TypedError('conflict', 'Version 3 is gone.');
   const own = new TypedError('conflict', 'Gone.', {remedy: 'Use version 4.'});
-  assert.is(general.remedy, describeKind('conflict').remedy);
+  assert.is(general.remedy, findErrorKindInfo('conflict').remedy);
   assert.is(own.remedy, 'Use version 4.');
   assert.is(general.name, 'conflict');
 });
@@ -49,7 +49,7 @@
     error: {
       kind: 'overloaded',
       message: 'Full.',
-      remedy: describeKind('overloaded').remedy,
+      remedy: findErrorKindInfo('overloaded').remedy,
       run: 'not-run',
       retryAfterMs: 50,
       info: {pool: 'sage-llm'},
--- a/packages/errors/src/index.ts
+++ b/packages/errors/src/index.ts
@@ -1,9 +1,9 @@
 export {
   ERROR_KINDS,
   type ErrorKind,
-  type KindFacts,
+  type ErrorKindInfo,
   type RunOutcome,
-  describeKind,
+  findErrorKindInfo,
 } from './kinds.js';
 export {formatKindsAsMarkdown} from './kinds_markdown.js';
 export {
--- a/packages/errors/src/kinds.ts
+++ b/packages/errors/src/kinds.ts
@@ -8,7 +8,7 @@
 export type RunOutcome = 'not-run' | 'unknown' | 'ran';
 
 /** Properties that all errors of one kind share. */
-export interface KindFacts {
+export interface ErrorKindInfo {
   httpStatus: number;
   /** Whether the unchanged request may succeed later. */
   retryable: boolean;
@@ -80,7 +80,7 @@
   'peer-unreachable': fact(503, true, 'Check that node and the network.'),
   'peer-message-invalid': fact(400, false, 'Run one release on all nodes.'),
   internal: fact(500, true, 'Report it with the log lines around it.'),
-} as const satisfies Record<string, KindFacts>;
+} as const satisfies Record<string, ErrorKindInfo>;
 
 /** A kind of error; the field `kind` of error responses. */
 export type ErrorKind = keyof typeof KINDS;
@@ -88,7 +88,7 @@
 /** All kinds, in catalogue order. */
 export const ERROR_KINDS = Object.keys(KINDS) as readonly ErrorKind[];
 
-export function describeKind(kind: ErrorKind): KindFacts {
+export function findErrorKindInfo(kind: ErrorKind): ErrorKindInfo {
   return KINDS[kind];
 }
 
@@ -96,6 +96,6 @@
   httpStatus: number,
   retryable: boolean,
   remedy: string,
-): KindFacts {
+): ErrorKindInfo {
   return {httpStatus, retryable, remedy};
 }
--- a/packages/errors/src/kinds_markdown.ts
+++ b/packages/errors/src/kinds_markdown.ts
@@ -1,5 +1,5 @@
 /** Renders the catalogue of error kinds as a page for operators. */
-import {ERROR_KINDS, type ErrorKind, describeKind} from './kinds.js';
+import {ERROR_KINDS, type ErrorKind, findErrorKindInfo} from './kinds.js';
 
 const INTRODUCTION = `# What does a refusal mean, and what do I do about it?
 
@@ -26,7 +26,7 @@
 }
 
 function formatKind(kind: ErrorKind): string {
-  const {httpStatus, retryable, remedy} = describeKind(kind);
+  const {httpStatus, retryable, remedy} = findErrorKindInfo(kind);
   const retryHint = retryable
     ? 'the same request may succeed later'
     : 'the same request fails again';
--- a/packages/errors/src/typed_error.ts
+++ b/packages/errors/src/typed_error.ts
@@ -1,5 +1,5 @@
 import VError from 'verror';
-import {type ErrorKind, type RunOutcome, describeKind} from './kinds.js';
+import {type ErrorKind, type RunOutcome, findErrorKindInfo} from './kinds.js';
 
 /** Optional details of an error beyond its kind and summary. */
 export interface ErrorDetails {
@@ -42,7 +42,7 @@
       '%s',
       summary,
     );
-    this.remedy = details.remedy ?? describeKind(kind).remedy;
+    this.remedy = details.remedy ?? findErrorKindInfo(kind).remedy;
     this.run = details.run;
     this.retryAfterMs = details.retryAfterMs;
   }
--- a/packages/fakes/src/index.ts
+++ b/packages/fakes/src/index.ts
@@ -4,5 +4,5 @@
   makeEngineService,
 } from './engine_fixtures.js';
 export {MemoryLogService} from './memory_log_service.js';
-export {settle} from './settle.js';
+export {flushPendingCallbacks} from './settle.js';
 export {waitUntil} from './wait_until.js';
--- a/packages/fakes/src/memory_log_service.ts
+++ b/packages/fakes/src/memory_log_service.ts
@@ -42,7 +42,7 @@
   }
 
   /** Counts all records ever appended to a stream, including trimmed ones. */
-  count(stream: string): number {
+  countRecords(stream: string): number {
     return this.getOrCreateStream(stream).records.length;
   }
 
--- a/packages/fakes/src/settle.ts
+++ b/packages/fakes/src/settle.ts
@@ -1,5 +1,5 @@
 /** Runs pending callbacks for several event loop turns; timers may not fire. */
-export async function settle(): Promise<void> {
+export async function flushPendingCallbacks(): Promise<void> {
   for (let turn = 0; turn < EVENT_LOOP_TURNS; turn += 1) {
     await new Promise(resolve => setImmediate(resolve));
   }
--- a/packages/follow-log/src/log_follower.test.ts
+++ b/packages/follow-log/src/log_follower.test.ts
@@ -95,7 +95,7 @@
     await peer.submit(makeTeam('a'), {timeoutMs: LONG_MS});
     await follower.start(makePeerSources(peer));
     await peer.submit(makeTeam('b'), {timeoutMs: LONG_MS});
-    follower.notePeerOffset(peer.state.nextOffset);
+    follower.handlePeerOffset(peer.state.nextOffset);
     await waitUntil(() => follower.state.nextOffset === 2);
     assert.is(follower.state.digest(), peer.state.digest());
   });
--- a/packages/follow-log/src/log_follower.ts
+++ b/packages/follow-log/src/log_follower.ts
@@ -128,7 +128,7 @@
    * Handles the offset reported by a peer. Guards against a hanging read of the
    * log: when a peer is ahead, its appends are fetched right away.
    */
-  notePeerOffset(nextOffset: LogOffset): void {
+  handlePeerOffset(nextOffset: LogOffset): void {
     if (nextOffset <= this.state.nextOffset || this.isPullingFromPeers) return;
     this.isPullingFromPeers = true;
     void this.pullFromPeers().finally(() => {
--- a/packages/hold-duty/src/duty_fixture.ts
+++ b/packages/hold-duty/src/duty_fixture.ts
@@ -1,6 +1,6 @@
 /** Test nodes that share one duty, one manual clock and one in-memory topic. */
 import {ManualClock} from '@mimosatack/clock';
-import {settle} from '@mimosatack/fakes';
+import {flushPendingCallbacks} from '@mimosatack/fakes';
 import {
   type AppendCondition,
   type KeyedTopic,
@@ -129,7 +129,7 @@
     for (let passed = 0; passed < ms; passed += 50) {
       clock.advance(50);
       sendGrants();
-      await settle();
+      await flushPendingCallbacks();
     }
   };
   const mayOrder = ({task, hasCrashed}: TestNode) =>
--- a/packages/journal-report/src/draw_rounds.ts
+++ b/packages/journal-report/src/draw_rounds.ts
@@ -1,7 +1,7 @@
 /** Draws one metric of the standard days over all score runs as SVG. */
 import {scaleLinear} from 'd3-scale';
 import {line} from 'd3-shape';
-import {type DayFigures, type Round} from './read_rounds.js';
+import {type DayMetrics, type Round} from './read_rounds.js';
 
 const WIDTH = 760;
 const HEIGHT = 300;
@@ -17,7 +17,7 @@
 ];
 
 /** Metrics that can be drawn. */
-export type FigureName = Exclude<keyof DayFigures, 'name'>;
+export type FigureName = Exclude<keyof DayMetrics, 'name'>;
 
 /** Draws one line per standard day; a score run without the day is a gap. */
 export function drawRounds(
--- a/packages/journal-report/src/index.ts
+++ b/packages/journal-report/src/index.ts
@@ -1,7 +1,7 @@
 export {drawRounds} from './draw_rounds.js';
 export {formatRounds} from './format_rounds.js';
 export {
-  type DayFigures,
+  type DayMetrics,
   type JournalFile,
   type Round,
   readRounds,
--- a/packages/journal-report/src/read_rounds.ts
+++ b/packages/journal-report/src/read_rounds.ts
@@ -7,7 +7,7 @@
 }
 
 /** Metrics of one standard day, as shares of the maximum worth. */
-export interface DayFigures {
+export interface DayMetrics {
   name: string;
   /** Worth delivered to users, less `prices`. */
   worth: number;
@@ -21,7 +21,7 @@
   site: string;
   /** Start time in ISO 8601. */
   startedAt: string;
-  days: DayFigures[];
+  days: DayMetrics[];
 }
 
 export interface ReadRounds {
@@ -76,7 +76,7 @@
   G: worth,
   served,
   parts,
-}: z.infer<typeof daySchema>): DayFigures[] {
+}: z.infer<typeof daySchema>): DayMetrics[] {
   if (worth === null) return [];
   const gross = parts.reduce(
     (sum, [, weight, share]) => sum + weight * share,
--- a/packages/keyed-store/src/keyed_follower.test.ts
+++ b/packages/keyed-store/src/keyed_follower.test.ts
@@ -1,5 +1,5 @@
 import {ManualClock, sleep} from '@mimosatack/clock';
-import {settle} from '@mimosatack/fakes';
+import {flushPendingCallbacks} from '@mimosatack/fakes';
 import {SeededRandom} from '@mimosatack/random';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
@@ -34,7 +34,7 @@
   const pass = async (ms: number) => {
     for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += 50) {
       clock.advance(50);
-      await settle();
+      await flushPendingCallbacks();
     }
   };
   return {clock, topic, table, follower, changesSeen, connectionEvents, pass};
--- a/packages/logger/src/bunyan_event_logger.ts
+++ b/packages/logger/src/bunyan_event_logger.ts
@@ -1,7 +1,7 @@
 import {type Writable} from 'node:stream';
 import {TypedError} from '@mimosatack/errors';
 import bunyan from 'bunyan';
-import {type EventName, describeEvent} from './catalogue.js';
+import {type EventName, findEventDefinition} from './catalogue.js';
 import {type LogLevel} from './definition.js';
 import {type EventFields, type EventLogger} from './event_logger.js';
 
@@ -41,7 +41,7 @@
   }
 
   log<N extends EventName>(name: N, fields: EventFields<N>): void {
-    const {number, level, message} = describeEvent(name);
+    const {number, level, message} = findEventDefinition(name);
     this.output[level](
       {eventNumber: number, eventName: name, ...fields},
       // Bunyan would interpret a % in the message as a format placeholder.
--- a/packages/logger/src/catalogue.ts
+++ b/packages/logger/src/catalogue.ts
@@ -48,10 +48,10 @@
 /** Lists all events, sorted by number. */
 export function listEvents(): Array<EventDefinition & {name: EventName}> {
   return (Object.keys(EVENT_CATALOGUE) as EventName[])
-    .map(name => ({name, ...describeEvent(name)}))
+    .map(name => ({name, ...findEventDefinition(name)}))
     .sort((a, b) => a.number - b.number);
 }
 
-export function describeEvent(name: EventName): EventDefinition {
+export function findEventDefinition(name: EventName): EventDefinition {
   return EVENT_CATALOGUE[name];
 }
--- a/packages/logger/src/index.ts
+++ b/packages/logger/src/index.ts
@@ -9,7 +9,7 @@
   EVENT_CATALOGUE,
   type EventArea,
   type EventName,
-  describeEvent,
+  findEventDefinition,
   listEvents,
 } from './catalogue.js';
 export {formatCatalogueAsMarkdown} from './catalogue_markdown.js';
@@ -20,8 +20,8 @@
   type FieldValue,
 } from './event_logger.js';
 export {
-  LimitedEventLogger,
-  type LimitedEventLoggerOptions,
+  RateLimitedEventLogger,
+  type RateLimitedEventLoggerOptions,
 } from './limited_event_logger.js';
 export {type LoggedEvent, MemoryEventLogger} from './memory_event_logger.js';
 export {
--- a/packages/logger/src/limited_event_logger.ts
+++ b/packages/logger/src/limited_event_logger.ts
@@ -2,7 +2,7 @@
 import {type EventName} from './catalogue.js';
 import {type EventFields, type EventLogger} from './event_logger.js';
 
-export interface LimitedEventLoggerOptions {
+export interface RateLimitedEventLoggerOptions {
   clock: Clock;
   /** Events that unauthenticated clients can trigger; others are unlimited. */
   limited: readonly EventName[];
@@ -21,12 +21,12 @@
  * Guards against a log flooded by one event, such as a client that retries an
  * invalid token: limits the rate of each event and logs the suppressed count.
  */
-export class LimitedEventLogger implements EventLogger {
+export class RateLimitedEventLogger implements EventLogger {
   private readonly windows = new Map<EventName, LogWindow>();
 
   constructor(
     private readonly inner: EventLogger,
-    private readonly options: LimitedEventLoggerOptions,
+    private readonly options: RateLimitedEventLoggerOptions,
   ) {}
 
   log<N extends EventName>(name: N, fields: EventFields<N>): void {
--- a/packages/logger/src/logger.test.ts
+++ b/packages/logger/src/logger.test.ts
@@ -7,7 +7,7 @@
 import {
   BunyanEventLogger,
   EVENT_AREAS,
-  LimitedEventLogger,
+  RateLimitedEventLogger,
   MemoryEventLogger,
   formatCatalogueAsMarkdown,
   listEvents,
@@ -119,7 +119,7 @@
 loggers('repeats of a limited event are suppressed and counted', () => {
   const clock = new ManualClock();
   const inner = new MemoryEventLogger();
-  const logger = new LimitedEventLogger(inner, {
+  const logger = new RateLimitedEventLogger(inner, {
     clock,
     limited: ['operator-unauthenticated'],
     maxPerInterval: 2,
--- a/packages/measure-events/src/index.ts
+++ b/packages/measure-events/src/index.ts
@@ -1,1 +1,1 @@
-export {MeasuringEventLogger} from './measuring_event_logger.js';
+export {MetricsEventLogger} from './measuring_event_logger.js';
--- a/packages/measure-events/src/measuring_event_logger.test.ts
+++ b/packages/measure-events/src/measuring_event_logger.test.ts
@@ -2,14 +2,14 @@
 import {MemoryMetrics} from '@mimosatack/metrics';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
-import {MeasuringEventLogger} from './measuring_event_logger.js';
+import {MetricsEventLogger} from './measuring_event_logger.js';
 
 const test = suite('metrics from log events');
 
 test('an event is logged unchanged and updates its metrics', () => {
   const inner = new MemoryEventLogger();
   const metrics = new MemoryMetrics();
-  new MeasuringEventLogger(inner, metrics).log('request-finished', {
+  new MetricsEventLogger(inner, metrics).log('request-finished', {
     ...{requestId: 'r1', result: 'refused', kind: 'not-warm', reason: 'full'},
     ...{run: 'not-run', retryAfterMs: 500, attempts: 0, tookMs: 12},
     lastEventId: null,
@@ -29,7 +29,7 @@
 test('an event without a metric is only logged', () => {
   const inner = new MemoryEventLogger();
   const metrics = new MemoryMetrics();
-  new MeasuringEventLogger(inner, metrics).log('duty-lost', {fencingToken: 4});
+  new MetricsEventLogger(inner, metrics).log('duty-lost', {fencingToken: 4});
   assert.equal(metrics.samples, []);
   assert.is(inner.events.length, 1);
 });
--- a/packages/measure-events/src/measuring_event_logger.ts
+++ b/packages/measure-events/src/measuring_event_logger.ts
@@ -50,7 +50,7 @@
 ]);
 
 /** Updates metrics also for events that the log level suppresses. */
-export class MeasuringEventLogger implements EventLogger {
+export class MetricsEventLogger implements EventLogger {
   constructor(
     private readonly inner: EventLogger,
     private readonly metrics: Metrics,
--- a/packages/metrics/src/index.ts
+++ b/packages/metrics/src/index.ts
@@ -11,5 +11,5 @@
 export {MemoryMetrics, type MetricSample} from './memory_metrics.js';
 export {type Metrics} from './metrics.js';
 export {PrometheusMetrics} from './prometheus_metrics.js';
-export {NoMetrics} from './no_metrics.js';
+export {NoopMetrics} from './no_metrics.js';
 export {StatsdMetrics, type StatsdMetricsOptions} from './statsd_metrics.js';
--- a/packages/metrics/src/no_metrics.ts
+++ b/packages/metrics/src/no_metrics.ts
@@ -1,7 +1,7 @@
 import {type Metrics} from './metrics.js';
 
 /** Discards all values; used by nodes without a metrics server. */
-export class NoMetrics implements Metrics {
+export class NoopMetrics implements Metrics {
   count(): void {}
   gauge(): void {}
   timing(): void {}
--- a/packages/node-links/src/record_catch_up.test.ts
+++ b/packages/node-links/src/record_catch_up.test.ts
@@ -1,5 +1,5 @@
 import {ManualClock} from '@mimosatack/clock';
-import {settle} from '@mimosatack/fakes';
+import {flushPendingCallbacks} from '@mimosatack/fakes';
 import {suite} from 'uvu';
 import * as assert from 'uvu/assert';
 import {type NodeMessage, type RecordsMessage} from './messages.js';
@@ -48,7 +48,7 @@
   });
   assert.is(requests.length, 1);
   answer()(makeRecords());
-  await settle();
+  await flushPendingCallbacks();
   assert.is(received.length, 1);
   compare(4);
   assert.is(requests.length, 2);
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -15,7 +15,7 @@
   makeRequestRouting,
 } from '@mimosatack/serve-callers';
 import {type DaemonSettings} from '@mimosatack/settings';
-import {type Periodic, startPeriodic} from '@mimosatack/tasks';
+import {type PeriodicTimer, startPeriodic} from '@mimosatack/tasks';
 import {TicketSigner} from '@mimosatack/unrepeatable';
 import {type FastifyInstance} from 'fastify';
 import {CheckpointTask} from './checkpoint_task.js';
@@ -82,7 +82,7 @@
   private readonly answering: RequestRouting;
   private readonly callerServer: FastifyInstance;
   private readonly operations: Operations;
-  private readonly periodics: Periodic[] = [];
+  private readonly periodics: PeriodicTimer[] = [];
   private readonly mint: TicketSigner;
   private readonly keys: KeyTasks;
   private readonly deadProcesses: DeadProcesses;
--- a/packages/node/src/operations.ts
+++ b/packages/node/src/operations.ts
@@ -7,13 +7,13 @@
 import {type Clock} from '@mimosatack/clock';
 import {type BackendReport, type EngineBoard} from '@mimosatack/engine-board';
 import {type LogFollower} from '@mimosatack/follow-log';
-import {type EventLogger, LimitedEventLogger} from '@mimosatack/logger';
-import {type Metrics, NoMetrics, StatsdMetrics} from '@mimosatack/metrics';
+import {type EventLogger, RateLimitedEventLogger} from '@mimosatack/logger';
+import {type Metrics, NoopMetrics, StatsdMetrics} from '@mimosatack/metrics';
 import {type LogService} from '@mimosatack/platform';
 import {buildOperatorServer} from '@mimosatack/serve-operators';
 import {type DaemonSettings} from '@mimosatack/settings';
 import {
-  type Periodic,
+  type PeriodicTimer,
   type TaskErrorHandler,
   startPeriodic,
 } from '@mimosatack/tasks';
@@ -61,7 +61,7 @@
   private readonly observers: readonly HttpObserver[];
   private readonly reporter: MetricsReporter;
   private readonly replicas: ReplicaObserver;
-  private readonly periodics: Periodic[] = [];
+  private readonly periodics: PeriodicTimer[] = [];
 
   constructor(private readonly options: OperationsOptions) {
     const {settings, clock, follower} = options;
@@ -146,7 +146,7 @@
     const {follower} = this.options;
     follower.onFold(folded => {
       if (folded.length === 0) this.audit.reset(follower.state);
-      this.audit.note(folded);
+      this.audit.recordChanges(folded);
       this.reporter.noteFolded(folded);
     });
   }
@@ -170,7 +170,7 @@
   private makeMetrics(): Metrics {
     const {statsdHost, statsdPort, nodeName, region, failureDomain} =
       this.options.settings;
-    if (statsdHost === undefined) return new NoMetrics();
+    if (statsdHost === undefined) return new NoopMetrics();
     return new StatsdMetrics({
       host: statsdHost,
       port: statsdPort,
@@ -187,9 +187,9 @@
         log,
         incarnation,
         isResponsible: () => this.options.isResponsible('audit-trail'),
-        settleGraceMs: AUDIT_SETTLE_GRACE_MS,
+        missingEntryGraceMs: AUDIT_SETTLE_GRACE_MS,
         copyAfterMs: settings.auditCopyAfterMinutes * MINUTE_MS,
-        keepMs: settings.auditKeepDays * DAY_MS,
+        retentionMs: settings.auditKeepDays * DAY_MS,
       },
       this.options.onFault,
     );
@@ -225,7 +225,7 @@
       serverFactory: toFactory(this.operatorTls),
       state: () => follower.state,
       listNodes: () => this.listNodes(),
-      askNextOffset: nodeName => peers.askNextOffset(nodeName),
+      fetchNextOffset: nodeName => peers.askNextOffset(nodeName),
       makeRequestId: () => randomUUID(),
       isStopping: () => this.options.isStopping(),
     });
@@ -254,7 +254,7 @@
  * cause.
  */
 function makeLimitedLogger({logger, clock}: OperationsOptions): EventLogger {
-  return new LimitedEventLogger(logger, {
+  return new RateLimitedEventLogger(logger, {
     clock,
     limited: [
       'operator-unauthenticated',
--- a/packages/node/src/peer_task.ts
+++ b/packages/node/src/peer_task.ts
@@ -21,7 +21,7 @@
 import {type LogRecord} from '@mimosatack/platform';
 import {type RandomSource, pickOne} from '@mimosatack/random';
 import {type ReportMessage} from '@mimosatack/share-reports';
-import {type Periodic, startPeriodic} from '@mimosatack/tasks';
+import {type PeriodicTimer, startPeriodic} from '@mimosatack/tasks';
 import {
   type BackendServerId,
   type EngineState,
@@ -72,7 +72,7 @@
   private readonly progress = new PeerProgress();
   private membership: Membership | null = null;
   private ownAddress = '';
-  private membershipTicks: Periodic | null = null;
+  private membershipTicks: PeriodicTimer | null = null;
 
   constructor(private readonly options: PeerTaskOptions) {
     this.transport = new PeerTransport<PeerMessage>({
@@ -328,7 +328,7 @@
 
   private noteProgress(address: string, progress: Progress): void {
     this.progress.note(address, progress);
-    this.options.follower.notePeerOffset(progress.nextOffset);
+    this.options.follower.handlePeerOffset(progress.nextOffset);
   }
 
   private receive(
--- a/packages/node/src/planner_task.test.ts
+++ b/packages/node/src/planner_task.test.ts
@@ -171,10 +171,10 @@
   await waitUntil('the log', () => !node.follower.status.isLogReachable);
   node.task.post({type: 'demand', model: 'm2'});
   Array.from({length: 20}, () => node.task.post({type: 'tick'}));
-  const appends = log.count('decisions');
+  const appends = log.countRecords('decisions');
   log.setDown(false);
   await tickUntil(node, () => node.listSlots().length > 0);
-  assert.is(log.count('decisions'), appends + 1);
+  assert.is(log.countRecords('decisions'), appends + 1);
   assert.is(node.listSlots()[0]?.model, 'm2');
   await stop();
 });
--- a/packages/node/src/steward_task.ts
+++ b/packages/node/src/steward_task.ts
@@ -17,7 +17,7 @@
 import {type EngineControl} from '@mimosatack/platform';
 import {type BodyOf, type RecordBody} from '@mimosatack/records';
 import {type StewardTerm} from '@mimosatack/share-reports';
-import {decideRole, isFree} from '@mimosatack/steward-claims';
+import {decideRole, isClaimable} from '@mimosatack/steward-claims';
 import {
   type DrainLimits,
   type ExpectedLoadTimes,
@@ -177,8 +177,8 @@
       claim,
       fencing: server.fencing,
       rank: this.options.findOwnRank(id),
-      freeForMs:
-        this.measureFreeMs(id, isFree(claim, this.options)) -
+      claimableForMs:
+        this.measureFreeMs(id, isClaimable(claim, this.options)) -
         this.findClaimDelayMs(id, claim),
       rankDelayMs: RANK_DELAY_MS,
       isLogReachable: this.options.follower.status.isLogReachable,
--- a/packages/run-experiments/src/play_scenario.ts
+++ b/packages/run-experiments/src/play_scenario.ts
@@ -3,7 +3,7 @@
   type Arrival,
   type KindName,
   type PlayResult,
-  makeTraffic,
+  generateTraffic,
   playRequests,
 } from '@mimosatack/bench-scheduling';
 import {SeededRandom} from '@mimosatack/random';
@@ -38,7 +38,7 @@
 ): Outcome {
   const {deployment, traffic, faults} = scenario;
   const random = new SeededRandom(seed);
-  const arrivals = makeTraffic(traffic, deployment, random);
+  const arrivals = generateTraffic(traffic, deployment, random);
   const result = playRequests({deployment, arrivals, policy, random, faults});
   const kinds = {
     chat: countKind('chat', arrivals, result),
--- a/packages/schedule-service/src/scheduled_chooser.test.ts
+++ b/packages/schedule-service/src/scheduled_chooser.test.ts
@@ -1,5 +1,9 @@
 import {ManualClock} from '@mimosatack/clock';
-import {ENGINE_SERVICE, makeEngineService, settle} from '@mimosatack/fakes';
+import {
+  ENGINE_SERVICE,
+  makeEngineService,
+  flushPendingCallbacks,
+} from '@mimosatack/fakes';
 import {
   type ServerAsk,
   type ServerChoice,
@@ -185,7 +189,7 @@
   const {chooser, state} = startChooser(100);
   state.hasHolder = false;
   expectChosen(await chooser.choose(makeAsk(true)));
-  await settle();
+  await flushPendingCallbacks();
   assert.is(state.charged, 30);
 });
 
--- a/packages/schedule-service/src/scheduling_service.test.ts
+++ b/packages/schedule-service/src/scheduling_service.test.ts
@@ -4,7 +4,7 @@
   ENGINE_SERVICE,
   makeEngineEntry,
   makeEngineService,
-  settle,
+  flushPendingCallbacks,
 } from '@mimosatack/fakes';
 import {MemoryEventLogger} from '@mimosatack/logger';
 import {BatchWorthPolicy, type EngineReport} from '@mimosatack/schedule-models';
@@ -95,7 +95,7 @@
   const orders = new FakeOrders();
   orders.answer = {outcome: 'unknown', cause: 'no answer within 400 ms'};
   const {logger, host} = startHost(orders);
-  await settle();
+  await flushPendingCallbacks();
   const [line] = logger.fieldsOf('engine-ordered');
   assert.is(line?.['outcome'], 'unknown');
   assert.is(line?.['cause'], 'no answer within 400 ms');
@@ -110,10 +110,10 @@
   const passTime = async () => {
     for (let step = 0; step < 10; step += 1) {
       clock.advance(100);
-      await settle();
+      await flushPendingCallbacks();
     }
   };
-  await settle();
+  await flushPendingCallbacks();
   await passTime();
   assert.is(logger.fieldsOf('engine-silent').length, 1);
   orders.report = REPORT;
@@ -127,7 +127,7 @@
 // whose entry expired and came back during the first load.
 test('the last order is kept after its engine is removed', async () => {
   const {clock, host} = startHost(new FakeOrders());
-  await settle();
+  await flushPendingCallbacks();
   clock.advance(1_000);
   host.removeServer('e1');
   const [entry] = host.listLastOrders();
--- a/packages/serve-callers/src/error_replies.ts
+++ b/packages/serve-callers/src/error_replies.ts
@@ -1,7 +1,7 @@
 /** Sends errors to callers as typed JSON. */
 import {
   TypedError,
-  describeKind,
+  findErrorKindInfo,
   formatErrorBody,
   toTypedError,
 } from '@mimosatack/errors';
@@ -18,7 +18,7 @@
       .header('retry-after-ms', Math.ceil(error.retryAfterMs));
   }
   void reply
-    .code(describeKind(error.kind).httpStatus)
+    .code(findErrorKindInfo(error.kind).httpStatus)
     .send(formatErrorBody(error));
 }
 
--- a/packages/serve-operators/src/in_force.ts
+++ b/packages/serve-operators/src/in_force.ts
@@ -118,7 +118,7 @@
           const nextOffset =
             nodeName === context.nodeName
               ? context.state().nextOffset
-              : await context.askNextOffset(nodeName);
+              : await context.fetchNextOffset(nodeName);
           if (nextOffset !== null) nextOffsets.set(nodeName, nextOffset);
         }),
     );
--- a/packages/serve-operators/src/operator_context.ts
+++ b/packages/serve-operators/src/operator_context.ts
@@ -39,7 +39,7 @@
   state(): AgreedState;
   listNodes(): NodeView[];
   /** Fetches the next offset of a node; null when it does not respond. */
-  askNextOffset(nodeName: string): Promise<LogOffset | null>;
+  fetchNextOffset(nodeName: string): Promise<LogOffset | null>;
   makeRequestId(): string;
   isStopping(): boolean;
 }
--- a/packages/serve-operators/src/operator_server.ts
+++ b/packages/serve-operators/src/operator_server.ts
@@ -1,7 +1,7 @@
 /** The HTTP server for operators. */
 import {
   TypedError,
-  describeKind,
+  findErrorKindInfo,
   formatErrorBody,
   toTypedError,
 } from '@mimosatack/errors';
@@ -88,7 +88,7 @@
   }
   void reply
     .header(REQUEST_ID_HEADER, incoming.id)
-    .code(describeKind(error.kind).httpStatus)
+    .code(findErrorKindInfo(error.kind).httpStatus)
     .send(formatErrorBody(hideInternalError(error)));
 }
 
--- a/packages/serve-operators/src/testing_fixture.ts
+++ b/packages/serve-operators/src/testing_fixture.ts
@@ -104,13 +104,13 @@
       log,
       incarnation: 'entry-1.a',
       isResponsible: () => true,
-      settleGraceMs: 60_000,
+      missingEntryGraceMs: 60_000,
       copyAfterMs: 3_600_000,
-      keepMs: 3_600_000,
+      retentionMs: 3_600_000,
     },
     () => undefined,
   );
-  follower.onFold(folded => audit.note(folded));
+  follower.onFold(folded => audit.recordChanges(folded));
   const server = buildOperatorServer({
     clock,
     logger,
@@ -124,7 +124,7 @@
     maxBodyBytes: MAX_BODY_BYTES,
     state: () => follower.state,
     listNodes: () => nodes,
-    askNextOffset: nodeName =>
+    fetchNextOffset: nodeName =>
       Promise.resolve(nextOffsets.get(nodeName) ?? null),
     makeRequestId: () => 'made-up-id',
     isStopping: () => false,
--- a/packages/serve-requests/src/final_error.ts
+++ b/packages/serve-requests/src/final_error.ts
@@ -1,5 +1,5 @@
 /** Final errors of requests that may or may not have run. */
-import {TypedError, describeKind} from '@mimosatack/errors';
+import {TypedError, findErrorKindInfo} from '@mimosatack/errors';
 
 const RETRY_AFTER_MS = 1_000;
 
@@ -12,7 +12,7 @@
   if (mayHaveRun) {
     return new TypedError('backend-failed', error.summary, {run: 'unknown'});
   }
-  const isRetryable = describeKind(error.kind).retryable;
+  const isRetryable = findErrorKindInfo(error.kind).retryable;
   return new TypedError(error.kind, error.summary, {
     ...error.details,
     run: 'not-run',
--- a/packages/serving-node/src/configuration_follower.test.ts
+++ b/packages/serving-node/src/configuration_follower.test.ts
@@ -1,5 +1,5 @@
 import {ManualClock} from '@mimosatack/clock';
-import {settle} from '@mimosatack/fakes';
+import {flushPendingCallbacks} from '@mimosatack/fakes';
 import {MemoryKeyedTopic, type ReadOutcome} from '@mimosatack/keyed-store';
 import {SeededRandom} from '@mimosatack/random';
 import {type ServingConfiguration} from '@mimosatack/types';
@@ -66,7 +66,7 @@
   const advance = async (ms: number) => {
     for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += 50) {
       clock.advance(50);
-      await settle();
+      await flushPendingCallbacks();
     }
   };
   return {clock, topic, follower, advance};
--- a/packages/serving-node/src/configuration_follower.ts
+++ b/packages/serving-node/src/configuration_follower.ts
@@ -8,7 +8,7 @@
   KeyedTable,
 } from '@mimosatack/keyed-store';
 import {type RandomSource} from '@mimosatack/random';
-import {type Periodic, startPeriodic} from '@mimosatack/tasks';
+import {type PeriodicTimer, startPeriodic} from '@mimosatack/tasks';
 import {type ServingConfiguration} from '@mimosatack/types';
 import {type PlatformAdapter} from './platform_adapter.js';
 
@@ -77,7 +77,7 @@
   private peerConfirmedAsOfMs = -Infinity;
   /** Confirms a version that this node has not received yet. */
   private pendingConfirmation: PeerConfirmation | null = null;
-  private confirmationCheck: Periodic | null = null;
+  private confirmationCheck: PeriodicTimer | null = null;
 
   constructor(private readonly options: ConfigurationFollowerOptions) {
     const {random, platform} = options;
--- a/packages/serving-node/src/scheduling_duty.test.ts
+++ b/packages/serving-node/src/scheduling_duty.test.ts
@@ -4,7 +4,7 @@
   ENGINE_SERVICE,
   makeEngineEntry,
   makeEngineService,
-  settle,
+  flushPendingCallbacks,
 } from '@mimosatack/fakes';
 import {MemoryKeyedTopic} from '@mimosatack/keyed-store';
 import {MemoryEventLogger} from '@mimosatack/logger';
@@ -92,14 +92,14 @@
   const advance = async (ms: number) => {
     for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += 50) {
       clock.advance(50);
-      await settle();
+      await flushPendingCallbacks();
     }
   };
   await advance(500);
   assert.ok(duty.isHeld);
   const ask = async (askId: string) => {
     duty.receive('b:1', makeAsk(askId));
-    await settle();
+    await flushPendingCallbacks();
     return sent.find(message => message.askId === askId)?.type;
   };
   const countOrders = () => orders;
--- a/packages/serving-node/src/serving_node.ts
+++ b/packages/serving-node/src/serving_node.ts
@@ -101,7 +101,7 @@
     this.edge = new CallerEdge({
       ...{clock, gate: this.gate},
       dialect: options.platform.callerDialect,
-      screen: head => this.pipeline.checkAccess(head),
+      checkHead: head => this.pipeline.checkAccess(head),
       serve: (request, sink) => this.pipeline.serve(request, sink),
       onFault: error => this.faults.logTaskFailure(error, 'callers'),
     });
--- a/packages/stand-ins/src/engine/engine_core.ts
+++ b/packages/stand-ins/src/engine/engine_core.ts
@@ -121,7 +121,7 @@
   }
 
   /** Records an order that the `refuseOrders` fault refused. */
-  noteRefusedOrder(order: EngineOrder): void {
+  recordRefusedOrder(order: EngineOrder): void {
     this.observer.recordOrder(order, 'refused');
   }
 
--- a/packages/stand-ins/src/engine/order_delivery.ts
+++ b/packages/stand-ins/src/engine/order_delivery.ts
@@ -60,7 +60,7 @@
     if (!this.core.faults.take('refuseOrders')) {
       return this.core.applyOrder(order);
     }
-    this.core.noteRefusedOrder(order);
+    this.core.recordRefusedOrder(order);
     throw new HttpProblem(503, 'refused', 'The engine takes no orders now.');
   }
 }
--- a/packages/stand-ins/src/engine/replica_table.ts
+++ b/packages/stand-ins/src/engine/replica_table.ts
@@ -177,7 +177,8 @@
     const {options, source, gate} = this.deps;
     const {diskLoadMs, memoryLoadMs, sizeFactor} = options;
     if (tier === 'remote') {
-      const onDone = () => gate.pass(() => this.runIfLoading(entry, next));
+      const onDone = () =>
+        gate.runWhenOpen(() => this.runIfLoading(entry, next));
       entry.step = source.fetch(entry, sizeFactor, onDone);
       return;
     }
@@ -212,7 +213,7 @@
     next: () => void,
   ): void {
     const {clock, gate} = this.deps;
-    entry.step = clock.setTimer(delayMs, () => gate.pass(next));
+    entry.step = clock.setTimer(delayMs, () => gate.runWhenOpen(next));
   }
 
   /** Guards against a step that a freeze delayed past its replica's unload. */
--- a/packages/stand-ins/src/engine/request_batch.ts
+++ b/packages/stand-ins/src/engine/request_batch.ts
@@ -114,7 +114,7 @@
   private setTokenTimer(run: RequestRun, delayMs: number): void {
     const {clock, gate, faults} = this.deps;
     run.timer = clock.setTimer(delayMs * faults.slowTokenFactor, () =>
-      gate.pass(() => this.emitToken(run)),
+      gate.runWhenOpen(() => this.emitToken(run)),
     );
   }
 
--- a/packages/stand-ins/src/platform/log_service.ts
+++ b/packages/stand-ins/src/platform/log_service.ts
@@ -134,7 +134,7 @@
   }
 
   /** Records that an append succeeded but its answer was not sent. */
-  noteLostAnswer(stream: string): void {
+  recordLostAnswer(stream: string): void {
     this.openStream(stream).lostAnswers += 1;
   }
 
--- a/packages/stand-ins/src/platform/platform_server.ts
+++ b/packages/stand-ins/src/platform/platform_server.ts
@@ -80,7 +80,7 @@
         readNodeId(request),
       );
       if (!isAffected || !log.faults.take('loseAppendAnswers')) return {offset};
-      log.noteLostAnswer(stream);
+      log.recordLostAnswer(stream);
       destroyConnection(request, reply);
       return reply;
     },
--- a/packages/stand-ins/src/service/service_core.ts
+++ b/packages/stand-ins/src/service/service_core.ts
@@ -107,7 +107,7 @@
     this.changeRunning(1);
     const delayMs = this.options.runMs + this.faults.values.slowMs;
     this.clock.setTimer(delayMs, () =>
-      this.gate.pass(() => {
+      this.gate.runWhenOpen(() => {
         run.endedMs = this.clock.wallMs();
         this.changeRunning(-1);
         onDone(expectedCallAnswer(call));
--- a/packages/stand-ins/src/service/service_server.test.ts
+++ b/packages/stand-ins/src/service/service_server.test.ts
@@ -57,7 +57,7 @@
       body: '{"id":7}',
       signal: abort.signal,
     }).catch(() => undefined);
-    while (service.core.gate.heldCount === 0) {
+    while (service.core.gate.deferredCount === 0) {
       await new Promise(resolve => setTimeout(resolve, 1));
     }
     abort.abort();
--- a/packages/stand-ins/src/shared/freeze_gate.ts
+++ b/packages/stand-ins/src/shared/freeze_gate.ts
@@ -10,7 +10,7 @@
   constructor(private readonly clock: Clock) {}
 
   /** The number of deferred callbacks. */
-  get heldCount(): number {
+  get deferredCount(): number {
     return this.deferred.length;
   }
 
@@ -40,13 +40,13 @@
   }
 
   /** Calls `callback` now, or on `thaw` while frozen. */
-  pass(callback: () => void): void {
+  runWhenOpen(callback: () => void): void {
     if (this.frozen) this.deferred.push(callback);
     else callback();
   }
 
   /** Resolves now, or on `thaw` while frozen. */
   whenOpen(): Promise<void> {
-    return new Promise(resolve => this.pass(resolve));
+    return new Promise(resolve => this.runWhenOpen(resolve));
   }
 }
--- a/packages/steward-claims/src/decide_role.ts
+++ b/packages/steward-claims/src/decide_role.ts
@@ -12,7 +12,7 @@
   /** Position of this node among the candidates; 0 is first. */
   rank: number;
   /** Time for which this node has seen the backend server without a steward. */
-  freeForMs: number;
+  claimableForMs: number;
   /** Additional wait per rank before a claim. */
   rankDelayMs: number;
   isLogReachable: boolean;
@@ -36,12 +36,12 @@
 export function decideRole(input: RoleInput): StewardRole {
   const {claim, self} = input;
   if (claim?.holder === self && !claim.isYielded) return {role: 'hold'};
-  if (!isFree(claim, input)) return WAIT;
+  if (!isClaimable(claim, input)) return WAIT;
   return input.isLogReachable ? decideClaim(input) : decideSuccession(input);
 }
 
 /** Whether no claim is in force or its holder is considered dead. */
-export function isFree(
+export function isClaimable(
   claim: StewardClaim | undefined,
   hints: Pick<RoleInput, 'isGone'>,
 ): boolean {
@@ -54,7 +54,7 @@
  */
 function decideClaim(input: RoleInput): StewardRole {
   const isTurn =
-    input.rank >= 0 && input.freeForMs >= input.rank * input.rankDelayMs;
+    input.rank >= 0 && input.claimableForMs >= input.rank * input.rankDelayMs;
   return isTurn ? {role: 'claim'} : WAIT;
 }
 
--- a/packages/steward-claims/src/index.ts
+++ b/packages/steward-claims/src/index.ts
@@ -2,5 +2,5 @@
   type RoleInput,
   type StewardRole,
   decideRole,
-  isFree,
+  isClaimable,
 } from './decide_role.js';
--- a/packages/tasks/src/index.ts
+++ b/packages/tasks/src/index.ts
@@ -1,2 +1,2 @@
-export {type Periodic, startPeriodic} from './periodic.js';
+export {type PeriodicTimer, startPeriodic} from './periodic.js';
 export {Task, type TaskErrorHandler} from './task.js';
--- a/packages/tasks/src/periodic.ts
+++ b/packages/tasks/src/periodic.ts
@@ -1,7 +1,7 @@
 import {type Clock, type Timer} from '@mimosatack/clock';
 
 /** Handle of an action that runs periodically until stopped. */
-export interface Periodic {
+export interface PeriodicTimer {
   stop(): void;
 }
 
@@ -13,7 +13,7 @@
   clock: Clock,
   intervalMs: number,
   action: () => void | Promise<void>,
-): Periodic {
+): PeriodicTimer {
   let timer: Timer | null = null;
   let isStopped = false;
   const schedule = () => {
--- a/packages/tls-listeners/src/tls_listener.ts
+++ b/packages/tls-listeners/src/tls_listener.ts
@@ -4,7 +4,7 @@
 import {type Clock} from '@mimosatack/clock';
 import {toTypedError} from '@mimosatack/errors';
 import {type EventLogger} from '@mimosatack/logger';
-import {type Periodic, startPeriodic} from '@mimosatack/tasks';
+import {type PeriodicTimer, startPeriodic} from '@mimosatack/tasks';
 import {
   type KeyPair,
   type KeyPairPaths,
@@ -30,7 +30,7 @@
 export class TlsListener {
   private readonly servers: Server[] = [];
   private fingerprint = '';
-  private poller: Periodic | null = null;
+  private poller: PeriodicTimer | null = null;
 
   constructor(private readonly options: TlsListenerOptions) {}
 
--- a/packages/unrepeatable-bench/src/stress_caller.ts
+++ b/packages/unrepeatable-bench/src/stress_caller.ts
@@ -1,6 +1,6 @@
 /** A caller that retries a request through other nodes until it is answered. */
 import {type Clock, sleep} from '@mimosatack/clock';
-import {type Entry, listEntries} from '@mimosatack/demo';
+import {type CallerEndpoint, listEntries} from '@mimosatack/demo';
 import {type RandomSource, pickOne} from '@mimosatack/random';
 import {request} from 'undici';
 import {makeUuidV7} from './dated_keys.js';
@@ -103,7 +103,7 @@
 }
 
 /** Queries random nodes until one returns an entry. */
-async function findEntry(context: StressContext): Promise<Entry> {
+async function findEntry(context: StressContext): Promise<CallerEndpoint> {
   const {clock, random} = context;
   for (;;) {
     const baseUrl = pickOne(random, context.listNodes());
@@ -114,12 +114,14 @@
 }
 
 /** The entries of a node; empty if it is frozen or stopping. */
-async function fetchEntries(baseUrl: string | undefined): Promise<Entry[]> {
+async function fetchEntries(
+  baseUrl: string | undefined,
+): Promise<CallerEndpoint[]> {
   if (baseUrl === undefined) return [];
   const fetched = listEntries(baseUrl)
     .then(entries => entries ?? [])
     .catch(() => []);
-  const timedOut = new Promise<Entry[]>(resolve =>
+  const timedOut = new Promise<CallerEndpoint[]>(resolve =>
     setTimeout(() => resolve([]), MAX_RETRY_PAUSE_MS),
   );
   return Promise.race([fetched, timedOut]);
