--- a/packages/admit-requests/src/admission_controller.ts
+++ b/packages/admit-requests/src/admission_controller.ts
@@ -54,14 +54,14 @@
   constructor(private readonly options: AdmissionOptions) {}
 
   /**
-   * Decides on a new request. `takePlace` reserves capacity at a backend server
+   * Decides on a new request. `tryReserve` reserves capacity at a backend server
    * and is called only if the request may start immediately.
    */
   admit(
     key: string,
     request: AdmissionRequest,
     outlook: ReplicaAvailability,
-    takePlace: () => boolean,
+    tryReserve: () => boolean,
     nowMs: number,
   ): AdmissionDecision {
     const {team, teamLimits} = request;
@@ -71,7 +71,7 @@
       return this.refuse('rate-limited', message, waitMs);
     }
     const state = this.getOrCreateState(key);
-    const decision = this.decide(state, request, outlook, takePlace, nowMs);
+    const decision = this.decide(state, request, outlook, tryReserve, nowMs);
     if (decision.status === 'refused') this.teamLimiter.release(team);
     return decision;
   }
@@ -175,7 +175,7 @@
     state: QueueState,
     request: AdmissionRequest,
     outlook: ReplicaAvailability,
-    takePlace: () => boolean,
+    tryReserve: () => boolean,
     nowMs: number,
   ): AdmissionDecision {
     const refusal =
@@ -183,7 +183,7 @@
       this.checkShortestRun(state, request, nowMs);
     if (refusal) return {status: 'refused', refusal};
     const isFree = outlook.status === 'serving' && state.queue.size === 0;
-    if (!isFree || !takePlace()) {
+    if (!isFree || !tryReserve()) {
       return this.enqueue(state, request, outlook, nowMs);
     }
     this.recordStart(state, nowMs);
--- a/packages/admit-requests/src/admission_gate.ts
+++ b/packages/admit-requests/src/admission_gate.ts
@@ -73,8 +73,8 @@
 
   /**
    * Waits for capacity, then calls `work`. Rejects with the kind of the refusal
-   * and `run: 'not-run'`, or with `CallerGone` if `signal` is aborted while the
-   * request is queued.
+   * and `run: 'not-run'`, or with `CallerDisconnected` if `signal` is
+   * aborted while the request is queued.
    */
   async run<P, T>(
     request: AdmissionRequest,
--- a/packages/answer-streams/src/deterministic.ts
+++ b/packages/answer-streams/src/deterministic.ts
@@ -11,7 +11,7 @@
 
 /**
  * True for a single choice without tools, with temperature 0 or a seed. Two
- * runs may still differ, so `continueElsewhere` compares their text.
+ * runs may still differ, so `continueOnAnotherReplica` compares their text.
  */
 export function isDeterministic(body: SamplingFields): boolean {
   const isSingle = body.n === undefined || body.n === null || body.n === 1;
--- a/packages/contain-requests/src/request_containment.ts
+++ b/packages/contain-requests/src/request_containment.ts
@@ -65,7 +65,7 @@
 
   /**
    * Whether a contained request may probe one server now; must be followed by
-   * `endTry`.
+   * `endProbe`.
    *
    * Guards against containing a harmless request forever. A single node sends
    * one probe of a request at a time, with growing delays, to limit crashes.
--- a/packages/hold-duty/src/duty_task.ts
+++ b/packages/hold-duty/src/duty_task.ts
@@ -351,7 +351,7 @@
   /**
    * The latest time at which the previous holder can have sent an order. Its
    * lease ends with the renewal of its newest record or with its grants, which
-   * include this node's grant when `isCountedBy` says so.
+   * include this node's grant when `isGrantorOf` says so.
    */
   private findLatestOrderMs({incarnation}: DutyHolder): number {
     const {clock, leaseMs, ownGrantEndsAtMs, isGrantorOf} = this.options;
--- a/packages/keyed-store/src/memory_keyed_topic.ts
+++ b/packages/keyed-store/src/memory_keyed_topic.ts
@@ -11,7 +11,8 @@
 
 /**
  * How an append fails: `refused` appends nothing, `lost` appends the records
- * but loses the response, `late` appends them when `releaseLate` is called.
+ * but loses the response, `late` appends them on a call of
+ * `applyDelayedAppends`.
  */
 export type AppendFault = 'none' | 'refused' | 'lost' | 'late';
 
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -110,7 +110,7 @@
 
   /**
    * Applies a hint from the platform's host list. A `leaving` hint affects
-   * this node's view only and expires after `hintKeepMs`. A `gone` hint
+   * this node's view only and expires after `hintTtlMs`. A `gone` hint
    * triggers a probe, because it may refer to a previous host of that name.
    */
   applyHint({nodeName, state}: MembershipHint, nowMs: number): void {
--- a/packages/node/src/node_ranking.ts
+++ b/packages/node/src/node_ranking.ts
@@ -5,7 +5,7 @@
 import {type NodeIncarnation} from '@mimosatack/types';
 
 export interface MemberSource {
-  /** Increases whenever `listDeciders` may have changed. */
+  /** Increases whenever `listWriters` may have changed. */
   readonly writersVersion: number;
   listWriters(): Member[];
 }
--- a/packages/node/src/peer_task.ts
+++ b/packages/node/src/peer_task.ts
@@ -114,7 +114,7 @@
     await this.transport.stop();
   }
 
-  /** Increases whenever the result of `listDeciders` may have changed. */
+  /** Increases whenever the result of `listWriters` may have changed. */
   get writersVersion(): number {
     return (this.membership?.version ?? 0) + this.progress.version;
   }
--- a/packages/serve-callers/src/request_scope.ts
+++ b/packages/serve-callers/src/request_scope.ts
@@ -7,7 +7,7 @@
 export interface RequestScope {
   /** Aborted with a typed error on the deadline or the node's shutdown. */
   signal: AbortSignal;
-  /** Also aborted, with `CallerGone`, when the caller disconnects. */
+  /** Also aborted, with `CallerDisconnected`, when the caller disconnects. */
   callerSignal: AbortSignal;
   release(): void;
 }
--- a/packages/serve-requests/src/crash_guard.ts
+++ b/packages/serve-requests/src/crash_guard.ts
@@ -16,7 +16,7 @@
   /** Whether any suspected request has this path. */
   isPathSuspected(pathPrint: PathFingerprint): boolean;
   isContained(fingerprint: RequestFingerprint): boolean;
-  /** Whether a contained request may probe one server; see `endTry`. */
+  /** Whether a contained request may probe one server; see `endProbe`. */
   openProbe(fingerprint: RequestFingerprint): boolean;
   endProbe(fingerprint: RequestFingerprint): void;
   /** Records a connection that was lost while the server had the request. */
--- a/packages/share-reports/src/own_engines.ts
+++ b/packages/share-reports/src/own_engines.ts
@@ -32,9 +32,9 @@
   private readonly engines = new Map<BackendServerId, OwnEngine>();
   private count = 0;
 
-  /** @param isWatched whether the planner needs to know if a slot is in use. */
+  /** @param needsSlotUsage whether the planner has to know of a slot's use. */
   constructor(
-    private readonly isWatched: (
+    private readonly needsSlotUsage: (
       id: BackendServerId,
       engineSlotId: string,
     ) => boolean,
@@ -74,7 +74,7 @@
     const active = (engine?.replicas ?? [])
       .filter(replica => replica.activeRequests > 0)
       .map(replica => replica.slotId)
-      .filter(slotId => this.isWatched(backendServerId, slotId));
+      .filter(slotId => this.needsSlotUsage(backendServerId, slotId));
     const kept = [...(known?.busyUntilMs ?? [])].filter(
       ([, untilMs]) => untilMs > nowMs,
     );
--- a/packages/steward-orders/src/succession.ts
+++ b/packages/steward-orders/src/succession.ts
@@ -27,7 +27,7 @@
 export interface TakeoverCheck {
   /** Whether the standby should take over now. */
   shouldTakeOver: boolean;
-  /** The `unfinishedBefore` of the next check. */
+  /** The `incompleteBefore` of the next check. */
   incomplete: Set<string>;
 }
 
