--- a/packages/admit-requests/src/admission_controller.ts
+++ b/packages/admit-requests/src/admission_controller.ts
@@ -60,7 +60,7 @@
   admit(
     key: string,
     request: AdmissionRequest,
-    outlook: ReplicaAvailability,
+    availability: ReplicaAvailability,
     tryReserve: () => boolean,
     nowMs: number,
   ): AdmissionDecision {
@@ -71,7 +71,13 @@
       return this.refuse('rate-limited', message, waitMs);
     }
     const state = this.getOrCreateState(key);
-    const decision = this.decide(state, request, outlook, tryReserve, nowMs);
+    const decision = this.decide(
+      state,
+      request,
+      availability,
+      tryReserve,
+      nowMs,
+    );
     if (decision.status === 'refused') this.teamLimiter.release(team);
     return decision;
   }
@@ -139,7 +145,7 @@
    */
   refuseUnmeetable(
     key: string,
-    outlook: ReplicaAvailability,
+    availability: ReplicaAvailability,
     nowMs: number,
   ): RefusedQueuedRequest[] {
     const state = this.queueStates.get(key);
@@ -147,7 +153,7 @@
     return state.queue.list().flatMap(request => {
       const refusal =
         this.checkDeadline(request, nowMs) ??
-        this.checkOutlook(state, request, outlook, nowMs) ??
+        this.checkAvailability(state, request, availability, nowMs) ??
         this.checkShortestRun(state, request, nowMs);
       if (!refusal) return [];
       this.abandon(key, request);
@@ -174,39 +180,39 @@
   private decide(
     state: QueueState,
     request: AdmissionRequest,
-    outlook: ReplicaAvailability,
+    availability: ReplicaAvailability,
     tryReserve: () => boolean,
     nowMs: number,
   ): AdmissionDecision {
     const refusal =
-      this.checkOutlook(state, request, outlook, nowMs) ??
+      this.checkAvailability(state, request, availability, nowMs) ??
       this.checkShortestRun(state, request, nowMs);
     if (refusal) return {status: 'refused', refusal};
-    const isFree = outlook.status === 'serving' && state.queue.size === 0;
+    const isFree = availability.status === 'serving' && state.queue.size === 0;
     if (!isFree || !tryReserve()) {
-      return this.enqueue(state, request, outlook, nowMs);
+      return this.enqueue(state, request, availability, nowMs);
     }
     this.recordStart(state, nowMs);
     return {status: 'start'};
   }
 
-  private checkOutlook(
+  private checkAvailability(
     state: QueueState,
     request: AdmissionRequest,
-    outlook: ReplicaAvailability,
+    availability: ReplicaAvailability,
     nowMs: number,
   ): Refusal | null {
-    if (outlook.status === 'serving') return null;
+    if (availability.status === 'serving') return null;
     const message = 'No replica of the model is warm.';
-    if (outlook.status === 'cold') {
-      return this.makeRefusal('not-warm', message, outlook.retryAfterMs);
+    if (availability.status === 'cold') {
+      return this.makeRefusal('not-warm', message, availability.retryAfterMs);
     }
     const neededMs =
-      outlook.readyInMs +
+      availability.readyInMs +
       state.estimator.shortestRunMs(request.workClass, nowMs);
     return neededMs <= request.deadlineAtMs - nowMs
       ? null
-      : this.makeRefusal('not-warm', message, outlook.readyInMs);
+      : this.makeRefusal('not-warm', message, availability.readyInMs);
   }
 
   private checkRunTime(
@@ -236,14 +242,14 @@
   private enqueue(
     state: QueueState,
     request: AdmissionRequest,
-    outlook: ReplicaAvailability,
+    availability: ReplicaAvailability,
     nowMs: number,
   ): AdmissionDecision {
     const {queue, estimator} = state;
     const aheadCount = queue.countAhead(request);
     const estimate = estimator.estimateWaitMs(aheadCount, state.runningCount);
     const waitMs =
-      (outlook.status === 'warming' ? outlook.readyInMs : 0) +
+      (availability.status === 'warming' ? availability.readyInMs : 0) +
       Math.max(estimate.correctedMs, estimator.stalledMs(nowMs));
     const neededMs =
       waitMs * WAIT_MARGIN + estimator.likelyRunMs(request.workClass, nowMs);
@@ -251,7 +257,7 @@
       const message = `The wait is expected to be ${Math.round(waitMs)} ms.`;
       return this.refuse('deadline-unmeetable', message, waitMs);
     }
-    if (outlook.status === 'serving') {
+    if (availability.status === 'serving') {
       state.estimatesMs.set(request.requestId, estimate.uncorrectedMs);
     }
     if (this.hasQueueRoom(queue, request)) {
--- a/packages/admit-requests/src/admission_gate.test.ts
+++ b/packages/admit-requests/src/admission_gate.test.ts
@@ -12,7 +12,7 @@
 interface Fixture {
   clock: ManualClock;
   capacity: number;
-  outlook: ReplicaAvailability;
+  availability: ReplicaAvailability;
   started: string[];
   /** By request ID: `answered` or the kind of the refusal. */
   outcomes: Record<string, string>;
@@ -33,7 +33,7 @@
   const finishers = new Map<string, () => void>();
   const target = {
     key: 'm',
-    findAvailability: () => fixture.outlook,
+    findAvailability: () => fixture.availability,
     tryReserve: () => (fixture.capacity > 0 ? fixture.capacity-- : null),
   };
   const submit = async (id: string, terms: Partial<AdmissionRequest> = {}) => {
@@ -62,12 +62,12 @@
     clock.advance(deltaMs);
     await settle();
   };
-  const outlook: ReplicaAvailability = {status: 'serving'};
+  const availability: ReplicaAvailability = {status: 'serving'};
   const records = {started: [], outcomes: {}, retryAfterMs: []};
   const fixture: Fixture = {
     clock,
     capacity,
-    outlook,
+    availability,
     gate,
     submit,
     finish,
@@ -182,15 +182,15 @@
 // makes their deadlines unmeetable.
 test('refuses queued requests that a delayed load cannot serve in time', async () => {
   const fixture = createFixture(2);
-  fixture.outlook = {status: 'warming', readyInMs: 1_000};
+  fixture.availability = {status: 'warming', readyInMs: 1_000};
   await fixture.submit('short', {deadlineAtMs: 2_000});
   await fixture.submit('long', {deadlineAtMs: 9_000});
   await fixture.submit('shorter', {deadlineAtMs: 500});
   assert.equal(fixture.outcomes, {shorter: 'not-warm'});
-  fixture.outlook = {status: 'warming', readyInMs: 5_000};
+  fixture.availability = {status: 'warming', readyInMs: 5_000};
   await fixture.advance(100);
   assert.equal(fixture.outcomes, {shorter: 'not-warm', short: 'not-warm'});
-  fixture.outlook = {status: 'serving'};
+  fixture.availability = {status: 'serving'};
   await fixture.advance(5_000);
   assert.equal(fixture.started, ['long']);
 });
@@ -201,7 +201,7 @@
   const abort = new AbortController();
   const target = {
     key: 'm',
-    findAvailability: () => fixture.outlook,
+    findAvailability: () => fixture.availability,
     tryReserve: () => null,
   };
   const request = makeRequest('a', 0, {});
--- a/packages/admit-requests/src/admission_gate.ts
+++ b/packages/admit-requests/src/admission_gate.ts
@@ -34,7 +34,7 @@
 interface Waiter {
   request: AdmissionRequest;
   key: string;
-  findOutlook(): ReplicaAvailability;
+  findAvailability(): ReplicaAvailability;
   /**
    * Starts the request if capacity is available, or refuses it if it would miss
    * its deadline. Returns whether the request left the queue.
@@ -190,8 +190,8 @@
         resolve(place);
         return true;
       };
-      const findOutlook = () => target.findAvailability();
-      const waiter = {request, key, findOutlook, tryDequeue, refuse};
+      const findAvailability = () => target.findAvailability();
+      const waiter = {request, key, findAvailability, tryDequeue, refuse};
       this.waiters.set(request.requestId, waiter);
       this.waitingKeys.add(key);
       this.scheduleReassessment();
@@ -213,7 +213,7 @@
       .filter(waiter => waiter !== undefined);
     const started = heads.find(
       waiter =>
-        waiter.findOutlook().status === 'serving' && waiter.tryDequeue(),
+        waiter.findAvailability().status === 'serving' && waiter.tryDequeue(),
     );
     if (!started) return false;
     if (this.waitingKeys.delete(started.key)) this.waitingKeys.add(started.key);
@@ -234,7 +234,11 @@
     const waiter = head && this.waiters.get(head.requestId);
     if (!waiter) return;
     this.controller
-      .refuseUnmeetable(key, waiter.findOutlook(), this.clock.monotonicMs())
+      .refuseUnmeetable(
+        key,
+        waiter.findAvailability(),
+        this.clock.monotonicMs(),
+      )
       .forEach(({request, refusal}) =>
         this.waiters.get(request.requestId)?.refuse(refusal),
       );
--- a/packages/claim-keys/src/claim_keys.ts
+++ b/packages/claim-keys/src/claim_keys.ts
@@ -69,11 +69,14 @@
 
   /** @param answer null if the response was not kept. */
   recordRan(grant: ClaimRecord, answer: KeptAnswer | null): void {
-    this.openPartition(this.partitionOf(grant.keyHash)).noteRan(grant, answer);
+    this.openPartition(this.partitionOf(grant.keyHash)).recordRan(
+      grant,
+      answer,
+    );
   }
 
   recordUnknown(grant: ClaimRecord): void {
-    this.openPartition(this.partitionOf(grant.keyHash)).noteUnknown(grant);
+    this.openPartition(this.partitionOf(grant.keyHash)).recordUnknown(grant);
   }
 
   /** Reads the partitions assigned to this node and closes unused ones. */
--- a/packages/claim-keys/src/claim_partition.ts
+++ b/packages/claim-keys/src/claim_partition.ts
@@ -141,13 +141,13 @@
     this.push({...grant, type: 'release'});
   }
 
-  noteRan(grant: ClaimRecord, answer: KeptAnswer | null): void {
+  recordRan(grant: ClaimRecord, answer: KeptAnswer | null): void {
     const {maxAnswerBytes} = this.context.options;
     const fits = answer !== null && answer.body.length <= maxAnswerBytes;
     this.pushOutcome(grant, 'ran', fits ? answer : null);
   }
 
-  noteUnknown(grant: ClaimRecord): void {
+  recordUnknown(grant: ClaimRecord): void {
     this.pushOutcome(grant, 'unknown', null);
   }
 
--- a/packages/membership/src/gossip.ts
+++ b/packages/membership/src/gossip.ts
@@ -31,7 +31,7 @@
     this.selfName = self.nodeName;
     this.table = new MemberTable({
       suspicionTimeoutMs: nodeCount => suspicionTimeoutMs(options, nodeCount),
-      goneKeepMs: options.goneRetentionMs,
+      goneRetentionMs: options.goneRetentionMs,
       maxGoneCount: options.maxGoneCount,
     });
     this.table.applyRecord({...self, counter: 0, status: 'alive'}, 0);
--- a/packages/membership/src/member_table.ts
+++ b/packages/membership/src/member_table.ts
@@ -14,7 +14,7 @@
 
 export interface TableLimits {
   suspicionTimeoutMs(nodeCount: number): number;
-  goneKeepMs: number;
+  goneRetentionMs: number;
   maxGoneCount: number;
 }
 
@@ -149,7 +149,7 @@
       .filter(
         (member, index) =>
           index >= this.limits.maxGoneCount ||
-          member.statusSinceMs + this.limits.goneKeepMs <= nowMs,
+          member.statusSinceMs + this.limits.goneRetentionMs <= nowMs,
       )
       .forEach(member => this.remove(member.nodeName));
   }
--- a/packages/node-links/src/holder_contacts.ts
+++ b/packages/node-links/src/holder_contacts.ts
@@ -30,7 +30,7 @@
     return this.clock.monotonicMs() - this.heardAtMs;
   }
 
-  get isHeardByOthers(): boolean {
+  get isReachedByOthers(): boolean {
     return (
       this.clock.monotonicMs() - this.heardByOthersAtMs < PEER_REPORT_TTL_MS
     );
--- a/packages/node-links/src/node_links.ts
+++ b/packages/node-links/src/node_links.ts
@@ -87,13 +87,13 @@
   }
 
   /** Contact state of a holder, derived from heartbeats. */
-  contactWith(holder: DutyHolder): HolderContact {
+  findHolderContact(holder: DutyHolder): HolderContact {
     return this.contacts.find(holder);
   }
 
   /** Whether another node recently reported contact with the holder. */
   get isHolderHeardByOthers(): boolean {
-    return this.contacts.isHeardByOthers;
+    return this.contacts.isReachedByOthers;
   }
 
   /** Time until which this node's grants keep it from claiming the duty. */
@@ -134,14 +134,14 @@
     if (!holder || this.isSelf(holder)) return false;
     return (
       this.lastWelcome.relaysNodes(holder) &&
-      this.contactWith(holder) === 'alive'
+      this.findHolderContact(holder) === 'alive'
     );
   }
 
   sendToHolder(message: ToHolderMessage): boolean {
     const {holder: findHolder, onToHolder, self} = this.options;
     const holder = findHolder();
-    if (!holder || this.contactWith(holder) !== 'alive') return false;
+    if (!holder || this.findHolderContact(holder) !== 'alive') return false;
     if (this.isSelf(holder)) onToHolder(self.peerAddress, message);
     else {
       this.transport.send(holder.address, {type: 'to-holder', body: message});
@@ -189,11 +189,12 @@
       await this.sendHello(holder);
     }
     this.reportContactChange(holder);
-    if (this.contactWith(holder) === 'silent') await this.askOthers(holder);
+    if (this.findHolderContact(holder) === 'silent')
+      await this.askOthers(holder);
   }
 
   private reportContactChange(holder: DutyHolder): void {
-    const isAlive = this.contactWith(holder) === 'alive';
+    const isAlive = this.findHolderContact(holder) === 'alive';
     if (isAlive === this.wasAlive) return;
     this.wasAlive = isAlive;
     this.options.onHolderContactChange(isAlive);
@@ -296,7 +297,7 @@
 
   /** Issues a grant for the next heartbeat; null while the holder is silent. */
   private issueGrant(holder: DutyHolder, forMs?: number): LeaseGrant | null {
-    if (this.contactWith(holder) !== 'alive') return null;
+    if (this.findHolderContact(holder) !== 'alive') return null;
     const welcome = this.lastWelcome.findFrom(holder);
     return welcome && this.grants.issue(holder, welcome, forMs);
   }
@@ -389,7 +390,9 @@
 
   private isHearing(token: number): boolean {
     const holder = this.options.holder();
-    return holder?.token === token && this.contactWith(holder) === 'alive';
+    return (
+      holder?.token === token && this.findHolderContact(holder) === 'alive'
+    );
   }
 
   private listServing(): string[] {
--- a/packages/node/src/claim_task.ts
+++ b/packages/node/src/claim_task.ts
@@ -43,7 +43,9 @@
   }
 
   /** The node that keeps a partition, or null if this node keeps it. */
-  findKeeper(partition: number): {incarnation: string; baseUrl: string} | null {
+  findPartitionOwner(
+    partition: number,
+  ): {incarnation: string; baseUrl: string} | null {
     const keeper = this.findKeeperMember(partition);
     if (!keeper || this.isSelf(keeper)) return null;
     return {incarnation: keeper.incarnation, baseUrl: keeper.callerBaseUrl};
--- a/packages/node/src/demand_planner.ts
+++ b/packages/node/src/demand_planner.ts
@@ -29,7 +29,7 @@
    * Records that a request for `model` or `model:adapter` found no warm
    * replica.
    */
-  noteMiss(modelText: string, nowMs: number): void {
+  recordMiss(modelText: string, nowMs: number): void {
     this.demand.recordMiss(modelText, nowMs);
   }
 
--- a/packages/node/src/engine_steward.ts
+++ b/packages/node/src/engine_steward.ts
@@ -37,7 +37,7 @@
   orderDoubtMs: number;
   drain: DrainLimits;
   /** What is currently known about the loads of a slot. */
-  outlook(slot: Slot): ExpectedLoadTimes;
+  findLoadTimes(slot: Slot): ExpectedLoadTimes;
 }
 
 /** Consecutive failed reads after which an engine counts as unreachable. */
@@ -221,7 +221,7 @@
         configuration.find('model', model)?.content.adapters[adapter]
           ?.memoryMib ?? 0,
       drain: this.options.drain,
-      findLoadTimes: slot => this.options.outlook(slot),
+      findLoadTimes: slot => this.options.findLoadTimes(slot),
       nowMs,
       reservedMib: this.sumReservedMib(slots, engine, nowMs),
     });
--- a/packages/node/src/key_tasks.ts
+++ b/packages/node/src/key_tasks.ts
@@ -44,8 +44,9 @@
       claims: this.claims.keys,
       owners: {
         findProcess: incarnation => peers.findProcess(incarnation),
-        findPartitionOwner: partition => this.claims.findKeeper(partition),
-        askSuccessors: query => this.tickets.askHeirs(query),
+        findPartitionOwner: partition =>
+          this.claims.findPartitionOwner(partition),
+        askSuccessors: query => this.tickets.askSuccessors(query),
       },
     });
   }
--- a/packages/node/src/make_engine_tasks.ts
+++ b/packages/node/src/make_engine_tasks.ts
@@ -61,7 +61,7 @@
       submitTimeoutMs: SUBMIT_TIMEOUT_MS,
       orderDoubtMs: ORDER_DOUBT_MS,
       drain: hints.drain,
-      outlook: slot => hints.outlook(slot),
+      findLoadTimes: slot => hints.findLoadTimes(slot),
     },
     onFault,
   );
--- a/packages/node/src/planner_task.ts
+++ b/packages/node/src/planner_task.ts
@@ -100,7 +100,7 @@
         this.isTickQueued = false;
         return this.planAll();
       case 'demand':
-        this.demand.noteMiss(message.model, clock.wallMs());
+        this.demand.recordMiss(message.model, clock.wallMs());
         return;
       case 'store-limits':
         this.view.setLimits(message.limits);
--- a/packages/node/src/steward_hints.ts
+++ b/packages/node/src/steward_hints.ts
@@ -38,7 +38,7 @@
   }
 
   /** What is currently known about the loads of a slot. */
-  outlook(slot: Slot): ExpectedLoadTimes {
+  findLoadTimes(slot: Slot): ExpectedLoadTimes {
     const {clock, follower} = this.options;
     const {configuration} = follower.state;
     return estimateSlotLoad(
--- a/packages/node/src/steward_task.ts
+++ b/packages/node/src/steward_task.ts
@@ -61,7 +61,7 @@
    */
   orderDoubtMs: number;
   drain: DrainLimits;
-  outlook(slot: Slot): ExpectedLoadTimes;
+  findLoadTimes(slot: Slot): ExpectedLoadTimes;
 }
 
 /** What happened to the backend servers of a stopping node. */
--- a/packages/node/src/test_fixtures.ts
+++ b/packages/node/src/test_fixtures.ts
@@ -126,7 +126,7 @@
         submitTimeoutMs: LONG_MS,
         orderDoubtMs: ORDER_DOUBT_MS,
         drain: {clockSkewMs: 0, foldLagMs: 0, maxRequestMs: 1_000},
-        outlook: () => ({
+        findLoadTimes: () => ({
           startsAtMs: null,
           storeLoadMs: 0,
           cachedLoadMs: {memory: 0, disk: 0},
--- a/packages/node/src/ticket_task.test.ts
+++ b/packages/node/src/ticket_task.test.ts
@@ -56,7 +56,7 @@
     );
   const ask = async (name: string, incarnation: string, keyHash: string) => {
     const query = {incarnation, generation, keyHash, requestHash: 'same'};
-    return (await find(name).askHeirs(query)).status;
+    return (await find(name).askSuccessors(query)).status;
   };
   return {tasks, faults, find, run, ask};
 }
--- a/packages/node/src/ticket_task.ts
+++ b/packages/node/src/ticket_task.ts
@@ -84,7 +84,7 @@
   }
 
   /** The best verdict on a ticket that the heirs of a process have. */
-  async askHeirs(query: InheritedQuery): Promise<InheritedVerdict> {
+  async askSuccessors(query: InheritedQuery): Promise<InheritedVerdict> {
     const answers = await Promise.all(
       this.rankHeirs(query.incarnation, ASKED_HEIR_COUNT).map(heir =>
         this.ask(heir, query),
--- a/packages/schedule-models/src/engine_index.test.ts
+++ b/packages/schedule-models/src/engine_index.test.ts
@@ -45,7 +45,7 @@
   const views: EngineViews = new EngineViews({
     catalogue: new ModelCatalogue([makeEngineService()]),
     speed: new PrefillSpeed(),
-    quietUntilMs: () => -Infinity,
+    ordersBlockedUntilMs: () => -Infinity,
     onRemoved: () => undefined,
     onEnginesChanged: () => index.invalidate(),
   });
--- a/packages/schedule-models/src/engine_view.ts
+++ b/packages/schedule-models/src/engine_view.ts
@@ -57,7 +57,7 @@
   catalogue: ModelCatalogue;
   speed: PrefillSpeed;
   /** No order may be sent before this time. */
-  quietUntilMs: () => number;
+  ordersBlockedUntilMs: () => number;
   /** Orders to an earlier incarnation that may still be executed. */
   inFlightOrders: readonly PlannedOrder[];
 }
@@ -87,12 +87,17 @@
 
   constructor(
     public entry: BackendServerEntry,
-    {catalogue, speed, inFlightOrders, quietUntilMs}: EngineViewContext,
+    {
+      catalogue,
+      speed,
+      inFlightOrders,
+      ordersBlockedUntilMs: ordersBlockedUntilMs,
+    }: EngineViewContext,
     private readonly createdAtMs: number,
   ) {
     this.catalogue = catalogue;
     this.cachedWeights = new CachedWeights(entry.near);
-    this.orders = new OrderGate(inFlightOrders, quietUntilMs);
+    this.orders = new OrderGate(inFlightOrders, ordersBlockedUntilMs);
     this.memory = new EngineMemory({
       spec: () => this.spec,
       findModel: model => this.catalogue.findModel(this.entry.service, model),
--- a/packages/schedule-models/src/engine_views.ts
+++ b/packages/schedule-models/src/engine_views.ts
@@ -13,7 +13,7 @@
   catalogue: ModelCatalogue;
   speed: PrefillSpeed;
   /** No order may be sent to the engine before this time. */
-  quietUntilMs: (id: BackendServerId) => number;
+  ordersBlockedUntilMs: (id: BackendServerId) => number;
   /**
    * Called when engines are added or removed or their cached weights change.
    */
@@ -93,9 +93,18 @@
     inFlightOrders: readonly PlannedOrder[],
     nowMs: number,
   ): void {
-    const {catalogue, speed, quietUntilMs} = this.options;
-    const quiet = () => quietUntilMs(entry.id);
-    const context = {catalogue, speed, inFlightOrders, quietUntilMs: quiet};
+    const {
+      catalogue,
+      speed,
+      ordersBlockedUntilMs: ordersBlockedUntilMs,
+    } = this.options;
+    const quiet = () => ordersBlockedUntilMs(entry.id);
+    const context = {
+      catalogue,
+      speed,
+      inFlightOrders,
+      ordersBlockedUntilMs: quiet,
+    };
     this.views.set(entry.id, new EngineView(entry, context, nowMs));
     this.invalidateList();
   }
--- a/packages/schedule-models/src/order_gate.ts
+++ b/packages/schedule-models/src/order_gate.ts
@@ -41,11 +41,11 @@
 
   /**
    * @param previous orders to earlier incarnations.
-   * @param quietUntilMs time until which orders of another node may arrive.
+   * @param ordersBlockedUntilMs time until which orders of another node may arrive.
    */
   constructor(
     previous: readonly PlannedOrder[],
-    private readonly quietUntilMs: () => number,
+    private readonly ordersBlockedUntilMs: () => number,
   ) {
     this.inFlight = new InFlightOrders(previous);
   }
@@ -65,7 +65,7 @@
   }
 
   get nextOrderMs(): number {
-    return Math.max(this.notBeforeMs, this.quietUntilMs());
+    return Math.max(this.notBeforeMs, this.ordersBlockedUntilMs());
   }
 
   recordSent(order: PlannedOrder): void {
--- a/packages/schedule-models/src/scheduler.ts
+++ b/packages/schedule-models/src/scheduler.ts
@@ -69,7 +69,8 @@
     ...{catalogue: this.catalogue, speed: this.speed},
     onEnginesChanged: () => this.index.invalidate(),
     onRemoved: id => this.removeEngineState(id),
-    quietUntilMs: id => this.options.ordersBlockedUntilMs?.(id) ?? -Infinity,
+    ordersBlockedUntilMs: id =>
+      this.options.ordersBlockedUntilMs?.(id) ?? -Infinity,
   });
   private readonly index: EngineIndex = new EngineIndex(() =>
     this.engines.list(),
--- a/packages/serve-callers/src/completion_pipeline.ts
+++ b/packages/serve-callers/src/completion_pipeline.ts
@@ -63,7 +63,7 @@
     };
     this.target = {
       key: formatSelection(request),
-      findAvailability: () => context.servingSets.findOutlook(request),
+      findAvailability: () => context.servingSets.findAvailability(request),
       tryReserve: () => this.takeEndpoint(this.triedIds, true),
     };
   }
--- a/packages/serve-callers/src/replica_lookup.ts
+++ b/packages/serve-callers/src/replica_lookup.ts
@@ -70,7 +70,7 @@
       .map(({backendServerId}) => backendServerId);
   }
 
-  findOutlook(selection: ModelSelection): ReplicaAvailability {
+  findAvailability(selection: ModelSelection): ReplicaAvailability {
     const isServed = this.listCandidates(selection).some(
       id => !this.options.isLeaving(id),
     );
