--- a/packages/node-links/src/node_links.ts
+++ b/packages/node-links/src/node_links.ts
@@ -87,7 +87,7 @@
   }
 
   /** Contact state of a holder, derived from heartbeats. */
-  findHolderContact(holder: DutyHolder): HolderContact {
+  findContact(holder: DutyHolder): HolderContact {
     return this.contacts.find(holder);
   }
 
@@ -134,14 +134,14 @@
     if (!holder || this.isSelf(holder)) return false;
     return (
       this.lastWelcome.relaysNodes(holder) &&
-      this.findHolderContact(holder) === 'alive'
+      this.findContact(holder) === 'alive'
     );
   }
 
   sendToHolder(message: ToHolderMessage): boolean {
     const {holder: findHolder, onToHolder, self} = this.options;
     const holder = findHolder();
-    if (!holder || this.findHolderContact(holder) !== 'alive') return false;
+    if (!holder || this.findContact(holder) !== 'alive') return false;
     if (this.isSelf(holder)) onToHolder(self.peerAddress, message);
     else {
       this.transport.send(holder.address, {type: 'to-holder', body: message});
@@ -189,12 +189,11 @@
       await this.sendHello(holder);
     }
     this.reportContactChange(holder);
-    if (this.findHolderContact(holder) === 'silent')
-      await this.askOthers(holder);
+    if (this.findContact(holder) === 'silent') await this.askOthers(holder);
   }
 
   private reportContactChange(holder: DutyHolder): void {
-    const isAlive = this.findHolderContact(holder) === 'alive';
+    const isAlive = this.findContact(holder) === 'alive';
     if (isAlive === this.wasAlive) return;
     this.wasAlive = isAlive;
     this.options.onHolderContactChange(isAlive);
@@ -297,7 +296,7 @@
 
   /** Issues a grant for the next heartbeat; null while the holder is silent. */
   private issueGrant(holder: DutyHolder, forMs?: number): LeaseGrant | null {
-    if (this.findHolderContact(holder) !== 'alive') return null;
+    if (this.findContact(holder) !== 'alive') return null;
     const welcome = this.lastWelcome.findFrom(holder);
     return welcome && this.grants.issue(holder, welcome, forMs);
   }
@@ -390,9 +389,7 @@
 
   private isHearing(token: number): boolean {
     const holder = this.options.holder();
-    return (
-      holder?.token === token && this.findHolderContact(holder) === 'alive'
-    );
+    return holder?.token === token && this.findContact(holder) === 'alive';
   }
 
   private listServing(): string[] {
--- a/packages/serving-node/src/serving_node.ts
+++ b/packages/serving-node/src/serving_node.ts
@@ -280,7 +280,7 @@
       duty: {
         ...{random, topic: platform.dutyTopic, key: DUTY_KEY},
         self: {nodeName, incarnation, address: peerAddress},
-        findHolderContact: holder => this.links.findHolderContact(holder),
+        findHolderContact: holder => this.links.findContact(holder),
         findRank: () => this.links.findRank(),
         isReachedByOthers: () => this.links.isHolderHeardByOthers,
         ownGrantEndsAtMs: () => this.links.ownGrantEndsAtMs,
